--- a/crates/wingfold-tier/tests/network.rs
+++ b/crates/wingfold-gossip/tests/network.rs
@@ -1,29 +1,31 @@
-//! A tier in virtual time over a network that loses, doubles, delays and cuts one way.
+//! A tier in virtual time over a network that loses, duplication, delays and cuts one way.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use wingfold_director::interface::*;
 use wingfold_director::Director;
-use wingfold_tier::member::Standing;
-use wingfold_tier::{Out, Plan, Tier};
+use wingfold_gossip::authentication::Rejections;
+use wingfold_gossip::gossip::OutgoingDatagram;
+use wingfold_gossip::membership::MemberState;
+use wingfold_gossip::{Gossip, GossipConfig, GossipOutput};
 
 const TICK: u64 = 100_000;
 
 /// When it lands, its number, to whom, and what.
-type Flight = (u64, u64, u16, Vec<u8>);
+type InFlight = (u64, u64, u16, Vec<u8>);
 
 /// Directors with a little to say, and the network between them.
-struct Net {
+struct Network {
     now: u64,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     loss: f64,
-    doubles: f64,
+    duplication: f64,
     delay: (u64, u64),
     /// Paths that carry nothing, from whom to whom.
     cut: BTreeSet<(u16, u16)>,
-    nodes: BTreeMap<u16, (Tier, Director)>,
-    flying: BinaryHeap<std::cmp::Reverse<Flight>>,
+    nodes: BTreeMap<u16, (Gossip, Director)>,
+    in_flight: BinaryHeap<std::cmp::Reverse<InFlight>>,
     number: u64,
     advice: BTreeMap<u16, Vec<PeerAdvice>>,
     bytes: u64,
@@ -67,7 +69,7 @@
     HostId(format!("10.0.0.{at}:8443").into())
 }
 
-/// A director with ten hosts and a proxy in hall a.
+/// A director with ten hosts and a proxy in zone a.
 fn director(me: u32, count: u32, now: u64) -> Director {
     let mut director = Director::new(settings(me, count), 1);
     let entry = |at: u32| Endpoint {
@@ -86,17 +88,17 @@
     director
 }
 
-impl Net {
-    fn new(count: u16, seed: u64) -> Net {
-        let mut net = Net {
+impl Network {
+    fn new(count: u16, seed: u64) -> Network {
+        let mut net = Network {
             now: 1_000_000,
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             loss: 0.0,
-            doubles: 0.0,
+            duplication: 0.0,
             delay: (1_000, 20_000),
             cut: BTreeSet::new(),
             nodes: BTreeMap::new(),
-            flying: BinaryHeap::new(),
+            in_flight: BinaryHeap::new(),
             number: 0,
             advice: BTreeMap::new(),
             bytes: 0,
@@ -110,63 +112,63 @@
         net
     }
 
-    fn start(&mut self, at: u16, life: u32) {
+    fn start(&mut self, at: u16, incarnation: u32) {
         let keys = self.keys.clone();
-        let plan = Plan {
-            me: at,
+        let config = GossipConfig {
+            own_id: at,
             count: self.count,
-            life,
-            seed: u64::from(at) * 7 + u64::from(life),
-            name: 5,
+            incarnation,
+            seed: u64::from(at) * 7 + u64::from(incarnation),
+            tier_hash: 5,
             keys,
         };
-        let tier = Tier::new(plan, Timestamp(self.now));
+        let gossip = Gossip::new(config, Timestamp(self.now));
         let director = director(u32::from(at), u32::from(self.count), self.now);
         self.advice.remove(&at);
-        self.nodes.insert(at, (tier, director));
+        self.nodes.insert(at, (gossip, director));
     }
 
-    fn send(&mut self, from: u16, out: Out) {
-        for (to, bytes) in out.datagrams {
+    fn send(&mut self, from: u16, out: GossipOutput) {
+        for OutgoingDatagram { to, bytes } in out.datagrams {
             self.bytes += bytes.len() as u64;
             self.datagrams += 1;
             self.largest = self.largest.max(bytes.len());
             if self.old.len() < 200 {
                 self.old.push((to, bytes.clone()));
             }
-            if self.cut.contains(&(from, to)) || self.chance.random::<f64>() < self.loss {
+            if self.cut.contains(&(from, to)) || self.rng.random::<f64>() < self.loss {
                 continue;
             }
-            let times = if self.chance.random::<f64>() < self.doubles { 2 } else { 1 };
+            let times = if self.rng.random::<f64>() < self.duplication { 2 } else { 1 };
             for _ in 0..times {
                 self.number += 1;
-                let at = self.now + self.chance.random_range(self.delay.0..=self.delay.1);
-                self.flying.push(std::cmp::Reverse((at, self.number, to, bytes.clone())));
+                let at = self.now + self.rng.random_range(self.delay.0..=self.delay.1);
+                self.in_flight.push(std::cmp::Reverse((at, self.number, to, bytes.clone())));
             }
         }
     }
 
-    /// Time passes; every second the directors in `hear` are told sums in which these hosts lose all.
+    /// Time passes; every second each director gets load reports in which the hosts of `dead` fail every attempt.
     fn run(&mut self, secs: f64, dead: &BTreeMap<u16, Vec<u32>>) {
         let end = self.now + (secs * 1e6) as u64;
         while self.now < end {
             self.now += TICK;
-            while self.flying.peek().is_some_and(|next| next.0 .0 <= self.now) {
-                let Some(std::cmp::Reverse((_, _, to, bytes))) = self.flying.pop() else { break };
-                let mut out = Out::default();
-                if let Some((tier, _)) = self.nodes.get_mut(&to) {
-                    tier.hear(Timestamp(self.now), &bytes, &mut out);
+            while self.in_flight.peek().is_some_and(|next| next.0 .0 <= self.now) {
+                let Some(std::cmp::Reverse((_, _, to, bytes))) = self.in_flight.pop() else { break };
+                let mut out = GossipOutput::default();
+                if let Some((gossip, _)) = self.nodes.get_mut(&to) {
+                    gossip.handle_datagram(Timestamp(self.now), &bytes, &mut out);
                 }
                 self.send(to, out);
             }
             let ids: Vec<u16> = self.nodes.keys().copied().collect();
             for at in ids {
-                let mut out = Out::default();
+                let mut out = GossipOutput::default();
                 let now = Timestamp(self.now);
-                let Some((tier, director)) = self.nodes.get_mut(&at) else { continue };
+                let Some((gossip, director)) = self.nodes.get_mut(&at) else { continue };
                 if self.now.is_multiple_of(1_000_000) {
                     let lost = dead.get(&at).cloned().unwrap_or_default();
-                    let heard = (0..10).map(|one| {
+                    let reports = (0..10).map(|one| {
                         let total = 8;
                         let lost = if lost.contains(&one) { total } else { 0 };
                         let sums = AttemptCounts { total, failed: lost, period: Micros(1_000_000) };
@@ -178,38 +180,38 @@
                             load: HostLoad::default(),
                         }
                     });
-                    director.handle(now, &heard.collect::<Vec<_>>(), &mut Vec::new());
+                    director.handle(now, &reports.collect::<Vec<_>>(), &mut Vec::new());
                 } else {
                     director.handle(now, &[Event::TimerFired(0)], &mut Vec::new());
                 }
-                tier.tick(now, director, &mut out);
-                let advice = tier.advice(now, director);
+                gossip.tick(now, director, &mut out);
+                let advice = gossip.advice(now, director);
                 self.advice.entry(at).or_default().extend(advice);
                 self.send(at, out);
             }
         }
     }
 
-    fn standing(&self, of: u16, at: u16) -> Standing {
-        self.nodes[&of].0.members().standing(at)
+    fn standing(&self, of: u16, at: u16) -> MemberState {
+        self.nodes[&of].0.membership().state(at)
     }
 
     /// All directors that run agree on how this one stands.
-    fn all_see(&self, at: u16, standing: Standing) -> bool {
+    fn all_see(&self, at: u16, standing: MemberState) -> bool {
         self.nodes.keys().filter(|of| **of != at).all(|of| self.standing(*of, at) == standing)
     }
 
-    fn whole(&self) -> bool {
-        self.nodes.keys().all(|at| self.all_see(*at, Standing::Alive))
+    fn all_are_alive(&self) -> bool {
+        self.nodes.keys().all(|at| self.all_see(*at, MemberState::Alive))
     }
 
-    /// All know each other's notes up to the last.
+    /// All know each other's entries up to the last.
     fn converged(&self) -> bool {
-        let known = |of: &u16| self.nodes[of].0.notes().known().collect::<BTreeMap<_, _>>();
+        let known = |of: &u16| self.nodes[of].0.entries().known().collect::<BTreeMap<_, _>>();
         self.nodes.keys().all(|of| {
             let mine = known(of);
             self.nodes.keys().all(|at| {
-                known(at).get(at).is_none_or(|theirs| theirs.1 == 0 || mine.get(at) == Some(theirs))
+                known(at).get(at).is_none_or(|theirs| theirs.up_to == 0 || mine.get(at) == Some(theirs))
             })
         })
     }
@@ -220,28 +222,28 @@
 }
 
 #[test]
-fn a_tier_finds_itself_and_one_that_dies_is_gone_for_all_under_losses() {
+fn members_find_each_other_and_one_that_dies_is_dead_for_all_under_loss() {
     for (loss, within) in [(0.0, 12.0), (0.1, 15.0), (0.3, 25.0), (0.6, 90.0)] {
         for seed in 0..3 {
-            let mut net = Net::new(6, seed);
-            (net.loss, net.doubles) = (loss, 0.1);
+            let mut net = Network::new(6, seed);
+            (net.loss, net.duplication) = (loss, 0.1);
             net.run(if loss > 0.5 { 40.0 } else { 15.0 }, &none());
             // At such losses somebody is always suspect for a moment, and says so himself.
             if loss < 0.2 {
-                assert!(net.whole(), "loss {loss}, seed {seed}");
+                assert!(net.all_are_alive(), "loss {loss}, seed {seed}");
             }
             net.nodes.remove(&3);
             net.run(within, &none());
-            let gone = |of: &u16| net.standing(*of, 3) >= Standing::Suspect;
-            assert!(net.nodes.keys().all(gone), "loss {loss}, seed {seed}");
+            let is_doubted = |of: &u16| net.standing(*of, 3) >= MemberState::Suspect;
+            assert!(net.nodes.keys().all(is_doubted), "loss {loss}, seed {seed}");
             net.loss = 0.0;
             net.run(30.0, &none());
-            assert!(net.all_see(3, Standing::Gone), "loss {loss}, seed {seed}");
+            assert!(net.all_see(3, MemberState::Dead), "loss {loss}, seed {seed}");
             let live: Vec<u16> = net.nodes.keys().copied().collect();
             for at in live {
                 assert!(
-                    net.all_see(at, Standing::Alive),
-                    "no live one is held gone for good: {at}, seed {seed}"
+                    net.all_see(at, MemberState::Alive),
+                    "no live one is held dead for good: {at}, seed {seed}"
                 );
             }
             assert!(net.largest <= 256);
@@ -250,22 +252,22 @@
 }
 
 #[test]
-fn a_cut_in_one_direction_kills_nobody() {
-    let mut net = Net::new(5, 4);
+fn a_path_cut_in_one_direction_kills_nobody() {
+    let mut net = Network::new(5, 4);
     net.run(10.0, &none());
     // Nothing from 0 reaches 1; all else goes on.
     net.cut.insert((0, 1));
     for _ in 0..40 {
         net.run(1.0, &none());
-        assert_ne!(net.standing(0, 1), Standing::Gone, "1 is asked after through others");
-        assert_ne!(net.standing(1, 0), Standing::Gone);
+        assert_ne!(net.standing(0, 1), MemberState::Dead, "1 is asked after through others");
+        assert_ne!(net.standing(1, 0), MemberState::Dead);
     }
 }
 
 #[test]
-fn halves_that_were_cut_for_a_minute_find_each_other_with_both_their_pictures() {
+fn halves_that_were_partitioned_for_a_minute_find_each_other_and_exchange_what_they_learned() {
     for seed in 0..3 {
-        let mut net = Net::new(4, seed);
+        let mut net = Network::new(4, seed);
         net.run(8.0, &none());
         for (one, other) in [(0, 2), (0, 3), (1, 2), (1, 3)] {
             net.cut.extend([(one, other), (other, one)]);
@@ -273,10 +275,10 @@
         // Each half learns something else meanwhile: contradicting pictures.
         let dead = BTreeMap::from([(0, vec![1]), (1, vec![1]), (2, vec![4]), (3, vec![4])]);
         net.run(60.0, &dead);
-        assert_eq!((net.standing(0, 2), net.standing(3, 1)), (Standing::Gone, Standing::Gone));
+        assert_eq!((net.standing(0, 2), net.standing(3, 1)), (MemberState::Dead, MemberState::Dead));
         net.cut.clear();
         net.run(30.0, &dead);
-        assert!(net.whole(), "seed {seed}");
+        assert!(net.all_are_alive(), "seed {seed}");
         assert!(net.converged(), "seed {seed}");
         let out = |at: u16, of: u32| net.advice[&at].iter().any(|a| a.host == host(of) && a.ejected);
         assert!(out(0, 4) && out(2, 1), "seed {seed}: each knows what the other half saw");
@@ -284,8 +286,8 @@
 }
 
 #[test]
-fn a_restart_is_told_from_a_return_and_old_datagrams_revive_nobody() {
-    let mut net = Net::new(3, 1);
+fn a_restart_is_told_from_a_recovery_and_old_datagrams_revive_nobody() {
+    let mut net = Network::new(3, 1);
     net.run(8.0, &BTreeMap::from([(2, vec![4])]));
     let old = net.old.clone();
     // Twice within a second, the second time with a clock that went back.
@@ -293,45 +295,45 @@
     net.run(0.4, &none());
     net.start(2, 3);
     net.run(12.0, &BTreeMap::from([(2, vec![6])]));
-    assert!(net.whole() && net.converged());
-    let life = net.nodes[&2].0.members().life();
-    assert!(life > 5, "it went beyond its own last life: {life}");
+    assert!(net.all_are_alive() && net.converged());
+    let incarnation = net.nodes[&2].0.membership().incarnation();
+    assert!(incarnation > 5, "it went beyond its own last incarnation: {incarnation}");
     net.nodes.remove(&2);
     net.run(25.0, &none());
-    assert!(net.all_see(2, Standing::Gone));
+    assert!(net.all_see(2, MemberState::Dead));
     for (to, bytes) in old {
-        if let Some((tier, _)) = net.nodes.get_mut(&to) {
-            tier.hear(Timestamp(net.now), &bytes, &mut Out::default());
+        if let Some((gossip, _)) = net.nodes.get_mut(&to) {
+            gossip.handle_datagram(Timestamp(net.now), &bytes, &mut GossipOutput::default());
         }
     }
-    assert!(net.all_see(2, Standing::Gone), "datagrams of an earlier life");
+    assert!(net.all_see(2, MemberState::Dead), "datagrams of an earlier incarnation");
 }
 
 #[test]
-fn one_that_leaves_in_good_order_is_known_to_have_left_at_once() {
-    let mut net = Net::new(4, 2);
+fn a_graceful_shutdown_is_known_at_once() {
+    let mut net = Network::new(4, 2);
     net.run(8.0, &none());
-    let mut out = Out::default();
+    let mut out = GossipOutput::default();
     let now = Timestamp(net.now);
     net.nodes.get_mut(&1).unwrap().0.leave(now, &mut out);
     net.send(1, out);
     net.nodes.remove(&1);
     net.run(0.3, &none());
-    assert!(net.all_see(1, Standing::Left));
+    assert!(net.all_see(1, MemberState::Left));
     net.start(1, 2);
     net.run(8.0, &none());
-    assert!(net.whole(), "and back in its next life");
+    assert!(net.all_are_alive(), "and back in its next incarnation");
 }
 
 #[test]
-fn what_one_learned_reaches_the_others_and_a_restarted_one_soon() {
+fn what_one_director_learned_reaches_the_others_and_a_restarted_one_soon() {
     for (loss, soon) in [(0.0, 1.0), (0.1, 1.5), (0.3, 3.0)] {
         for seed in 0..5 {
-            let mut net = Net::new(2, seed);
+            let mut net = Network::new(2, seed);
             net.loss = loss;
             let dead = BTreeMap::from([(0, vec![2, 5])]);
             net.run(20.0, &dead);
-            let knows = |net: &Net, at: u16| {
+            let knows = |net: &Network, at: u16| {
                 [2, 5].iter().all(|of| net.advice.get(&at).into_iter().flatten().any(|a| a.host == host(*of)))
             };
             assert!(knows(&net, 1), "loss {loss}, seed {seed}");
@@ -346,11 +348,11 @@
 #[test]
 fn traffic_is_bounded_whatever_the_size() {
     for (count, most) in [(2u16, 700.0), (6, 1300.0), (50, 2300.0)] {
-        let mut net = Net::new(count, 3);
+        let mut net = Network::new(count, 3);
         net.run(10.0, &none());
         (net.bytes, net.datagrams) = (0, 0);
         net.run(20.0, &none());
-        assert!(net.whole() || count == 50, "{count}");
+        assert!(net.all_are_alive() || count == 50, "{count}");
         let bytes = net.bytes as f64 / 20.0 / f64::from(count);
         let datagrams = net.datagrams as f64 / 20.0 / f64::from(count);
         println!("{count} directors: {bytes:.0} bytes and {datagrams:.1} datagrams a second and director");
@@ -359,47 +361,56 @@
 }
 
 #[test]
-fn sealed_tiers_take_no_strangers_and_change_keys_without_a_gap() {
-    let mut net = Net::new(3, 6);
+fn tiers_with_keys_reject_other_senders_and_change_keys_without_a_gap() {
+    let mut net = Network::new(3, 6);
     net.keys = vec![b"first".to_vec()];
     (0..3).for_each(|at| net.start(at, 2));
     net.run(8.0, &none());
-    assert!(net.whole());
+    assert!(net.all_are_alive());
     for keys in [vec!["first", "second"], vec!["second", "first"], vec!["second"]] {
         let keys: Vec<Vec<u8>> = keys.into_iter().map(|key| key.as_bytes().to_vec()).collect();
         for at in 0..3 {
-            net.nodes.get_mut(&at).unwrap().0.keys(keys.clone());
+            net.nodes.get_mut(&at).unwrap().0.replace_keys(keys.clone());
             net.run(1.0, &none());
-            assert!(net.whole());
+            assert!(net.all_are_alive());
         }
     }
-    let refused = |net: &Net| net.nodes.values().map(|(tier, _)| tier.refused()[0]).sum::<u64>();
+    let refused = |net: &Network| {
+        net.nodes.values().map(|(gossip, _)| gossip.rejections().unauthenticated).sum::<u64>()
+    };
     assert_eq!(refused(&net), 0);
     // Directors without the key, and one that repeats what it overheard.
     let replayed = net.old.clone();
-    let taken = net.nodes[&0].0.counts.taken;
+    let taken = net.nodes[&0].0.counts.datagrams_received;
     for (_, bytes) in replayed.iter().take(50) {
-        net.nodes.get_mut(&0).unwrap().0.hear(Timestamp(net.now), bytes, &mut Out::default());
+        net.nodes.get_mut(&0).unwrap().0.handle_datagram(
+            Timestamp(net.now),
+            bytes,
+            &mut GossipOutput::default(),
+        );
     }
-    assert_eq!(net.nodes[&0].0.counts.taken, taken);
-    assert!(net.nodes[&0].0.refused().iter().sum::<u64>() >= 50);
+    assert_eq!(net.nodes[&0].0.counts.datagrams_received, taken);
+    assert!({
+        let Rejections { unauthenticated, replayed } = net.nodes[&0].0.rejections();
+        unauthenticated + replayed >= 50
+    });
 }
 
 #[test]
-fn a_director_alone_says_nothing() {
-    let mut net = Net::new(1, 0);
+fn a_director_alone_sends_nothing() {
+    let mut net = Network::new(1, 0);
     net.run(30.0, &BTreeMap::from([(0, vec![1])]));
     assert_eq!(net.datagrams, 0);
 }
 
 #[test]
-fn fifty_that_begin_at_once_find_each_other() {
-    let mut net = Net::new(50, 8);
+fn fifty_directors_that_start_at_once_find_each_other() {
+    let mut net = Network::new(50, 8);
     net.loss = 0.05;
     net.run(60.0, &none());
     let pairs = || net.nodes.keys().flat_map(|of| net.nodes.keys().map(move |at| (*of, *at)));
     let seen = |standing| pairs().filter(|(of, at)| of != at && net.standing(*of, *at) == standing).count();
-    assert_eq!(seen(Standing::Gone), 0);
+    assert_eq!(seen(MemberState::Dead), 0);
     // A suspicion told by one is with many for a moment before it is denied.
-    assert!(seen(Standing::Alive) >= 50 * 49 * 95 / 100, "{}", seen(Standing::Alive));
+    assert!(seen(MemberState::Alive) >= 50 * 49 * 95 / 100, "{}", seen(MemberState::Alive));
 }
