--- a/crates/wingfold-gossip/tests/network.rs
+++ b/crates/wingfold-gossip/tests/network.rs
@@ -1,4 +1,4 @@
-//! A tier in virtual time over a network that loses, duplication, delays and cuts one way.
+//! A tier in virtual time over a network that loses, duplicates and delays datagrams, and cuts paths in one direction.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
