--- a/crates/wingfold-director/src/checkpoint.rs
+++ b/crates/wingfold-director/src/checkpoint.rs
@@ -165,7 +165,7 @@
         };
         let state = |health: &HealthState| match health {
             HealthState::Healthy => true,
-            HealthState::Ejected(until) | HealthState::Probation(until) => time(until),
+            HealthState::Ejected { until } | HealthState::Probation { until } => time(until),
         };
         let ids: BTreeSet<u32> = tables().map(|table| table.id.0).collect();
         let count = tables().count();
--- a/crates/wingfold-director/src/director.rs
+++ b/crates/wingfold-director/src/director.rs
@@ -1,99 +1,119 @@
-//! One director: its state, and the order in which its decisions are taken.
+//! The director: its state, and the order in which its decisions are taken.
 use crate::incremental::FleetMemo;
 use crate::interface::{Action, Event, HostId, Notice, ProxyId, Settings, Timestamp, ZoneId};
 use crate::policy::admission::ADMISSION_INTERVAL_S;
-use crate::policy::endpoint_list::EVICT_REMOVED_AFTER_S;
-use crate::policy::load_reports::{SILENT_ATTEMPTS, SILENT_REPORT_ROUNDS};
-use crate::policy::ranking::MIN_SCORING_INTERVAL_S;
-use crate::state::{ByZone, ClassGroup, Host, Proxy, SendQueue, Zone};
+use crate::state::{AdmissionSample, ByZone, ClassGroup, Host, Proxy, SendQueue, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Longest interval of evaluations, in seconds.
+/// Interval of evaluations without urgent changes, in seconds.
 const EVALUATION_INTERVAL_S: f64 = 0.25;
 
-/// Least requests a second that a proxy counts for.
+/// Requests per second that every proxy counts for at least.
 const MIN_REQUESTS_PER_S: f64 = 0.01;
 
-/// One director's decisions.
+/// Multiplier of the linear congruential generator (Knuth's MMIX).
+const RNG_MULTIPLIER: u64 = 0x5851_F42D_4C95_7F2D;
+
+/// One director: the records that its decisions are taken from.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Director {
+    /// The settings, which never change.
     #[serde(rename = "set")]
     pub(crate) settings: Settings,
+    /// State of the random number generator.
     #[serde(rename = "random")]
     pub(crate) rng_state: u64,
+    /// Time of the last call; it never goes back.
     pub(crate) now: Timestamp,
+    /// When the next evaluation is due.
     #[serde(rename = "next_tick")]
     pub(crate) next_evaluation_at: Timestamp,
+    /// When the next scoring round is due.
     #[serde(rename = "next_round")]
     pub(crate) next_scoring_at: Timestamp,
+    /// When the next admission update is due.
     #[serde(rename = "next_level")]
     pub(crate) next_admission_update_at: Timestamp,
+    /// The hosts that the endpoint list names, or named until lately.
     #[serde(rename = "fleet")]
     pub(crate) hosts: BTreeMap<HostId, Host>,
+    /// The zones of the settings, and those of proxies that connected.
     pub(crate) zones: ByZone<Zone>,
+    /// The connected proxies.
     pub(crate) proxies: BTreeMap<ProxyId, Proxy>,
+    /// The classes, grouped by the hosts that they may go to.
     #[serde(rename = "groups")]
     pub(crate) class_groups: Vec<ClassGroup>,
-    /// Share of the work that is let in, and by time the open capacity over it, from when the present
-    /// figures were met.
+    /// Ratio of all work that is admitted.
     #[serde(rename = "admitted")]
     pub(crate) admission_ratio: f64,
+    /// The admission updates from the one on whose load reports are just coming in.
     #[serde(rename = "let_in")]
-    pub(crate) admission_history: VecDeque<(Timestamp, f64)>,
-    /// Median loss and latency of the hosts in the last round.
+    pub(crate) admission_history: VecDeque<AdmissionSample>,
+    /// Median loss ratio of the hosts in the last scoring round.
     #[serde(rename = "loss")]
     pub(crate) median_loss: f64,
+    /// Median latency of the hosts in the last scoring round, in milliseconds.
     #[serde(rename = "latency")]
     pub(crate) median_latency_ms: Option<f64>,
-    /// The lowest median latency of a round so far: what an answer takes without waiting.
+    /// The lowest median latency that an admission update has seen, in milliseconds: that of an answer that
+    /// did not wait.
     #[serde(rename = "unloaded_ms")]
     pub(crate) unloaded_latency_ms: Option<f64>,
-    /// Busy share of the cores, or what the waits say of it, at the last look.
+    /// Utilization of the hosts at the last admission update, as reported or as inferred from waiting times.
     #[serde(rename = "load")]
     pub(crate) utilization: f64,
-    /// All work that is asked for, in units of listed weight.
+    /// All work that is offered, admitted or not, in units of listed weight.
     #[serde(rename = "demand")]
     pub(crate) offered_load: f64,
-    /// How fast each kind of machine is for its listed weight, against the fastest, and when that last
-    /// changed.
+    /// Speed of each machine type per listed weight, as a ratio of the fastest.
     #[serde(rename = "speeds")]
     pub(crate) relative_speeds: BTreeMap<String, f64>,
+    /// When a relative speed last changed.
     #[serde(rename = "sized_at")]
     pub(crate) speeds_updated_at: Option<Timestamp>,
-    /// Proxies that this answer sends a message, with its lines.
+    /// The proxies that are sent a message by this call, with the lines of the message.
     #[serde(rename = "sending")]
     pub(crate) pending_messages: BTreeMap<ProxyId, f64>,
+    /// What has been sent to proxies and not been acknowledged yet.
     #[serde(rename = "channel")]
     pub(crate) send_queue: SendQueue,
-    /// When messages went to proxies that have left since: the limit on them goes on.
+    /// When messages went to proxies that have disconnected since: the message limit outlasts a stream.
     #[serde(rename = "parted")]
     pub(crate) departed_send_times: BTreeMap<ProxyId, VecDeque<Timestamp>>,
+    /// Number of the next new table.
     #[serde(rename = "next_table")]
     pub(crate) next_table_id: u32,
-    /// The list has news that cannot wait for the next look.
+    /// The endpoint list has changed in a way that cannot wait for the next evaluation.
     #[serde(rename = "urgent")]
     pub(crate) endpoint_list_changed: bool,
-    /// The list: asked for and not failed since, when to ask next, failures in a row.
+    /// The endpoint list was polled, or is watched, and that has not failed since.
     #[serde(rename = "watching")]
     pub(crate) is_watching: bool,
+    /// When to poll the endpoint list again after a failure.
     #[serde(rename = "ask_at")]
     pub(crate) next_poll_at: Timestamp,
+    /// Consecutive polls of the endpoint list that failed.
     #[serde(rename = "failures")]
     pub(crate) poll_failures: u32,
+    /// Notices that the next call of [`Director::handle`] gives out.
     #[serde(rename = "notes")]
     pub(crate) notices: Vec<Notice>,
-    /// What was worked out from the above.
+    /// Results cached from the fields above.
     #[serde(skip)]
     pub(crate) memo: FleetMemo,
 }
 
 impl Director {
-    /// A director that knows its settings and nothing else.
+    /// A director that knows nothing but its settings; `seed` starts its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let class_groups = ClassGroup::from_classes(&settings.classes);
-        let notices = Vec::from_iter((settings.shards > 0).then_some(Notice::ShardsUnsupported));
+        let mut notices = Vec::new();
+        if settings.shards > 0 {
+            notices.push(Notice::ShardsUnsupported);
+        }
         let zones = settings.zones.iter().map(|zone| (zone.clone(), Zone::default())).collect();
         Director {
             settings,
@@ -106,20 +126,20 @@
         }
     }
 
-    /// Takes in events that happened at `now` and appends what is to be done.
-    pub fn handle(&mut self, now: Timestamp, events: &[Event], out: &mut Vec<Action>) {
+    /// Applies events that happened at `now`, takes the decisions that are due and appends their actions.
+    pub fn handle(&mut self, now: Timestamp, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now.max(self.now);
         for event in events {
             self.apply_event(event);
         }
         if self.is_evaluation_due() {
-            self.evaluate(out);
+            self.evaluate(actions);
         }
-        out.extend(self.notices.drain(..).map(Action::Notice));
-        self.set_next_timer(out);
+        actions.extend(self.notices.drain(..).map(Action::Notice));
+        self.set_next_timer(actions);
     }
 
-    /// Changes the records by one event.
+    /// Updates the records by one event.
     fn apply_event(&mut self, event: &Event) {
         self.record_revision(event);
         match event {
@@ -150,75 +170,75 @@
     }
 
     /// Takes all decisions that are due, in their order.
-    fn evaluate(&mut self, out: &mut Vec<Action>) {
-        self.poll_endpoint_list(out);
+    fn evaluate(&mut self, actions: &mut Vec<Action>) {
+        self.poll_endpoint_list(actions);
         self.update_warm_ups();
         let mut zones = std::mem::take(&mut self.zones);
         self.detect_outliers_where_changed(&mut zones);
         if self.now >= self.next_scoring_at {
-            self.evaluate_scoring_round(&mut zones, out);
+            self.evaluate_scoring_round(&mut zones, actions);
         }
         if self.now >= self.next_admission_update_at {
-            self.evaluate_admission(&mut zones, out);
+            self.evaluate_admission(&mut zones, actions);
         }
         self.assign_subsets_where_changed(&mut zones);
-        self.reconcile_tables(&mut zones, out);
+        self.reconcile_tables(&mut zones, actions);
         self.zones = zones;
     }
 
     /// The decisions of a scoring round.
-    fn evaluate_scoring_round(&mut self, zones: &mut ByZone<Zone>, out: &mut Vec<Action>) {
-        self.evict_removed_hosts(zones, EVICT_REMOVED_AFTER_S, out);
-        self.expire_idle_usage(SILENT_ATTEMPTS, SILENT_REPORT_ROUNDS);
+    fn evaluate_scoring_round(&mut self, zones: &mut ByZone<Zone>, actions: &mut Vec<Action>) {
+        self.evict_removed_hosts(zones, actions);
+        self.expire_idle_usage();
         self.update_scores_where_changed(zones);
         self.update_locality(zones);
-        let interval_s = MIN_SCORING_INTERVAL_S.max(self.settings.report_period.secs());
-        self.next_scoring_at = self.seconds_from_now(interval_s);
+        self.next_scoring_at = self.seconds_from_now(self.scoring_interval_s());
     }
 
-    /// The decisions about load.
-    fn evaluate_admission(&mut self, zones: &mut ByZone<Zone>, out: &mut Vec<Action>) {
+    /// The decisions that follow the load of the hosts.
+    fn evaluate_admission(&mut self, zones: &mut ByZone<Zone>, actions: &mut Vec<Action>) {
         self.update_admission(zones);
         self.estimate_capacity(zones);
         for (name, zone) in zones {
             self.adjust_subset_size(name, zone);
         }
-        self.request_health_checks(out);
+        self.request_health_checks(actions);
         self.next_admission_update_at = self.seconds_from_now(ADMISSION_INTERVAL_S);
     }
 
-    /// Sets the timer of the next evaluation, once the last one is over.
-    fn set_next_timer(&mut self, out: &mut Vec<Action>) {
+    /// Schedules the next evaluation and its timer, once the scheduled one was due.
+    fn set_next_timer(&mut self, actions: &mut Vec<Action>) {
         if self.now >= self.next_evaluation_at {
             self.next_evaluation_at = self.seconds_from_now(EVALUATION_INTERVAL_S);
-            out.push(Action::SetTimer { at: self.next_evaluation_at, token: 0 });
+            actions.push(Action::SetTimer { at: self.next_evaluation_at, token: 0 });
         }
     }
 
-    /// Adds a proxy. The limit on messages to one proxy outlasts its streams.
+    /// Adds a proxy, with the send times of its earlier streams: the message limit outlasts a stream.
     fn connect_proxy(&mut self, proxy: ProxyId, zone: &ZoneId, requests_per_s: f64) {
         self.zones.entry(zone.clone()).or_default();
-        let replaced = self.proxies.remove(&proxy).map(|known| known.send_times);
-        let send_times = replaced.or(self.departed_send_times.remove(&proxy)).unwrap_or_default();
-        let connected = Proxy::new(zone, requests_per_s.max(MIN_REQUESTS_PER_S), send_times, self.now);
-        self.proxies.insert(proxy, connected);
+        let replaced_send_times = self.proxies.remove(&proxy).map(|replaced| replaced.send_times);
+        let departed_send_times = self.departed_send_times.remove(&proxy);
+        let send_times = replaced_send_times.or(departed_send_times).unwrap_or_default();
+        let requests_per_s = requests_per_s.max(MIN_REQUESTS_PER_S);
+        self.proxies.insert(proxy, Proxy::new(zone, requests_per_s, send_times, self.now));
     }
 
-    /// Removes a proxy, but not the times of the messages to it.
+    /// Removes a proxy, but keeps its send times for the message limit.
     fn disconnect_proxy(&mut self, proxy: ProxyId) {
-        let send_times = self.proxies.remove(&proxy).map(|known| known.send_times);
-        if let Some(send_times) = send_times.filter(|times| !times.is_empty()) {
-            self.departed_send_times.insert(proxy, send_times);
+        let Some(disconnected) = self.proxies.remove(&proxy) else { return };
+        if !disconnected.send_times.is_empty() {
+            self.departed_send_times.insert(proxy, disconnected.send_times);
         }
     }
 
-    /// The next random number from the seed, below 1.
+    /// The next pseudo-random number of the seed, from 0 to below 1.
     pub(crate) fn next_random(&mut self) -> f64 {
-        self.rng_state = self.rng_state.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(1);
+        self.rng_state = self.rng_state.wrapping_mul(RNG_MULTIPLIER).wrapping_add(1);
         (self.rng_state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// The settings it works by.
+    /// The settings that it was created with.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
--- a/crates/wingfold-director/src/incremental/expected_shares.rs
+++ b/crates/wingfold-director/src/incremental/expected_shares.rs
@@ -2,7 +2,7 @@
 use crate::director::Director;
 use crate::incremental::compare_hosts;
 use crate::interface::HostId;
-use crate::state::{ByZone, Zone};
+use crate::state::{ByZone, ReportCounts, Zone};
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
@@ -36,9 +36,13 @@
             }
             let at = Some(next)
                 .filter(|at| ids.get(*at).is_some_and(|other| compare_hosts(other, id) == Ordering::Equal));
-            path.missed_attempts = path.missed_attempts_by(self.attempts_seen.0);
-            let turns = if path.expected_share > 0.0 { path.last_heard.1 } else { self.attempts_seen.1 };
-            path.last_heard = (self.attempts_seen.0, turns);
+            path.missed_attempts = path.missed_attempts_by(self.attempts_seen.attempts);
+            let report_rounds = if path.expected_share > 0.0 {
+                path.counts_at_last_report.report_rounds
+            } else {
+                self.attempts_seen.report_rounds
+            };
+            path.counts_at_last_report = ReportCounts { report_rounds, ..self.attempts_seen };
             path.expected_share = at.and_then(|at| parts[at]).unwrap_or(0.0);
             at.into_iter().for_each(|at| self.memo.rows.update_expected_share(at, path));
         }
--- a/crates/wingfold-director/src/incremental/host_rows.rs
+++ b/crates/wingfold-director/src/incremental/host_rows.rs
@@ -3,7 +3,9 @@
 use crate::director::Director;
 use crate::incremental::{join_by_host, ChangedHost, Reindexing};
 use crate::interface::{HostId, Timestamp, ZoneId};
-use crate::state::{missed_attempts, AttemptStats, ByZone, HealthState, Host, Zone, ZoneHostStats};
+use crate::state::{
+    missed_attempts, AttemptStats, ByZone, HealthState, Host, ReportCounts, ScoredHost, Zone, ZoneHostStats,
+};
 
 /// What a host counts for in the health of a zone, and what the zone expects of it: figures of its record
 /// and of its path, equal to those. It fills a line of the processor's cache: each look goes over all of
@@ -24,7 +26,7 @@
     /// As in its path: tries missed, the zone's counts when it was last heard of, and its part of the
     /// zone's tries.
     missed_attempts: f64,
-    pub(crate) last_heard: (f64, f64),
+    pub(crate) counts_at_last_report: ReportCounts,
     expected_share: f64,
 }
 
@@ -56,8 +58,9 @@
     }
 
     pub(crate) fn update(&mut self, path: &ZoneHostStats) {
-        let (stays, loss) = Director::usage_and_loss(path);
-        (self.is_in_use, self.loss_ratio) = (stays && self.is_ready, loss);
+        let usage = Director::host_usage(path);
+        self.is_in_use = usage.is_in_use && self.is_ready;
+        self.loss_ratio = usage.loss_ratio;
         self.has_failures = path.health != HealthState::Healthy
             || path.consecutive_failures > 0.0
             || path.consecutive_useless > 0.0;
@@ -70,13 +73,14 @@
     }
 
     pub(crate) fn update_expected_share(&mut self, path: &ZoneHostStats) {
-        (self.missed_attempts, self.last_heard, self.expected_share) =
-            (path.missed_attempts, path.last_heard, path.expected_share);
+        self.missed_attempts = path.missed_attempts;
+        self.counts_at_last_report = path.counts_at_last_report;
+        self.expected_share = path.expected_share;
     }
 
     /// Tries that should have come since the host was last heard of, by the zone's count of all tries.
     pub(crate) fn missed_attempts_by(&self, tries: f64) -> f64 {
-        missed_attempts(self.missed_attempts, self.last_heard.0, self.expected_share, tries)
+        missed_attempts(self.missed_attempts, self.counts_at_last_report.attempts, self.expected_share, tries)
     }
 
     /// Whether a verdict may concern the host: for what it lost, or since so many tries are missed.
@@ -172,10 +176,10 @@
     }
 
     /// Scores of the hosts that are ready, not out and have one, with their listed weights.
-    pub(crate) fn scored_hosts(&self) -> Vec<(f64, f64)> {
+    pub(crate) fn scored_hosts(&self) -> Vec<ScoredHost> {
         let taken = self.health.iter().zip(&self.stats);
         let taken = taken.filter(|(row, path)| row.is_ready && path.health == HealthState::Healthy);
-        taken.filter_map(|(row, path)| Some((path.score?, row.weight))).collect()
+        taken.filter_map(|(row, path)| Some(ScoredHost { score: path.score?, weight: row.weight })).collect()
     }
 
     fn reindex(&mut self, renumbering: &Reindexing, spare: &mut HostRows) {
--- a/crates/wingfold-director/src/inspect.rs
+++ b/crates/wingfold-director/src/inspect.rs
@@ -189,8 +189,8 @@
                 None | Some((HealthState::Healthy, 0)) => &mut tally.leading,
                 Some((HealthState::Healthy, 1)) => &mut tally.halved,
                 Some((HealthState::Healthy, _)) => &mut tally.quartered,
-                Some((HealthState::Ejected(_), _)) => &mut tally.out,
-                Some((HealthState::Probation(_), _)) => &mut tally.trial,
+                Some((HealthState::Ejected { .. }, _)) => &mut tally.out,
+                Some((HealthState::Probation { .. }, _)) => &mut tally.trial,
             };
             *count += 1;
         }
@@ -218,7 +218,7 @@
                     return false;
                 }
                 lost += usize::from(
-                    matches!(path.health, HealthState::Ejected(_)) || path.consecutive_failures >= 1.0,
+                    matches!(path.health, HealthState::Ejected { .. }) || path.consecutive_failures >= 1.0,
                 );
             }
         }
@@ -241,8 +241,8 @@
         let path = owner.host_stats.get(host).cloned().unwrap_or_default();
         let standing = match path.health {
             _ if !known.is_ready() => Standing::Leaving,
-            HealthState::Ejected(until) => Standing::Out(until),
-            HealthState::Probation(until) => Standing::Trial(until),
+            HealthState::Ejected { until } => Standing::Out(until),
+            HealthState::Probation { until } => Standing::Trial(until),
             HealthState::Healthy if path.weight_halvings > 0 => Standing::Halved(path.weight_halvings),
             HealthState::Healthy => Standing::Leading,
         };
@@ -264,8 +264,8 @@
             confirmed: path.confirming_rounds,
             lost_in_row: path.consecutive_failures,
             useless_in_row: known.consecutive_useless,
-            missed: path.missed_attempts_by(owner.attempts_seen.0),
-            busy: known.utilization,
+            missed: path.missed_attempts_by(owner.attempts_seen.attempts),
+            busy: known.utilization.map(Into::into),
             started: known.endpoint.started_at,
             warmth: self.slow_start_factor(known),
             cold: self.age_in_warm_ups(known) < 1.0,
--- a/crates/wingfold-director/src/policy/admission.rs
+++ b/crates/wingfold-director/src/policy/admission.rs
@@ -1,110 +1,194 @@
 //! Admission: how much of the work is admitted, and the quota of each class.
 use crate::director::Director;
-use crate::interface::{AdmissionMode, ClassId, Notice, Timestamp, ZoneId};
-use crate::policy::ranking::MIN_SCORING_INTERVAL_S;
-use crate::rate_limit::even_cap;
-use crate::state::{ByZone, HealthState, Proxy, Zone};
+use crate::interface::{AdmissionMode, ClassId, Notice, ZoneId};
+use crate::rate_limit::equal_rate_limit;
+use crate::state::{AdmissionSample, ByZone, HealthState, Zone};
 
 /// Interval of updates, in seconds.
 pub(crate) const ADMISSION_INTERVAL_S: f64 = 1.0;
 /// Utilization that admission aims at.
 const TARGET_UTILIZATION: f64 = 0.65;
-/// Utilization from which hosts count as full.
+/// Utilization from which hosts count as saturated.
 pub(crate) const SATURATED_UTILIZATION: f64 = 0.92;
 /// Wait of an answer at the target utilization, as a ratio of the tightest latency objective.
 const TARGET_WAIT_RATIO: f64 = 0.2;
+/// Median loss that counts as hidden load at most, as a ratio.
+const MAX_HIDDEN_LOAD_RATIO: f64 = 0.5;
 /// Ratio of the requests of a class that is always admitted.
 const MIN_CLASS_QUOTA: f64 = 0.05;
 /// Ratio of all work that is always admitted: queues that still drain must not read as ever more load.
 const MIN_ADMISSION_RATIO: f64 = 0.3;
-/// Level that admits everything where levels are rates.
+/// Ratio of the work from which all of it is admitted.
+const FULL_ADMISSION_RATIO: f64 = 0.9;
+/// Steps of admission ratios and levels: each change of one is a change of every table.
+const ADMISSION_STEPS: f64 = 20.0;
+/// Level that admits everything where levels are rates, in requests per second.
 const UNLIMITED_REQUESTS_PER_S: f64 = 1e6;
+/// Least divisor of ratios of loads and capacities.
+const MIN_DIVISOR: f64 = 1e-9;
+
+/// Capacity of the hosts in use, in units of listed weight.
+struct FleetCapacity {
+    /// All hosts that are ready and healthy in some zone, as far as they are warm.
+    total: f64,
+    /// Those of them that reported their utilization lately.
+    reported: f64,
+    /// The busy part of those that reported.
+    busy: f64,
+}
+
+impl FleetCapacity {
+    /// Mean utilization of the hosts that reported it.
+    fn utilization(&self) -> f64 {
+        self.busy / f64::max(self.reported, MIN_DIVISOR)
+    }
+}
 
 impl Director {
-    /// Lets less in while the hosts cannot do it all. Demand is the busy share (or the wait that goes with
-    /// it) times the open capacity, over the share let in when it was measured.
+    /// Admits as much work as keeps the hosts at the target utilization.
     pub(crate) fn update_admission(&mut self, zones: &ByZone<Zone>) {
-        let (loss, mut capacity, mut seen, mut used) = (self.median_loss, 0.0, 0.0, 0.0);
-        let taken =
+        let capacity = self.fleet_capacity(zones);
+        let Some(latency_ms) = self.median_latency_ms.filter(|_| capacity.total > 0.0) else { return };
+        let reported_utilization = capacity.utilization();
+        let wait_ratio = self.update_wait_ratio(latency_ms);
+        self.utilization = reported_utilization.max(TARGET_UTILIZATION + wait_ratio - TARGET_WAIT_RATIO);
+        self.expire_admission_history();
+        self.update_offered_load(capacity.total);
+        let admission_ratio = self.target_admission_ratio(capacity.total);
+        if admission_ratio != self.admission_ratio {
+            self.notices.push(Notice::AdmissionChanged {
+                admission_ratio,
+                loss: self.median_loss,
+                utilization: reported_utilization,
+                latency_ms,
+            });
+        }
+        self.admission_ratio = admission_ratio;
+        let saturating_load = capacity.total / admission_ratio;
+        self.admission_history.push_back(AdmissionSample { updated_at: self.now, saturating_load });
+    }
+
+    /// Capacity of the hosts in use.
+    fn fleet_capacity(&self, zones: &ByZone<Zone>) -> FleetCapacity {
+        let is_in_use =
             self.hosts_where_any_zone(zones, |row| row.is_known && row.health == HealthState::Healthy);
-        for (host, _) in self.hosts.values().zip(taken).filter(|(host, taken)| host.is_ready() && *taken) {
-            let open = host.weight * self.slow_start_factor(host);
-            capacity += open;
-            // A host that gets nothing reports nothing: its last word must not hold a level down.
-            let fresh = |at: Timestamp| {
-                self.now.since(at) <= 2.0 * MIN_SCORING_INTERVAL_S.max(self.settings.report_period.secs())
-            };
-            if let Some((busy, _)) = host.utilization.filter(|b| fresh(b.1)) {
-                (seen, used) = (seen + open, used + open * busy);
+        let mut capacity = FleetCapacity { total: 0.0, reported: 0.0, busy: 0.0 };
+        for (host, is_in_use) in self.hosts.values().zip(is_in_use) {
+            if !host.is_ready() || !is_in_use {
+                continue;
+            }
+            let host_capacity = host.weight * self.slow_start_factor(host);
+            capacity.total += host_capacity;
+            if let Some(utilization) = self.recent_utilization(host) {
+                capacity.reported += host_capacity;
+                capacity.busy += host_capacity * utilization;
             }
         }
-        let Some(latency) = self.median_latency_ms.filter(|_| capacity > 0.0) else { return };
-        let unloaded = *self
-            .unloaded_latency_ms
-            .insert(self.unloaded_latency_ms.map_or(latency, |known| known.min(latency)));
-        let (busy, wait) =
-            (used / f64::max(seen, 1e-9), (latency - unloaded) / self.tightest_latency_objective_ms());
-        let load = busy.max(TARGET_UTILIZATION + wait - TARGET_WAIT_RATIO);
-        self.utilization = load;
-        let lag = self.settings.report_period.secs() + self.settings.mean_push_delay.secs() + 1.0;
-        while self.admission_history.len() > 1 && self.now.since(self.admission_history[1].0) >= lag {
-            self.admission_history.pop_front();
+        capacity
+    }
+
+    /// Updates the latency without load, and returns the wait of an answer as a ratio of the tightest latency
+    /// objective.
+    fn update_wait_ratio(&mut self, latency_ms: f64) -> f64 {
+        let unloaded_ms = self.unloaded_latency_ms.map_or(latency_ms, |known| known.min(latency_ms));
+        self.unloaded_latency_ms = Some(unloaded_ms);
+        (latency_ms - unloaded_ms) / self.tightest_latency_objective_ms()
+    }
+
+    /// Drops the admission updates that are too old to have caused the present utilization, except the last
+    /// of them, which is the one that did.
+    fn expire_admission_history(&mut self) {
+        let lag_s =
+            self.settings.report_period.secs() + self.settings.mean_push_delay.secs() + ADMISSION_INTERVAL_S;
+        let history = &mut self.admission_history;
+        while history.len() > 1 && self.now.since(history[1].updated_at) >= lag_s {
+            history.pop_front();
         }
-        // Both as they were when the load was met: hosts that drain meanwhile took their part of it.
-        let was = self.admission_history.front().map_or(capacity, |l| l.1);
-        // Saturated cores don't tell how much more was asked of them; losses do.
-        let hidden = if load >= SATURATED_UTILIZATION { 1.0 + loss.min(0.5) } else { 1.0 };
-        // A rise counts at once, a fall by half: a jam forms faster than it ends.
-        let demand = load * hidden * was;
-        self.offered_load = demand.max((self.offered_load + demand) / 2.0);
-        let share = TARGET_UTILIZATION * capacity / self.offered_load.max(1e-9);
-        let share = if share >= 0.9 { 1.0 } else { ((share * 20.0).round() / 20.0).max(MIN_ADMISSION_RATIO) };
-        if share != self.admission_ratio {
-            self.notices.push(Notice::AdmissionChanged {
-                admission_ratio: share,
-                loss,
-                utilization: busy,
-                latency_ms: latency,
-            });
+    }
+
+    /// Estimates the offered load from the utilization, and from the capacity and the admission ratio that
+    /// were in force when the utilization was measured.
+    fn update_offered_load(&mut self, capacity: f64) {
+        let saturating_load =
+            self.admission_history.front().map_or(capacity, |sample| sample.saturating_load);
+        let hidden_load_factor = if self.utilization >= SATURATED_UTILIZATION {
+            // Utilization no longer shows how much more is offered, losses do.
+            1.0 + self.median_loss.min(MAX_HIDDEN_LOAD_RATIO)
+        } else {
+            1.0
+        };
+        let offered_load = self.utilization * hidden_load_factor * saturating_load;
+        // A rise counts at once and a fall by half: queues grow faster than they drain.
+        self.offered_load = offered_load.max((self.offered_load + offered_load) / 2.0);
+    }
+
+    /// The ratio of the offered load that keeps the hosts at the target utilization.
+    fn target_admission_ratio(&self, capacity: f64) -> f64 {
+        let ratio = TARGET_UTILIZATION * capacity / self.offered_load.max(MIN_DIVISOR);
+        if ratio >= FULL_ADMISSION_RATIO {
+            1.0
+        } else {
+            round_to_admission_step(ratio).max(MIN_ADMISSION_RATIO)
         }
-        self.admission_ratio = share;
-        self.admission_history.push_back((self.now, capacity / share));
     }
 
-    /// The share of a class that is let in. What is worth least for its work, by its aim, goes first.
+    /// The ratio of a class that is admitted. Classes with the least priority weight for their load are the
+    /// first to be rejected.
     pub(crate) fn admitted_quota(&self, class: usize) -> f64 {
         if self.admission_ratio >= 1.0 {
             return 1.0;
         }
-        let worth = |at: usize| {
-            self.settings.classes[at].priority_weight / self.settings.classes[at].latency_objective.secs()
-        };
-        let rates = |at: usize| self.proxies.values().filter_map(move |p| p.usage.get(&ClassId(at)));
-        let work = |at: usize| rates(at).sum::<f64>() * self.settings.classes[at].latency_objective.secs();
-        let all = 0..self.settings.classes.len();
-        let total: f64 = all.clone().map(work).sum();
-        let before: f64 = all.filter(|at| worth(*at) > worth(class)).map(work).sum();
-        let total = if total <= 0.0 { f64::INFINITY } else { total };
-        ((self.admission_ratio * total - before) / work(class).max(1e-9)).clamp(MIN_CLASS_QUOTA, 1.0)
+        let classes = 0..self.settings.classes.len();
+        let total_load: f64 = classes.clone().map(|other| self.class_load(other)).sum();
+        let prior_load: f64 = classes
+            .filter(|other| self.priority_per_load(*other) > self.priority_per_load(class))
+            .map(|other| self.class_load(other))
+            .sum();
+        // Without usage there is nothing to limit.
+        let total_load = if total_load <= 0.0 { f64::INFINITY } else { total_load };
+        let quota =
+            (self.admission_ratio * total_load - prior_load) / self.class_load(class).max(MIN_DIVISOR);
+        quota.clamp(MIN_CLASS_QUOTA, 1.0)
+    }
+
+    /// Load of a class: its requests per second times its latency objective, which stands for the work of a
+    /// request since no report tells that.
+    fn class_load(&self, class: usize) -> f64 {
+        let rates = self.proxies.values().filter_map(|proxy| proxy.usage.get(&ClassId(class)));
+        rates.sum::<f64>() * self.settings.classes[class].latency_objective.secs()
     }
 
-    /// The level of a class in a zone's tables, by the share of it that is let in.
-    pub(crate) fn admission_level(&self, zone: &ZoneId, class: usize, share: f64) -> f64 {
+    /// Priority weight of a class for the load of a request.
+    fn priority_per_load(&self, class: usize) -> f64 {
+        let class = &self.settings.classes[class];
+        class.priority_weight / class.latency_objective.secs()
+    }
+
+    /// The admission level of a class in a zone's tables that admits `quota` of it.
+    pub(crate) fn admission_level(&self, zone: &ZoneId, class: usize, quota: f64) -> f64 {
         match self.settings.admission_mode {
-            AdmissionMode::Share => (share * 20.0).round() / 20.0,
-            AdmissionMode::Rate if share < 1.0 => {
-                self.rate_limit(zone, ClassId(class), share).unwrap_or(UNLIMITED_REQUESTS_PER_S)
+            AdmissionMode::Share => round_to_admission_step(quota),
+            AdmissionMode::Rate if quota < 1.0 => {
+                self.rate_limit(zone, ClassId(class), quota).unwrap_or(UNLIMITED_REQUESTS_PER_S)
             }
             AdmissionMode::Rate => UNLIMITED_REQUESTS_PER_S,
             AdmissionMode::Ignored => 1.0,
         }
     }
 
-    /// The rate at each proxy of the zone that lets `share` of the class in; no limit where none is known.
-    fn rate_limit(&self, zone: &ZoneId, class: ClassId, share: f64) -> Option<f64> {
-        let usage = |(_, p): (_, &Proxy)| p.usage.get(&class).copied().unwrap_or(0.0);
-        let rates: Vec<f64> = self.proxies_in_zone(zone).map(usage).collect();
-        let all = share * rates.iter().sum::<f64>();
-        (all > 0.0).then(|| even_cap(&rates, all))
+    /// Requests per second that each proxy of a zone may admit, so that all together admit `quota` of a
+    /// class; `None` if they have no usage.
+    fn rate_limit(&self, zone: &ZoneId, class: ClassId, quota: f64) -> Option<f64> {
+        let rates: Vec<f64> = self
+            .proxies_in_zone(zone)
+            .map(|(_, proxy)| proxy.usage.get(&class).copied().unwrap_or(0.0))
+            .collect();
+        let admitted = quota * rates.iter().sum::<f64>();
+        (admitted > 0.0).then(|| equal_rate_limit(&rates, admitted))
     }
 }
+
+/// Rounds a ratio to the nearest admission step.
+fn round_to_admission_step(ratio: f64) -> f64 {
+    (ratio * ADMISSION_STEPS).round() / ADMISSION_STEPS
+}
--- a/crates/wingfold-director/src/policy/capacity.rs
+++ b/crates/wingfold-director/src/policy/capacity.rs
@@ -1,72 +1,102 @@
-//! Relative speed of machine types, by how busy they are at equal parts of the work.
+//! Relative speed of machine types, by their utilization at equal load per listed weight.
 use crate::director::Director;
 use crate::interface::Notice;
 use crate::policy::admission::SATURATED_UTILIZATION;
-use crate::policy::ranking::{
-    MIN_FRESH_ATTEMPTS, MIN_SCORING_INTERVAL_S, RANKING_COOLDOWN_S, SCORE_MARGIN_RATIO,
-};
-use crate::state::{ByZone, Zone};
+use crate::policy::ranking::{RANKING_COOLDOWN_S, SCORE_MARGIN_RATIO};
+use crate::state::{ByZone, Host, Zone};
 use crate::statistics::median;
 use std::collections::BTreeMap;
 
-/// Utilization below which a host tells more of health checks and of chance than of its work.
+/// Utilization below which a host tells more of health checks and of chance than of its load.
 const MIN_MEANINGFUL_UTILIZATION: f64 = 0.25;
+/// Hosts of a machine type that must have reported their utilization.
+const MIN_HOSTS_OF_TYPE: usize = 6;
+
+/// The speed of a machine type, as its utilization shows it.
+struct SpeedEstimate {
+    /// The machine type.
+    machine_type: String,
+    /// The relative speed that listed weights have been corrected by, if any.
+    known: Option<f64>,
+    /// Speed per listed weight; only its ratio to that of other types has a meaning.
+    speed: f64,
+}
 
 impl Director {
-    /// Listed sizes may leave out how fast a kind of machine is: busy shares at equal parts of the work tell.
-    /// By median: one host's speed is the ranking's affair. Harm: a trouble that strikes half of a kind.
+    /// Corrects listed weights by the relative speed of machine types, which the endpoint list may leave out:
+    /// a faster type has a lower utilization at the same load per listed weight. Medians are compared, since
+    /// the speed of a single host is left to the ranking.
     pub(crate) fn estimate_capacity(&mut self, zones: &ByZone<Zone>) {
-        let mut kinds = self.utilization_by_machine_type(
-            zones,
-            2.0 * MIN_SCORING_INTERVAL_S.max(self.settings.report_period.secs()),
-        );
-        let cooled = self.speeds_updated_at.is_none_or(|at| self.now.since(at) >= RANKING_COOLDOWN_S);
-        kinds.retain(|_, busy| {
-            cooled && self.utilization < SATURATED_UTILIZATION && busy.len() as f64 >= MIN_FRESH_ATTEMPTS
-        });
-        let speed = |(kind, busy): (String, Vec<f64>)| {
-            let known = self.relative_speeds.get(&kind).copied();
-            let busy = median(busy.into_iter()).filter(|busy| *busy >= MIN_MEANINGFUL_UTILIZATION)?;
-            Some((kind, known, known.unwrap_or(1.0) / busy))
-        };
-        let speeds: Vec<(String, Option<f64>, f64)> = kinds.into_iter().filter_map(speed).collect();
-        let best = speeds.iter().map(|speed| speed.2).fold(0.0, f64::max);
-        for (kind, known, speed) in speeds {
-            // Smoothed: busy shares are those of some seconds ago, and of what all directors send.
-            let (was, speed) = (known.unwrap_or(1.0), speed / best);
-            let now = known.map_or(speed, |known| (known + speed) / 2.0);
-            if (speed / was - 1.0).abs() >= SCORE_MARGIN_RATIO {
-                self.notices
-                    .push(Notice::RelativeSpeedChanged { machine_type: kind.clone(), relative_speed: now });
-                let same = self.hosts.values_mut().filter(|host| host.endpoint.machine_type == kind);
-                same.for_each(|host| host.weight *= now / was);
-                (self.speeds_updated_at, _) = (Some(self.now), self.relative_speeds.insert(kind, now));
-                self.memo.weights_changed();
+        self.update_reduced_hosts(zones);
+        let has_cooled_down =
+            self.speeds_updated_at.is_none_or(|at| self.now.since(at) >= RANKING_COOLDOWN_S);
+        // Saturated hosts are all alike.
+        let is_measurable = has_cooled_down && self.utilization < SATURATED_UTILIZATION;
+        if !is_measurable {
+            return;
+        }
+        let estimates = self.speed_estimates();
+        let fastest = estimates.iter().map(|estimate| estimate.speed).fold(0.0, f64::max);
+        for estimate in estimates {
+            self.apply_speed_estimate(estimate, fastest);
+        }
+    }
+
+    /// The speed of each machine type that enough hosts have reported for.
+    fn speed_estimates(&self) -> Vec<SpeedEstimate> {
+        let estimate = |(machine_type, utilizations): (&str, Vec<f64>)| {
+            if utilizations.len() < MIN_HOSTS_OF_TYPE {
+                return None;
             }
+            let known = self.relative_speeds.get(machine_type).copied();
+            let utilization = median(utilizations.into_iter())
+                .filter(|utilization| *utilization >= MIN_MEANINGFUL_UTILIZATION)?;
+            let speed = known.unwrap_or(1.0) / utilization;
+            Some(SpeedEstimate { machine_type: machine_type.to_owned(), known, speed })
+        };
+        self.utilization_by_machine_type().into_iter().filter_map(estimate).collect()
+    }
+
+    /// Corrects the weights of a machine type's hosts, if its speed differs substantially from the known one.
+    fn apply_speed_estimate(&mut self, estimate: SpeedEstimate, fastest: f64) {
+        let previous = estimate.known.unwrap_or(1.0);
+        let measured = estimate.speed / fastest;
+        let differs = (measured / previous - 1.0).abs() >= SCORE_MARGIN_RATIO;
+        if !differs {
+            return;
         }
+        // Smoothed, since utilization lags behind and depends on what other directors send.
+        let relative_speed = estimate.known.map_or(measured, |known| (known + measured) / 2.0);
+        let machine_type = estimate.machine_type;
+        self.notices
+            .push(Notice::RelativeSpeedChanged { machine_type: machine_type.clone(), relative_speed });
+        for host in self.hosts.values_mut().filter(|host| host.endpoint.machine_type == machine_type) {
+            host.weight *= relative_speed / previous;
+        }
+        self.relative_speeds.insert(machine_type, relative_speed);
+        self.speeds_updated_at = Some(self.now);
+        self.memo.weights_changed();
     }
 
-    /// Busy shares by kind of machine: those of its warm hosts that told them lately and that every zone
-    /// here uses by their full size.
-    fn utilization_by_machine_type(
-        &mut self,
-        zones: &ByZone<Zone>,
-        lately: f64,
-    ) -> BTreeMap<String, Vec<f64>> {
-        self.update_reduced_hosts(zones);
-        let mut kinds: BTreeMap<String, Vec<f64>> = BTreeMap::new();
-        for (host, reduced) in
-            self.hosts.values().zip(self.reduced_hosts()).filter(|(host, _)| host.is_ready())
-        {
-            let told = host.utilization.filter(|(busy, at)| *busy > 0.0 && self.now.since(*at) <= lately);
-            let Some((busy, _)) = told.filter(|_| self.age_in_warm_ups(host) >= 1.0 && !reduced) else {
+    /// Utilization by machine type, of the hosts that it can be compared for.
+    fn utilization_by_machine_type(&self) -> BTreeMap<&str, Vec<f64>> {
+        let mut utilization_by_type: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
+        for (host, is_reduced) in self.hosts.values().zip(self.reduced_hosts()) {
+            if *is_reduced {
                 continue;
-            };
-            match kinds.get_mut(&host.endpoint.machine_type) {
-                Some(known) => known.push(busy),
-                None => drop(kinds.insert(host.endpoint.machine_type.clone(), vec![busy])),
             }
+            if let Some(utilization) = self.comparable_utilization(host) {
+                utilization_by_type.entry(&host.endpoint.machine_type).or_default().push(utilization);
+            }
+        }
+        utilization_by_type
+    }
+
+    /// A host's recent utilization, if the host is ready and warm.
+    fn comparable_utilization(&self, host: &Host) -> Option<f64> {
+        if !host.is_ready() || self.age_in_warm_ups(host) < 1.0 {
+            return None;
         }
-        kinds
+        self.recent_utilization(host).filter(|utilization| *utilization > 0.0)
     }
 }
--- a/crates/wingfold-director/src/policy/endpoint_list.rs
+++ b/crates/wingfold-director/src/policy/endpoint_list.rs
@@ -1,101 +1,158 @@
-//! Taking in the endpoint list, polling it with backoff, and evicting hosts that it removed long ago.
+//! Applying the endpoint list, polling it with backoff, and evicting hosts that it removed long ago.
 use crate::director::Director;
-use crate::interface::{Action, Endpoint, EndpointListKind, HostId, Notice, Readiness};
+use crate::interface::{Action, Endpoint, EndpointListKind, HostId, Notice, Readiness, Timestamp};
 use crate::policy::outlier_detection::{BASE_EJECTION_S, PROBATION_S};
 use crate::state::{ByZone, HealthState, Host, Zone, ZoneHostStats};
 use std::collections::BTreeSet;
 
 /// Seconds after which a removed host is evicted: a host that crashed has returned by then.
-pub(crate) const EVICT_REMOVED_AFTER_S: f64 = 60.0;
+const EVICT_REMOVED_AFTER_S: f64 = 60.0;
+/// Ratio by which a listed weight must differ from the one in use to replace it: each change is one of every
+/// table.
+const MIN_WEIGHT_CHANGE_RATIO: f64 = 0.25;
+/// Backoff in seconds that each failed poll doubles.
+const BASE_BACKOFF_S: f64 = 0.25;
+/// Doublings of the backoff at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 10;
+/// Lower bound of the longest backoff, in seconds, however short the polling interval.
+const MIN_LONGEST_BACKOFF_S: f64 = 1.0;
+/// Smallest factor that jitter changes a backoff by.
+const MIN_JITTER: f64 = 0.75;
+/// Difference between the largest and the smallest of these factors.
+const JITTER_RANGE: f64 = 0.5;
+/// Number of directors from which the longest backoff grows in proportion to it.
+const BACKOFF_GROWTH_DIRECTORS: f64 = 10.0;
+/// Factor by which the longest backoff grows at most with the number of directors.
+const MAX_BACKOFF_GROWTH: f64 = 4.0;
 
 impl Director {
-    pub(crate) fn apply_endpoint_list(&mut self, kind: EndpointListKind, entries: &[Endpoint]) {
-        let (advice, first) = (self.settings.removal_is_advisory, self.hosts.is_empty());
+    /// Applies an endpoint list, or changes of it.
+    pub(crate) fn apply_endpoint_list(&mut self, kind: EndpointListKind, endpoints: &[Endpoint]) {
+        let is_first_list = self.hosts.is_empty();
         self.endpoint_list_changed = true;
-        self.poll_failures = if kind == EndpointListKind::Cached { self.poll_failures } else { 0 };
-        // A wrong list must not empty the tables: where `gone` is advice, a host goes when its answers fail.
-        let now = self.now;
-        let gone = |host: &mut Host| match (advice && host.is_ready(), host.removed_at.get_or_insert(now)) {
-            (true, _) => host.removal_suspected = true,
-            (false, _) => host.endpoint.readiness = Readiness::Removed,
-        };
+        if kind != EndpointListKind::Cached {
+            self.poll_failures = 0;
+        }
         if kind != EndpointListKind::Changes {
-            let named: BTreeSet<&HostId> = entries.iter().map(|e| &e.host).collect();
-            self.hosts.iter_mut().filter(|(id, _)| !named.contains(id)).for_each(|(_, host)| gone(host));
+            self.remove_unlisted_hosts(endpoints);
         }
-        for entry in entries {
-            let speed = self.relative_speeds.get(&entry.machine_type).unwrap_or(&1.0);
-            let (id, listed) = (&entry.host, speed * if entry.weight > 0.0 { entry.weight } else { 1.0 });
-            if entry.readiness != Readiness::Ready {
-                self.notices.push(Notice::HostNotReady { host: id.clone(), readiness: entry.readiness });
+        for endpoint in endpoints {
+            if endpoint.readiness != Readiness::Ready {
+                let (host, readiness) = (endpoint.host.clone(), endpoint.readiness);
+                self.notices.push(Notice::HostNotReady { host, readiness });
             }
-            if entry.readiness == Readiness::Removed {
-                self.hosts.get_mut(id).into_iter().for_each(gone);
-                continue;
+            if endpoint.readiness == Readiness::Removed {
+                self.remove_host(&endpoint.host);
+            } else {
+                self.apply_endpoint(endpoint, is_first_list);
             }
-            let known = self.hosts.get(id);
-            let kept = known.map(|k| k.weight).filter(|k| (k / listed - 1.0).abs() < 0.25);
-            let same = known.map_or(first, |k| k.is_ready() && k.endpoint.started_at == entry.started_at);
-            let busy = known.and_then(|k| k.utilization);
-            let (entry, weight) = (entry.clone(), kept.unwrap_or(listed));
-            let host = Host {
-                endpoint: entry,
-                weight,
-                utilization: busy,
-                consecutive_useless: 0.0,
-                removal_suspected: false,
-                removed_at: None,
-            };
-            if host.is_ready() && !same {
-                // What was heard of the old process is void. Slow start keeps the new one reduced; a quarter
-                // on top would starve a rolling deploy. One that no list named before is on trial first: the
-                // list may name hosts that are none of ours, or are set up wrongly. Harm: less of a real one.
-                let state = if known.is_none() {
-                    HealthState::Probation(self.seconds_from_now(PROBATION_S))
-                } else {
-                    HealthState::Healthy
-                };
-                let path = ZoneHostStats {
-                    health: state,
-                    ejection_s: BASE_EJECTION_S,
-                    first_probation: true,
-                    ..ZoneHostStats::default()
-                };
-                let new = |z: &mut Zone| z.host_stats.insert(id.clone(), path.clone());
-                self.zones.values_mut().map(new).for_each(drop);
-                self.notices.push(Notice::HostStarted { host: id.clone() });
+        }
+    }
+
+    /// Marks the hosts as removed that a complete list doesn't name.
+    fn remove_unlisted_hosts(&mut self, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<&HostId> = endpoints.iter().map(|endpoint| &endpoint.host).collect();
+        let is_advisory = self.settings.removal_is_advisory;
+        for (id, host) in &mut self.hosts {
+            if !listed.contains(id) {
+                mark_removed(host, is_advisory, self.now);
             }
-            self.hosts.insert(id.clone(), host);
         }
     }
 
-    pub(crate) fn poll_endpoint_list(&mut self, out: &mut Vec<Action>) {
-        if !self.is_watching && self.now >= self.next_poll_at {
-            self.is_watching = true;
-            // Where changes are pushed, the remembered list may still be old: ask for it once.
-            out.push(if self.settings.endpoint_list_on_request {
-                Action::WatchEndpoints(true)
-            } else {
-                Action::FetchEndpoints
-            });
+    /// Marks a host as removed, if it is known.
+    fn remove_host(&mut self, id: &HostId) {
+        if let Some(host) = self.hosts.get_mut(id) {
+            mark_removed(host, self.settings.removal_is_advisory, self.now);
         }
     }
 
+    /// Adds or updates a host that the list names. On the first list every host counts as known before.
+    fn apply_endpoint(&mut self, endpoint: &Endpoint, is_first_list: bool) {
+        let listed_weight = self.listed_weight(endpoint);
+        let known = self.hosts.get(&endpoint.host);
+        let is_same_process = known.map_or(is_first_list, |known| {
+            known.is_ready() && known.endpoint.started_at == endpoint.started_at
+        });
+        let is_new = known.is_none();
+        let host = Host {
+            endpoint: endpoint.clone(),
+            weight: known.map_or(listed_weight, |known| weight_to_use(known.weight, listed_weight)),
+            utilization: known.and_then(|known| known.utilization),
+            consecutive_useless: 0.0,
+            removal_suspected: false,
+            removed_at: None,
+        };
+        if host.is_ready() && !is_same_process {
+            self.reset_started_host(&endpoint.host, is_new);
+        }
+        self.hosts.insert(endpoint.host.clone(), host);
+    }
+
+    /// The weight that the list gives a host, corrected by the relative speed of its machine type. A weight
+    /// that is none counts as 1.
+    fn listed_weight(&self, endpoint: &Endpoint) -> f64 {
+        let relative_speed = self.relative_speeds.get(&endpoint.machine_type).unwrap_or(&1.0);
+        let weight = if endpoint.weight > 0.0 { endpoint.weight } else { 1.0 };
+        relative_speed * weight
+    }
+
+    /// Discards what all zones know of a host that has just started.
+    fn reset_started_host(&mut self, id: &HostId, is_new: bool) {
+        let health = if is_new {
+            // A list may name hosts that aren't ours or are misconfigured: no list named this one before.
+            HealthState::Probation { until: self.seconds_from_now(PROBATION_S) }
+        } else {
+            // Slow start limits it already; the weight of a probation on top would starve a rolling restart.
+            HealthState::Healthy
+        };
+        let stats = ZoneHostStats {
+            health,
+            ejection_s: BASE_EJECTION_S,
+            first_probation: true,
+            ..ZoneHostStats::default()
+        };
+        for zone in self.zones.values_mut() {
+            zone.host_stats.insert(id.clone(), stats.clone());
+        }
+        self.notices.push(Notice::HostStarted { host: id.clone() });
+    }
+
+    /// Polls the endpoint list, or starts to watch it, unless that is done already or a backoff runs.
+    pub(crate) fn poll_endpoint_list(&mut self, actions: &mut Vec<Action>) {
+        if self.is_watching || self.now < self.next_poll_at {
+            return;
+        }
+        self.is_watching = true;
+        let poll = if self.settings.endpoint_list_on_request {
+            Action::WatchEndpoints(true)
+        } else {
+            // Changes are pushed, but the cached list may be old.
+            Action::FetchEndpoints
+        };
+        actions.push(poll);
+    }
+
     /// Schedules the next poll after one that failed, with exponential backoff and jitter.
     pub(crate) fn back_off_endpoint_list(&mut self) {
         self.poll_failures += 1;
-        let jitter = 0.75 + 0.5 * self.next_random();
-        // After a failed call the rules allow four times as long: many directors must not swamp a list that
-        // comes back.
-        let crowding = (f64::from(self.settings.directors) / 10.0).clamp(1.0, 4.0);
-        let longest = (crowding * self.settings.poll_within.secs() / 2.0).max(1.0);
-        let backoff = 0.25 * 2f64.powi(self.poll_failures.min(10) as i32);
-        let retry_in_s = jitter * backoff.min(longest);
+        let jitter = MIN_JITTER + JITTER_RANGE * self.next_random();
+        let doublings = self.poll_failures.min(MAX_BACKOFF_DOUBLINGS) as i32;
+        let backoff_s = BASE_BACKOFF_S * 2f64.powi(doublings);
+        let retry_in_s = jitter * backoff_s.min(self.longest_backoff_s());
         self.is_watching = false;
         self.next_poll_at = self.seconds_from_now(retry_in_s);
         self.notices.push(Notice::EndpointListFailed { retry_in_s });
     }
 
+    /// The longest backoff in seconds: it grows with the number of directors, which must not overload a list
+    /// that has just come back.
+    fn longest_backoff_s(&self) -> f64 {
+        let growth =
+            (f64::from(self.settings.directors) / BACKOFF_GROWTH_DIRECTORS).clamp(1.0, MAX_BACKOFF_GROWTH);
+        (growth * self.settings.poll_within.secs() / 2.0).max(MIN_LONGEST_BACKOFF_S)
+    }
+
     /// Polls at once, since discovery has another address.
     pub(crate) fn follow_discovery(&mut self) {
         self.is_watching = false;
@@ -103,21 +160,49 @@
         self.endpoint_list_changed = true;
     }
 
-    /// Lets go of all that is kept of hosts that have been gone for so long and that no table holds.
-    pub(crate) fn evict_removed_hosts(&mut self, zones: &mut ByZone<Zone>, secs: f64, out: &mut Vec<Action>) {
-        let tables = || zones.values().flat_map(|zone| &zone.subsets).flat_map(|slot| &slot.tables);
-        let held = |id: &HostId| tables().any(|table| table.entries.contains_key(id));
-        let old = |host: &Host| host.removed_at.is_some_and(|at| self.now.since(at) >= secs);
-        let gone = self.hosts.iter().filter(|(id, host)| old(host) && !held(id));
-        let gone: Vec<HostId> = gone.map(|(id, _)| id.clone()).collect();
-        self.memo.hosts_removed(gone.len());
-        for id in gone {
+    /// Evicts hosts that were removed from the endpoint list long ago and that no table references.
+    pub(crate) fn evict_removed_hosts(&mut self, zones: &mut ByZone<Zone>, actions: &mut Vec<Action>) {
+        let evicted = self.evictable_hosts(zones);
+        self.memo.hosts_removed(evicted.len());
+        for id in evicted {
             self.hosts.remove(&id);
             for zone in zones.values_mut() {
                 zone.host_stats.remove(&id);
             }
-            out.push(Action::EvictHost(id));
+            actions.push(Action::EvictHost(id));
         }
         self.update_host_rows(zones);
     }
+
+    /// The hosts that are due for eviction.
+    fn evictable_hosts(&self, zones: &ByZone<Zone>) -> Vec<HostId> {
+        let is_old =
+            |host: &Host| host.removed_at.is_some_and(|at| self.now.since(at) >= EVICT_REMOVED_AFTER_S);
+        let is_referenced = |id: &HostId| {
+            let mut tables = zones.values().flat_map(|zone| &zone.subsets).flat_map(|subset| &subset.tables);
+            tables.any(|table| table.entries.contains_key(id))
+        };
+        let evictable = self.hosts.iter().filter(|(id, host)| is_old(host) && !is_referenced(id));
+        evictable.map(|(id, _)| id.clone()).collect()
+    }
+}
+
+/// Marks a host that the list calls removed, or doesn't name. Where removal is advisory, a ready host stays
+/// in use until its own answers fail: a wrong list must not empty the tables.
+fn mark_removed(host: &mut Host, is_advisory: bool, now: Timestamp) {
+    host.removed_at.get_or_insert(now);
+    if is_advisory && host.is_ready() {
+        host.removal_suspected = true;
+    } else {
+        host.endpoint.readiness = Readiness::Removed;
+    }
+}
+
+/// The known weight, unless the listed one differs substantially.
+fn weight_to_use(known: f64, listed: f64) -> f64 {
+    if (known / listed - 1.0).abs() < MIN_WEIGHT_CHANGE_RATIO {
+        known
+    } else {
+        listed
+    }
 }
--- a/crates/wingfold-director/src/policy/load_reports.rs
+++ b/crates/wingfold-director/src/policy/load_reports.rs
@@ -1,80 +1,135 @@
-//! Evidence from load reports: attempts and utilization of hosts, requests of proxies.
+//! Evidence from load reports: attempts at hosts, their utilization, and the usage of proxies.
 use crate::director::Director;
-use crate::interface::{AttemptCounts, ClassId, HostId, HostLoad, Micros, ProxyId, ZoneId};
-use crate::policy::ranking::MIN_FRESH_ATTEMPTS;
-use crate::state::AttemptStats;
+use crate::interface::{AttemptCounts, ClassId, HostId, HostLoad, Micros, ProxyId, Timestamp, ZoneId};
+use crate::policy::outlier_detection::is_useless_to_all_zones;
+use crate::state::{AttemptStats, Host, ReportCounts, ReportedUtilization, ZoneHostStats};
 
 /// Half-life of the attempts that outlier detection counts, in seconds: it must span a scoring round.
 const EVIDENCE_HALF_LIFE_S: f64 = 2.0;
-/// Attempts that a host should have had and that were not reported, from which it counts as silent.
+/// Expected attempts without a report from which a host or a proxy counts as silent.
 pub(crate) const SILENT_ATTEMPTS: f64 = 7.0;
-/// Reports that the other hosts must have had meanwhile: a report may wait its turn.
+/// Reports that the others must have sent meanwhile: a single report may be delayed.
 pub(crate) const SILENT_REPORT_ROUNDS: f64 = 3.0;
+/// Scoring intervals for which a reported utilization stands: a host without requests reports none.
+const MAX_UTILIZATION_AGE_INTERVALS: f64 = 2.0;
+/// Ratio of the longest latency objective that the median latency must stay under for an answer beyond that
+/// objective to count as useless.
+const MAX_MEDIAN_LATENCY_RATIO: f64 = 0.5;
+/// Weight of the latest value in the exponential smoothing of usage.
+const USAGE_SMOOTHING_FACTOR: f64 = 0.5;
+/// Shortest period of a usage report that a rate is computed from, in seconds.
+const MIN_USAGE_PERIOD_S: f64 = 0.1;
 
 impl Director {
+    /// Records what the proxies of a zone met at a host.
     pub(crate) fn record_load_report(
         &mut self,
         zone: &ZoneId,
         host: &HostId,
-        sums: AttemptCounts,
-        mean: Micros,
+        counts: AttemptCounts,
+        mean_latency: Micros,
     ) {
-        let (tries, lost) = (sums.total as f64, sums.failed.min(sums.total) as f64);
-        // An answer past every aim earns no more than a loss, where the usual one is well inside.
-        let aim = self.longest_latency_objective_ms();
+        let report = report_stats(counts, mean_latency);
+        let is_useless = self.is_too_late(mean_latency) || report.failures == report.attempts;
         let Some(zone) = self.zones.get_mut(zone) else { return };
-        let late = mean.0 as f64 / 1e3 > aim && self.median_latency_ms.is_some_and(|usual| usual < aim / 2.0);
-        let Some(known) = self.hosts.get_mut(host).filter(|_| sums.total > 0) else { return };
-        let path = zone.host_stats.entry(host.clone()).or_default();
-        path.fresh.add(AttemptStats {
-            attempts: tries,
-            failures: lost,
-            latency_sum_ms: (tries - lost) * mean.0 as f64 / 1e3,
-        });
-        zone.attempts_seen =
-            (zone.attempts_seen.0 + tries, zone.attempts_seen.1 + 1.0 / zone.hosts_in_tables.max(1.0));
-        (path.last_heard, path.missed_attempts) = (zone.attempts_seen, 0.0);
-        let fade = 0.5f64.powf(self.now.since(path.decayed_at) / EVIDENCE_HALF_LIFE_S);
-        path.recent_successes = path.recent_successes * fade + tries - lost;
-        path.recent_failures = path.recent_failures * fade + lost;
-        path.consecutive_failures = if lost == tries { path.consecutive_failures + lost } else { 0.0 };
-        let useless = f64::from(u8::from(late || lost == tries));
-        let before = known.consecutive_useless;
-        (path.consecutive_useless, known.consecutive_useless) =
-            (useless * (path.consecutive_useless + tries), useless * (known.consecutive_useless + tries));
-        path.decayed_at = self.now;
-        self.memo.load_report_recorded(
-            &mut zone.memo,
-            host,
-            (before >= MIN_FRESH_ATTEMPTS) != (known.consecutive_useless >= MIN_FRESH_ATTEMPTS),
-        );
+        let Some(known_host) = self.hosts.get_mut(host).filter(|_| counts.total > 0) else { return };
+        zone.attempts_seen.attempts += report.attempts;
+        zone.attempts_seen.report_rounds += 1.0 / zone.hosts_in_tables.max(1.0);
+
+        let stats = zone.host_stats.entry(host.clone()).or_default();
+        stats.fresh.add(report);
+        restart_missed_attempts(stats, zone.attempts_seen);
+        record_recent_attempts(stats, &report, self.now);
+        stats.consecutive_useless = extend_useless_run(stats.consecutive_useless, &report, is_useless);
+
+        let was_useless_to_all = is_useless_to_all_zones(known_host);
+        known_host.consecutive_useless =
+            extend_useless_run(known_host.consecutive_useless, &report, is_useless);
+        let usefulness_changed = was_useless_to_all != is_useless_to_all_zones(known_host);
+        self.memo.load_report_recorded(&mut zone.memo, host, usefulness_changed);
+    }
+
+    /// Whether answers with this mean latency are worth no more than failures: no class can use them, though
+    /// most hosts answer well in time.
+    fn is_too_late(&self, mean_latency: Micros) -> bool {
+        let mean_latency_ms = mean_latency.0 as f64 / 1e3;
+        let longest_objective_ms = self.longest_latency_objective_ms();
+        mean_latency_ms > longest_objective_ms
+            && self
+                .median_latency_ms
+                .is_some_and(|median_ms| median_ms < longest_objective_ms * MAX_MEDIAN_LATENCY_RATIO)
     }
 
+    /// Records the utilization that a host reported, if it did.
     pub(crate) fn record_utilization(&mut self, host: &HostId, load: &HostLoad) {
-        if let (Some(host), Some(busy)) = (self.hosts.get_mut(host), load.utilization) {
-            host.utilization =
-                Some((host.utilization.map_or(busy, |(known, _)| (known + busy) / 2.0), self.now));
-        }
+        let Some(host) = self.hosts.get_mut(host) else { return };
+        let Some(reported) = load.utilization else { return };
+        let ratio = host.utilization.map_or(reported, |known| (known.ratio + reported) / 2.0);
+        host.utilization = Some(ReportedUtilization { ratio, reported_at: self.now });
+    }
+
+    /// A host's utilization as a ratio, if it was reported lately.
+    pub(crate) fn recent_utilization(&self, host: &Host) -> Option<f64> {
+        let max_age_s = MAX_UTILIZATION_AGE_INTERVALS * self.scoring_interval_s();
+        let recent = host.utilization.filter(|reported| self.now.since(reported.reported_at) <= max_age_s)?;
+        Some(recent.ratio)
     }
 
-    /// Takes in the requests of a class that came to a proxy.
+    /// Records the requests of a class that came to a proxy.
     pub(crate) fn record_usage(&mut self, proxy: ProxyId, class: ClassId, requests: AttemptCounts) {
         let Some(proxy) = self.proxies.get_mut(&proxy) else { return };
         proxy.last_report_at = self.now;
-        let rate = requests.total as f64 / requests.period.secs().max(0.1);
-        let usage = proxy.usage.entry(class).or_insert(rate);
-        *usage += 0.5 * (rate - *usage);
+        let requests_per_s = requests.total as f64 / requests.period.secs().max(MIN_USAGE_PERIOD_S);
+        let usage = proxy.usage.entry(class).or_insert(requests_per_s);
+        *usage += USAGE_SMOOTHING_FACTOR * (requests_per_s - *usage);
     }
 
-    /// Voids the usage of proxies that have told nothing while others did, for so many of their requests
-    /// and periods: they idle, or their streams are half open. What is late is late for all.
-    pub(crate) fn expire_idle_usage(&mut self, tries: f64, turns: f64) {
-        let last = self.proxies.values().map(|p| p.last_report_at).max().unwrap_or_default();
+    /// Drops the usage of proxies that have reported none while others did: they idle, or their streams are
+    /// half open. Silence is measured up to the latest report of any proxy, since a delay of all reports
+    /// says nothing of one proxy.
+    pub(crate) fn expire_idle_usage(&mut self) {
+        let latest_report_at =
+            self.proxies.values().map(|proxy| proxy.last_report_at).max().unwrap_or_default();
+        let min_silence_s = SILENT_REPORT_ROUNDS * self.settings.report_period.secs();
         for proxy in self.proxies.values_mut() {
-            let (rate, quiet) = (proxy.usage.values().sum::<f64>(), last.since(proxy.last_report_at));
-            if rate * quiet >= tries && quiet >= turns * self.settings.report_period.secs() {
+            let requests_per_s = proxy.usage.values().sum::<f64>();
+            let silence_s = latest_report_at.since(proxy.last_report_at);
+            if requests_per_s * silence_s >= SILENT_ATTEMPTS && silence_s >= min_silence_s {
                 proxy.usage.clear();
             }
         }
     }
 }
+
+/// The attempts of a load report.
+fn report_stats(counts: AttemptCounts, mean_latency: Micros) -> AttemptStats {
+    let attempts = counts.total as f64;
+    let failures = counts.failed.min(counts.total) as f64;
+    let latency_sum_ms = (attempts - failures) * mean_latency.0 as f64 / 1e3;
+    AttemptStats { attempts, failures, latency_sum_ms }
+}
+
+/// Starts to count missed attempts anew from a load report on.
+fn restart_missed_attempts(stats: &mut ZoneHostStats, attempts_seen: ReportCounts) {
+    stats.counts_at_last_report = attempts_seen;
+    stats.missed_attempts = 0.0;
+}
+
+/// Adds the attempts of a load report to the evidence of outlier detection.
+fn record_recent_attempts(stats: &mut ZoneHostStats, report: &AttemptStats, now: Timestamp) {
+    let decay = 0.5f64.powf(now.since(stats.decayed_at) / EVIDENCE_HALF_LIFE_S);
+    stats.recent_successes = stats.recent_successes * decay + report.attempts - report.failures;
+    stats.recent_failures = stats.recent_failures * decay + report.failures;
+    stats.decayed_at = now;
+    if report.failures == report.attempts {
+        stats.consecutive_failures += report.failures;
+    } else {
+        stats.consecutive_failures = 0.0;
+    }
+}
+
+/// The number of consecutive useless attempts after a load report. A factor resets it rather than a branch,
+/// so that a count that a damaged checkpoint made NaN stays one.
+fn extend_useless_run(consecutive_useless: f64, report: &AttemptStats, is_useless: bool) -> f64 {
+    f64::from(is_useless) * (consecutive_useless + report.attempts)
+}
--- a/crates/wingfold-director/src/policy/outlier_detection.rs
+++ b/crates/wingfold-director/src/policy/outlier_detection.rs
@@ -1,231 +1,331 @@
 //! Outlier detection: ejection, probation and the panic threshold.
 //!
-//! Hosts that fail, swallow or long delay requests are ejected zone by zone: a zone that is cut off must
-//! not eject a host for all.
+//! Hosts that fail requests, don't answer them or answer far too late are ejected zone by zone: a zone that
+//! is cut off must not eject a host for all.
 use crate::director::Director;
-use crate::incremental::{HealthRow, HostInZone, NEVER};
+use crate::incremental::{HealthRow, HostInZone, StatsRow, NEVER};
 use crate::interface::{AdmissionMode, HostId, Notice, Timestamp, ZoneId};
 use crate::policy::admission::SATURATED_UTILIZATION;
 use crate::policy::load_reports::{SILENT_ATTEMPTS, SILENT_REPORT_ROUNDS};
-use crate::policy::ranking::{MAX_WEIGHT_HALVINGS, MIN_FRESH_ATTEMPTS};
-use crate::state::{HealthState, Zone, ZoneHostStats};
+use crate::policy::ranking::MAX_WEIGHT_HALVINGS;
+use crate::state::{HealthState, Host, Zone, ZoneHostStats};
 use crate::statistics::median;
 use std::collections::BTreeSet;
 
-/// Failures in a row that may eject a host.
+/// Consecutive failures from which a host may be ejected.
 const EJECTION_FAILURES: f64 = 3.0;
-/// Probability, at the zone's baseline loss, below which a row of failures ejects a host: one that still
+/// Probability, at the zone's baseline loss, below which consecutive failures eject a host: one that still
 /// answers is left to the ranking, and what all hosts lose is overload.
 const EJECTION_PROBABILITY: f64 = 1e-3;
-/// Median loss from which the fleet as a whole is in trouble: no single host is an outlier then.
+/// Consecutive useless attempts in all zones from which a host may be ejected.
+const EJECTION_USELESS_ATTEMPTS: f64 = 6.0;
+/// Consecutive useless attempts that end a probation.
+const PROBATION_USELESS_ATTEMPTS: f64 = 2.0;
+/// Recent attempts from which the loss ratio of a host counts.
+const MIN_RECENT_ATTEMPTS: f64 = 2.0;
+/// Median loss ratio from which the fleet as a whole is in trouble: no single host is an outlier then.
 pub(crate) const COMMON_LOSS_RATIO: f64 = 0.1;
 /// Seconds of the first ejection; each further one takes twice as long.
 pub(crate) const BASE_EJECTION_S: f64 = 4.0;
 /// Longest ejection in seconds.
 const MAX_EJECTION_S: f64 = 16.0;
-/// Longest probation after an ejection, in seconds.
+/// Longest probation in seconds.
 pub(crate) const PROBATION_S: f64 = 8.0;
 /// Ratio of its weight that a host on probation has.
 pub(crate) const PROBATION_WEIGHT_RATIO: f64 = 0.125;
 /// Panic threshold: no host is ejected if less than this ratio of the listed weight would stay.
 const PANIC_THRESHOLD_RATIO: f64 = 0.2;
+/// Consecutive failures at the hosts of another zone from which that zone may count as unreachable.
+const UNREACHABLE_ZONE_FAILURES: f64 = 7.0;
+/// Report periods for which the last report of a host counts as current: hosts are reported in turn.
+const CURRENT_REPORT_PERIODS: f64 = 1.5;
 
-/// What becomes of a host in a zone.
+/// A change of a host's health in a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HealthTransition {
-    /// It is taken out.
+    /// From healthy to ejected.
     Eject,
-    /// Its trial has failed.
+    /// From probation back to ejected, for longer.
     EjectAgain,
-    /// It is tried again.
+    /// From ejected to probation.
     StartProbation,
-    /// It is used as before, or first at reduced weight.
+    /// From probation to healthy.
     Recover,
 }
 
-/// What a zone met lately at the hosts of another: tries lost in a row, and of how many hosts the last one
-/// was good or lost.
+/// A host whose health in a zone is to change.
+struct HostTransition {
+    /// Position of the host in the host index.
+    index: usize,
+    /// The host.
+    host: HostId,
+    /// The change.
+    transition: HealthTransition,
+}
+
+/// How a zone's tables use a host, for the zone's baseline loss.
+pub(crate) struct HostUsage {
+    /// The host is in use and likely stays so.
+    pub(crate) is_in_use: bool,
+    /// Ratio of its recent attempts that failed, if it is in use and there were enough of them.
+    pub(crate) loss_ratio: Option<f64>,
+}
+
+/// What a zone recently met at the hosts of another zone, or of its own.
 #[derive(Clone, Copy, Default)]
 struct ZoneReachability {
+    /// Sum of the hosts' consecutive failures.
     consecutive_failures: f64,
+    /// Hosts whose last load report contained a successful attempt.
     responding_hosts: u32,
+    /// Hosts whose last load report contained failures alone.
     failing_hosts: u32,
 }
 
 impl ZoneReachability {
-    pub(crate) fn count(&mut self, streak: f64) {
-        self.consecutive_failures += streak;
-        if streak > 0.0 {
+    /// Counts a host by its consecutive failures.
+    fn add_host(&mut self, consecutive_failures: f64) {
+        self.consecutive_failures += consecutive_failures;
+        if consecutive_failures > 0.0 {
             self.failing_hosts += 1;
         } else {
             self.responding_hosts += 1;
         }
     }
+
+    /// Whether at least as many hosts respond as fail, and any was reported.
+    fn mostly_responds(&self) -> bool {
+        self.responding_hosts + self.failing_hosts > 0 && self.responding_hosts >= self.failing_hosts
+    }
+
+    /// Whether nothing comes back from any host, by enough attempts.
+    fn is_unreachable(&self) -> bool {
+        self.consecutive_failures >= UNREACHABLE_ZONE_FAILURES && self.responding_hosts == 0
+    }
 }
 
-/// The median loss of those of a zone's hosts that answer: an outlier must stand out against it. 1 where next
-/// to none answers (panic threshold): the observer, its zone or an overload is likelier then.
+/// The median loss ratio of those of a zone's hosts that answer: an outlier must stand out against it. It is
+/// 1 where next to none answers (panic threshold): a fault of the observer or an overload is likelier then.
 pub(crate) fn baseline_loss(rows: &[HealthRow]) -> f64 {
-    let (mut total, mut staying, mut losses) = (0.0, 0.0, Vec::with_capacity(rows.len()));
+    let mut total_weight = 0.0;
+    let mut weight_in_use = 0.0;
+    let mut loss_ratios = Vec::with_capacity(rows.len());
     for row in rows {
-        total += row.weight;
+        total_weight += row.weight;
         if row.is_in_use {
-            staying += row.weight;
-            losses.extend(row.loss_ratio);
+            weight_in_use += row.weight;
+            loss_ratios.extend(row.loss_ratio);
         }
     }
-    let panic = staying < PANIC_THRESHOLD_RATIO * total;
-    panic.then_some(1.0).or(median(losses.into_iter())).unwrap_or(0.0)
+    if weight_in_use < PANIC_THRESHOLD_RATIO * total_weight {
+        return 1.0;
+    }
+    median(loss_ratios.into_iter()).unwrap_or(0.0)
+}
+
+/// Whether a host has been useless to all zones together for long enough to be ejected.
+pub(crate) fn is_useless_to_all_zones(host: &Host) -> bool {
+    host.consecutive_useless >= EJECTION_USELESS_ATTEMPTS
 }
 
 impl Director {
-    /// The fast path: takes out what loses, swallows or long delays requests, zone by zone (one that is cut
-    /// off must not withdraw a host for all, nor judge each host beyond by itself), and tries it again later.
-    /// Gives when time alone may change what it found.
+    /// Ejects the outliers of a zone, starts and ends probations, and returns when time alone may change the
+    /// result.
     pub(crate) fn detect_outliers(&mut self, name: &ZoneId, zone: &mut Zone) -> Timestamp {
         zone.baseline_loss = baseline_loss(zone.memo.rows.health());
-        let suspects = zone.memo.rows.suspects(zone.attempts_seen.0, SILENT_ATTEMPTS);
-        let cut = self.unreachable_zones(name, zone, &suspects, SILENT_ATTEMPTS);
-        let due = self.next_health_check_at(zone, &suspects, SILENT_ATTEMPTS);
-        let verdict =
-            |of: HostInZone| Some((of.index, of.id.clone(), self.health_transition(zone, &of, &cut)?));
-        let concerned =
-            self.hosts_in_zone_at(zone, &suspects, !cut.is_empty()).filter(|of| of.stats.is_known);
-        let verdicts: Vec<(usize, HostId, HealthTransition)> = concerned.filter_map(verdict).collect();
-        for (at, id, verdict) in verdicts {
-            let Some(path) = zone.host_stats.get_mut(&id) else { continue };
-            match verdict {
-                HealthTransition::Eject => {
-                    self.notices.push(Notice::HostEjected {
-                        host: id.clone(),
-                        zone: name.clone(),
-                        consecutive_failures: path.consecutive_failures,
-                        missed_attempts: path.missed_attempts_by(zone.attempts_seen.0),
-                        consecutive_useless: self.hosts[&id].consecutive_useless,
-                    });
-                    (path.ejection_s, path.health) =
-                        (BASE_EJECTION_S, HealthState::Ejected(self.seconds_from_now(BASE_EJECTION_S)));
-                }
-                HealthTransition::EjectAgain => {
-                    path.ejection_s = (2.0 * path.ejection_s).min(MAX_EJECTION_S);
-                    path.health = HealthState::Ejected(self.seconds_from_now(path.ejection_s));
-                }
-                HealthTransition::StartProbation => {
-                    path.reset(HealthState::Probation(self.seconds_from_now(PROBATION_S)), 0)
-                }
-                HealthTransition::Recover => {
-                    path.reset(
-                        HealthState::Healthy,
-                        if path.first_probation { 0 } else { MAX_WEIGHT_HALVINGS },
-                    );
-                    self.notices.push(Notice::HostRecovered { host: id.clone(), zone: name.clone() });
-                }
-            }
-            zone.memo.health_state_changed(at, path);
+        let suspects = zone.memo.rows.suspects(zone.attempts_seen.attempts, SILENT_ATTEMPTS);
+        let unreachable_zones = self.unreachable_zones(name, zone, &suspects);
+        let due_at = self.next_health_check_at(zone, &suspects);
+        for change in self.health_transitions(zone, &suspects, &unreachable_zones) {
+            self.apply_health_transition(name, zone, &change);
         }
-        due
+        due_at
     }
 
-    /// Whether losses of a host in all zones count in each: not where levels are ignored, since nothing then
-    /// relieves the others of what they get, and a jam spreads.
-    pub(crate) fn counts_losses_of_all_zones(&self) -> bool {
-        self.utilization < SATURATED_UTILIZATION && self.settings.admission_mode != AdmissionMode::Ignored
+    /// The changes of health in a zone that are due. Only `suspects`, or any host of an unreachable zone, can
+    /// change.
+    fn health_transitions(
+        &self,
+        zone: &Zone,
+        suspects: &[usize],
+        unreachable_zones: &BTreeSet<ZoneId>,
+    ) -> Vec<HostTransition> {
+        self.hosts_in_zone_at(zone, suspects, !unreachable_zones.is_empty())
+            .filter(|host| host.stats.is_known)
+            .filter_map(|host| {
+                let transition = self.health_transition(zone, &host, unreachable_zones)?;
+                Some(HostTransition { index: host.index, host: host.id.clone(), transition })
+            })
+            .collect()
     }
 
-    /// What becomes of a host in a zone, if that changes now.
+    /// The change of a host's health in a zone that is due, if any.
     fn health_transition(
         &self,
         zone: &Zone,
-        of: &HostInZone,
-        cut: &BTreeSet<ZoneId>,
+        host: &HostInZone,
+        unreachable_zones: &BTreeSet<ZoneId>,
     ) -> Option<HealthTransition> {
-        let (host, path) = (of.host, of.stats);
-        let (usual, (tries, turns)) = (zone.baseline_loss, zone.attempts_seen);
-        // Two witnesses are enough: the list says gone, and nothing comes back.
-        let dead = host.removal_suspected && path.consecutive_failures >= 1.0;
-        // Few tries of one zone tell little; those of all do, once the zone has seen the like itself.
-        let seen =
-            path.consecutive_useless > 0.0 && usual < COMMON_LOSS_RATIO && self.counts_losses_of_all_zones();
-        let useless =
-            seen && host.consecutive_useless >= MIN_FRESH_ATTEMPTS || cut.contains(&host.endpoint.zone);
-        let lossy = path.consecutive_failures >= EJECTION_FAILURES
-            && usual.powf(path.consecutive_failures) < EJECTION_PROBABILITY;
-        // Silence is measured by what others reported: sums that are late for all are silence of none.
-        let unheard = of.health.missed_attempts_by(tries) >= SILENT_ATTEMPTS
-            && turns - of.health.last_heard.1 >= SILENT_REPORT_ROUNDS;
-        let silent = unheard && usual < COMMON_LOSS_RATIO;
-        let answers = if path.new { 1.0 } else { 2.0 };
-        match path.health {
-            _ if !host.is_ready() => None,
-            HealthState::Healthy => (dead || useless || lossy || silent).then_some(HealthTransition::Eject),
-            HealthState::Ejected(until) => {
-                (self.now >= until && !host.removal_suspected).then_some(HealthTransition::StartProbation)
+        if !host.host.is_ready() {
+            return None;
+        }
+        match host.stats.health {
+            HealthState::Healthy => {
+                self.is_outlier(zone, host, unreachable_zones).then_some(HealthTransition::Eject)
             }
-            HealthState::Probation(_) if path.consecutive_useless >= 2.0 => {
-                Some(HealthTransition::EjectAgain)
+            HealthState::Ejected { until } => {
+                let may_return = self.now >= until && !host.host.removal_suspected;
+                may_return.then_some(HealthTransition::StartProbation)
             }
-            HealthState::Probation(until) => {
-                (self.now >= until || path.recent_successes >= answers).then_some(HealthTransition::Recover)
+            HealthState::Probation { until } => self.probation_result(host.stats, until),
+        }
+    }
+
+    /// How a probation ends, if it does now.
+    fn probation_result(&self, stats: &StatsRow, until: Timestamp) -> Option<HealthTransition> {
+        let needed_successes = if stats.new { 1.0 } else { 2.0 };
+        if stats.consecutive_useless >= PROBATION_USELESS_ATTEMPTS {
+            Some(HealthTransition::EjectAgain)
+        } else if self.now >= until || stats.recent_successes >= needed_successes {
+            Some(HealthTransition::Recover)
+        } else {
+            None
+        }
+    }
+
+    /// Whether a healthy host is to be ejected from a zone's tables.
+    fn is_outlier(&self, zone: &Zone, host: &HostInZone, unreachable_zones: &BTreeSet<ZoneId>) -> bool {
+        // Two witnesses are enough: the endpoint list calls it removed, and nothing comes back.
+        let is_removed = host.host.removal_suspected && host.stats.consecutive_failures >= 1.0;
+        is_removed
+            || unreachable_zones.contains(&host.host.endpoint.zone)
+            || self.is_useless(zone, host)
+            || is_failing(zone, host.stats)
+            || is_silent(zone, host.health)
+    }
+
+    /// Whether a host is useless to all zones. A zone's own attempts may be too few to tell; those of all
+    /// zones count once the zone has met a useless attempt itself.
+    fn is_useless(&self, zone: &Zone, host: &HostInZone) -> bool {
+        host.stats.consecutive_useless > 0.0
+            && zone.baseline_loss < COMMON_LOSS_RATIO
+            && self.counts_losses_of_all_zones()
+            && is_useless_to_all_zones(host.host)
+    }
+
+    /// Whether losses of a host in all zones count in each. They don't where the fleet is saturated or
+    /// admission levels are ignored: nothing then relieves the other hosts of the ejected host's load, and
+    /// the overload would spread.
+    pub(crate) fn counts_losses_of_all_zones(&self) -> bool {
+        self.utilization < SATURATED_UTILIZATION && self.settings.admission_mode != AdmissionMode::Ignored
+    }
+
+    /// Changes the health of a host in a zone.
+    fn apply_health_transition(&mut self, name: &ZoneId, zone: &mut Zone, change: &HostTransition) {
+        let Some(stats) = zone.host_stats.get_mut(&change.host) else { return };
+        match change.transition {
+            HealthTransition::Eject => {
+                self.notices.push(Notice::HostEjected {
+                    host: change.host.clone(),
+                    zone: name.clone(),
+                    consecutive_failures: stats.consecutive_failures,
+                    missed_attempts: stats.missed_attempts_by(zone.attempts_seen.attempts),
+                    consecutive_useless: self.hosts[&change.host].consecutive_useless,
+                });
+                self.eject(stats, BASE_EJECTION_S);
+            }
+            HealthTransition::EjectAgain => {
+                self.eject(stats, (2.0 * stats.ejection_s).min(MAX_EJECTION_S));
+            }
+            HealthTransition::StartProbation => {
+                stats.reset(HealthState::Probation { until: self.seconds_from_now(PROBATION_S) }, 0);
+            }
+            HealthTransition::Recover => {
+                let weight_halvings = if stats.first_probation { 0 } else { MAX_WEIGHT_HALVINGS };
+                stats.reset(HealthState::Healthy, weight_halvings);
+                self.notices.push(Notice::HostRecovered { host: change.host.clone(), zone: name.clone() });
             }
         }
+        zone.memo.health_state_changed(change.index, stats);
     }
 
-    /// Whether a zone uses a host, or may, and the host's share of losses where enough was heard of it.
-    pub(crate) fn usage_and_loss(path: &ZoneHostStats) -> (bool, Option<f64>) {
-        let stays = path.health == HealthState::Healthy && path.consecutive_failures < EJECTION_FAILURES;
-        let heard = stays && path.recent_successes + path.recent_failures >= 2.0;
-        (stays, heard.then(|| path.recent_failures / (path.recent_successes + path.recent_failures)))
+    /// Ejects a host for some seconds.
+    fn eject(&self, stats: &mut ZoneHostStats, ejection_s: f64) {
+        stats.ejection_s = ejection_s;
+        stats.health = HealthState::Ejected { until: self.seconds_from_now(ejection_s) };
     }
 
-    /// The other zones that nothing of a zone reaches, while most of its own hosts answer: all tries that
-    /// the last sums told were lost, so many at least. Only hosts at the positions of `suspects` have lost
-    /// any.
-    fn unreachable_zones(
-        &self,
-        name: &ZoneId,
-        zone: &Zone,
-        suspects: &[usize],
-        least: f64,
-    ) -> BTreeSet<ZoneId> {
-        if zone.memo.rows.consecutive_failures_of(suspects) < least {
+    /// How a zone uses a host, by its statistics there.
+    pub(crate) fn host_usage(stats: &ZoneHostStats) -> HostUsage {
+        let is_in_use =
+            stats.health == HealthState::Healthy && stats.consecutive_failures < EJECTION_FAILURES;
+        let recent_attempts = stats.recent_successes + stats.recent_failures;
+        let is_loss_known = is_in_use && recent_attempts >= MIN_RECENT_ATTEMPTS;
+        let loss_ratio = is_loss_known.then(|| stats.recent_failures / recent_attempts);
+        HostUsage { is_in_use, loss_ratio }
+    }
+
+    /// The other zones of which no host answers a zone's proxies, while most of the zone's own hosts do: the
+    /// connection to them is cut. Only hosts at the positions of `suspects` have consecutive failures.
+    fn unreachable_zones(&self, name: &ZoneId, zone: &Zone, suspects: &[usize]) -> BTreeSet<ZoneId> {
+        if zone.memo.rows.consecutive_failures_of(suspects) < UNREACHABLE_ZONE_FAILURES {
             return BTreeSet::new();
         }
-        let roster = &self.memo.host_index;
-        let mut met = vec![ZoneReachability::default(); roster.zones().len()];
-        let rows = zone.memo.rows.paths().iter().zip(roster.homes());
-        for (row, home) in rows.filter(|(row, _)| row.is_known && self.is_in_current_period(row.decayed_at)) {
-            met[*home].count(row.consecutive_failures);
+        let reachability = self.zone_reachability(zone);
+        let host_zones = || self.memo.host_index.zones().iter().zip(&reachability);
+        let own_hosts_respond = host_zones().any(|(zone, met)| zone == name && met.mostly_responds());
+        if !own_hosts_respond {
+            return BTreeSet::new();
         }
-        let met = || roster.zones().iter().zip(&met);
-        let home = met().any(|(zone, met)| {
-            zone == name
-                && met.responding_hosts + met.failing_hosts > 0
-                && met.responding_hosts >= met.failing_hosts
-        });
-        let cut = met().filter(|(zone, met)| {
-            home && *zone != name && met.consecutive_failures >= least && met.responding_hosts == 0
-        });
-        cut.map(|(zone, _)| zone.clone()).collect()
+        host_zones()
+            .filter(|(zone, met)| *zone != name && met.is_unreachable())
+            .map(|(zone, _)| zone.clone())
+            .collect()
     }
 
-    /// When a zone's view of health is due without further news: at the end of a stay outside or of a trial
-    /// and, where so many tries were lost that other zones may be cut off, at once, since what was heard
-    /// ages.
-    fn next_health_check_at(&self, zone: &Zone, suspects: &[usize], least: f64) -> Timestamp {
+    /// What a zone recently met at the hosts of each zone, in the order of the host index's zones.
+    fn zone_reachability(&self, zone: &Zone) -> Vec<ZoneReachability> {
+        let host_index = &self.memo.host_index;
+        let mut reachability = vec![ZoneReachability::default(); host_index.zones().len()];
+        for (row, host_zone) in zone.memo.rows.paths().iter().zip(host_index.homes()) {
+            if row.is_known && self.is_in_current_period(row.decayed_at) {
+                reachability[*host_zone].add_host(row.consecutive_failures);
+            }
+        }
+        reachability
+    }
+
+    /// When outlier detection in a zone is due without new evidence: at the end of an ejection or probation,
+    /// or at once where so many attempts failed that another zone may be unreachable, since reports age.
+    fn next_health_check_at(&self, zone: &Zone, suspects: &[usize]) -> Timestamp {
         let rows = &zone.memo.rows;
-        if rows.consecutive_failures_of(suspects) >= least {
+        if rows.consecutive_failures_of(suspects) >= UNREACHABLE_ZONE_FAILURES {
             return self.now;
         }
-        let next = |at: &usize| match rows.paths()[*at].health {
-            HealthState::Ejected(until) | HealthState::Probation(until) if until > self.now => until,
+        let ends = suspects.iter().map(|index| match rows.paths()[*index].health {
+            HealthState::Ejected { until } | HealthState::Probation { until } if until > self.now => until,
             _ => NEVER,
-        };
-        suspects.iter().map(next).min().unwrap_or(NEVER)
+        });
+        ends.min().unwrap_or(NEVER)
     }
 
-    /// Whether what was last heard of a host, at `heard_at`, belongs to the present period: hosts are told
-    /// of one after the other.
-    fn is_in_current_period(&self, heard_at: Timestamp) -> bool {
-        self.now.since(heard_at) <= 1.5 * self.settings.report_period.secs()
+    /// Whether a load report of `reported_at` belongs to the present report period.
+    fn is_in_current_period(&self, reported_at: Timestamp) -> bool {
+        self.now.since(reported_at) <= CURRENT_REPORT_PERIODS * self.settings.report_period.secs()
     }
 }
+
+/// Whether a host fails more attempts in a row than chance explains at the zone's baseline loss.
+fn is_failing(zone: &Zone, stats: &StatsRow) -> bool {
+    stats.consecutive_failures >= EJECTION_FAILURES
+        && zone.baseline_loss.powf(stats.consecutive_failures) < EJECTION_PROBABILITY
+}
+
+/// Whether a host's load reports are missing while those of others arrive: a delay of all reports says
+/// nothing of one host.
+fn is_silent(zone: &Zone, health: &HealthRow) -> bool {
+    let rounds_since_report = zone.attempts_seen.report_rounds - health.counts_at_last_report.report_rounds;
+    health.missed_attempts_by(zone.attempts_seen.attempts) >= SILENT_ATTEMPTS
+        && rounds_since_report >= SILENT_REPORT_ROUNDS
+        && zone.baseline_loss < COMMON_LOSS_RATIO
+}
--- a/crates/wingfold-director/src/policy/push.rs
+++ b/crates/wingfold-director/src/policy/push.rs
@@ -132,8 +132,9 @@
 
     /// How urgent a change of a line is: a cold host has its budget from the start, so its old share goes.
     fn change_priority(&self, zone: &Zone, change: &EntryChange) -> PushPriority {
-        let out =
-            || zone.host_stats.get(&change.host).is_some_and(|p| matches!(p.health, HealthState::Ejected(_)));
+        let out = || {
+            zone.host_stats.get(&change.host).is_some_and(|p| matches!(p.health, HealthState::Ejected { .. }))
+        };
         match change.lowers_weight().then(|| &self.hosts[&change.host]) {
             Some(host) if !host.is_ready() => DRAIN_PRIORITY,
             Some(host) if out() || self.age_in_warm_ups(host) < 1.0 => HEALTH_PRIORITY,
--- a/crates/wingfold-director/src/policy/ranking.rs
+++ b/crates/wingfold-director/src/policy/ranking.rs
@@ -1,110 +1,172 @@
 //! Best Exit Selection: scores, the leading group, confirmation and cooldown.
 //!
-//! The figures of the design page (docs/design.md) are used as it gives them.
+//! Its figures are those of the design page (docs/design.md).
 use crate::director::Director;
 use crate::interface::{Notice, ZoneId};
 use crate::policy::outlier_detection::COMMON_LOSS_RATIO;
-use crate::state::{AttemptStats, ByZone, FreshHostStats, HealthState, Zone};
+use crate::state::{AttemptStats, ByZone, FreshHostStats, HealthState, ScoredHost, Zone, ZoneHostStats};
 use crate::statistics::median;
 
 /// Milliseconds that one percent of loss adds to a score.
 const SCORE_PER_LOSS_PERCENT_MS: f64 = 100.0;
-/// Smallest margin between a laggard and the leading group, in ms.
+/// Smallest margin between a laggard and the leading group, in milliseconds.
 const MIN_SCORE_MARGIN_MS: f64 = 20.0;
 /// The same margin as a ratio of the score.
 pub(crate) const SCORE_MARGIN_RATIO: f64 = 0.15;
 /// The same margin as a ratio of the tightest latency objective: latencies well inside it are worth the same.
 const OBJECTIVE_MARGIN_RATIO: f64 = 0.1;
-/// Scoring rounds in a row that must speak for a change of weight.
+/// Consecutive scoring rounds that must call for a change of weight.
 pub(crate) const CONFIRMING_ROUNDS: u32 = 3;
 /// Shortest interval of scoring rounds, in seconds.
-pub(crate) const MIN_SCORING_INTERVAL_S: f64 = 2.0;
+const MIN_SCORING_INTERVAL_S: f64 = 2.0;
 /// Seconds between two changes of the ranking of one zone.
 pub(crate) const RANKING_COOLDOWN_S: f64 = 8.0;
 /// How often the weight of a laggard is halved at most.
 pub(crate) const MAX_WEIGHT_HALVINGS: u32 = 2;
-/// Fresh attempts that a host needs for a score.
-pub(crate) const MIN_FRESH_ATTEMPTS: f64 = 6.0;
+/// Fresh attempts in all zones that a host needs for a score: fewer would confirm noise.
+const MIN_FRESH_ATTEMPTS: f64 = 6.0;
+/// Fresh attempts in all zones that a host needs to count for the medians.
+const MIN_MEDIAN_ATTEMPTS: f64 = 3.0;
 /// Attempts that the mean of all zones counts for beside a zone's own.
 const PRIOR_ATTEMPTS: f64 = 6.0;
+/// Weight of the latest value in exponential smoothing.
+const SMOOTHING_FACTOR: f64 = 0.5;
 /// Ratio of the listed weight that the leading group holds: one host cannot carry a zone.
 const LEADING_GROUP_WEIGHT_RATIO: f64 = 0.5;
 
+/// A change of a host's weight by the ranking.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WeightStep {
+    /// The host falls behind the leading group.
+    Halve,
+    /// The host catches up with the leading group.
+    Double,
+}
+
 impl Director {
-    /// Makes new figures of what was heard; gives whether there were any.
+    /// Interval of scoring rounds in seconds: each must see new load reports.
+    pub(crate) fn scoring_interval_s(&self) -> f64 {
+        MIN_SCORING_INTERVAL_S.max(self.settings.report_period.secs())
+    }
+
+    /// Updates scores and rankings from the attempts since the last round, and returns whether any host had
+    /// enough of them.
     pub(crate) fn update_scores(&mut self, zones: &mut ByZone<Zone>) -> bool {
-        let mut whole = self.fresh_stats_by_host(zones);
-        let heard = || whole.iter().map(|all| all.stats).filter(|t| t.attempts >= 3.0);
-        self.median_loss = median(heard().map(|t| t.failures / t.attempts)).unwrap_or(0.0);
-        self.median_latency_ms = median(heard().filter_map(|t| t.mean_latency_ms()));
-        // Too few tries must not confirm noise; a zone that heard little leans on the others.
-        whole.retain(|all| all.stats.attempts >= MIN_FRESH_ATTEMPTS);
+        let mut fresh_hosts = self.fresh_stats_by_host(zones);
+        self.update_medians(&fresh_hosts);
+        fresh_hosts.retain(|fresh| fresh.stats.attempts >= MIN_FRESH_ATTEMPTS);
         for (name, zone) in zones.iter_mut() {
-            for FreshHostStats { index: at, host, stats: all } in &whole {
-                let Some(path) = zone.host_stats.get_mut(host) else { continue };
-                let own = path.fresh;
-                let loss = (own.failures + PRIOR_ATTEMPTS * all.failures / all.attempts)
-                    / (own.attempts + PRIOR_ATTEMPTS);
-                path.loss_ratio += 0.5 * (loss - path.loss_ratio);
-                if let Some(mean) = all.mean_latency_ms() {
-                    let latency = (own.latency_sum_ms + PRIOR_ATTEMPTS * mean)
-                        / (own.attempts - own.failures + PRIOR_ATTEMPTS);
-                    path.latency_ms = Some(path.latency_ms.map_or(latency, |known| (known + latency) / 2.0));
-                }
-                path.score =
-                    path.latency_ms.map(|ms| ms + SCORE_PER_LOSS_PERCENT_MS * 100.0 * path.loss_ratio);
-                path.fresh = AttemptStats::default();
-                zone.memo.rows.update(*at, path);
+            for fresh in &fresh_hosts {
+                let Some(stats) = zone.host_stats.get_mut(&fresh.host) else { continue };
+                update_score(stats, &fresh.stats);
+                zone.memo.rows.update(fresh.index, stats);
             }
-            self.update_ranking(name, zone, &whole);
+            self.update_ranking(name, zone, &fresh_hosts);
         }
-        !whole.is_empty()
+        !fresh_hosts.is_empty()
     }
 
-    /// The score at which half of an owner's listed weight is reached, by its hosts' scores and weights:
-    /// what its leading group is measured by.
-    pub(crate) fn leading_score(mut scored: Vec<(f64, f64)>) -> Option<f64> {
-        scored.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut left = LEADING_GROUP_WEIGHT_RATIO * scored.iter().map(|s| s.1).sum::<f64>();
-        let reached = |s: &&(f64, f64)| {
-            left -= s.1;
-            left <= 0.0
-        };
-        scored.iter().find(reached).map(|s| s.0)
+    /// Updates the median loss and latency of the fleet.
+    fn update_medians(&mut self, fresh_hosts: &[FreshHostStats]) {
+        let counted =
+            || fresh_hosts.iter().map(|fresh| fresh.stats).filter(|s| s.attempts >= MIN_MEDIAN_ATTEMPTS);
+        let loss_ratios = counted().map(|stats| stats.failures / stats.attempts);
+        self.median_loss = median(loss_ratios).unwrap_or(0.0);
+        self.median_latency_ms = median(counted().filter_map(|stats| stats.mean_latency_ms()));
     }
 
-    /// Moves those of one owner's hosts that have fresh figures in and out of its leading group.
-    fn update_ranking(&mut self, name: &ZoneId, zone: &mut Zone, fresh: &[FreshHostStats]) {
+    /// The score at which half of the listed weight of a zone's hosts is reached: its leading group is
+    /// measured by it.
+    pub(crate) fn leading_score(mut scored_hosts: Vec<ScoredHost>) -> Option<f64> {
+        scored_hosts.sort_by(|a, b| a.score.total_cmp(&b.score));
+        let total_weight = scored_hosts.iter().map(|host| host.weight).sum::<f64>();
+        let mut remaining_weight = LEADING_GROUP_WEIGHT_RATIO * total_weight;
+        for host in &scored_hosts {
+            remaining_weight -= host.weight;
+            if remaining_weight <= 0.0 {
+                return Some(host.score);
+            }
+        }
+        None
+    }
+
+    /// Changes the weight of the hosts with fresh scores that have left a zone's leading group, or have
+    /// caught up with it.
+    fn update_ranking(&mut self, name: &ZoneId, zone: &mut Zone, fresh_hosts: &[FreshHostStats]) {
         // If all exits fail the order stays (design page): losses that most hosts share say nothing of one.
-        if zone.baseline_loss >= COMMON_LOSS_RATIO || fresh.is_empty() {
+        if zone.baseline_loss >= COMMON_LOSS_RATIO || fresh_hosts.is_empty() {
             return;
         }
-        let Some(lead) = Director::leading_score(zone.memo.rows.scored_hosts()) else { return };
-        let cooled = zone.ranking_changed_at.is_none_or(|at| self.now.since(at) >= RANKING_COOLDOWN_S);
-        let aim = self.tightest_latency_objective_ms();
-        for FreshHostStats { index: at, host: id, .. } in fresh {
-            let Some(path) = zone.host_stats.get_mut(id).filter(|p| p.health == HealthState::Healthy) else {
+        let Some(leading_score) = Director::leading_score(zone.memo.rows.scored_hosts()) else { return };
+        // One cooldown for the whole round: all hosts that are confirmed now change together.
+        let has_cooled_down =
+            zone.ranking_changed_at.is_none_or(|at| self.now.since(at) >= RANKING_COOLDOWN_S);
+        for FreshHostStats { index, host, .. } in fresh_hosts {
+            let Some(stats) = zone.host_stats.get_mut(host) else { continue };
+            let Some(score) = stats.score.filter(|_| stats.health == HealthState::Healthy) else { continue };
+            let wanted = self.wanted_step(stats.weight_halvings, score, leading_score);
+            if !confirm_step(stats, wanted, has_cooled_down) {
                 continue;
-            };
-            let Some(score) = path.score else { continue };
-            let margin =
-                MIN_SCORE_MARGIN_MS.max(SCORE_MARGIN_RATIO * score).max(OBJECTIVE_MARGIN_RATIO * aim);
-            let lags = score >= lead + margin && path.weight_halvings < MAX_WEIGHT_HALVINGS;
-            let leads = score <= lead + margin / 2.0 && path.weight_halvings > 0;
-            path.confirming_rounds = if lags || leads { path.confirming_rounds + 1 } else { 0 };
-            if path.confirming_rounds >= CONFIRMING_ROUNDS && cooled {
-                path.weight_halvings = if lags { path.weight_halvings + 1 } else { path.weight_halvings - 1 };
-                path.confirming_rounds = 0;
-                zone.ranking_changed_at = Some(self.now);
-                zone.memo.health_state_changed(*at, path);
-                self.notices.push(Notice::WeightChanged {
-                    host: id.clone(),
-                    zone: name.clone(),
-                    weight_halvings: path.weight_halvings,
-                    score,
-                    leading_score: lead,
-                });
             }
+            zone.ranking_changed_at = Some(self.now);
+            zone.memo.health_state_changed(*index, stats);
+            self.notices.push(Notice::WeightChanged {
+                host: host.clone(),
+                zone: name.clone(),
+                weight_halvings: stats.weight_halvings,
+                score,
+                leading_score,
+            });
+        }
+    }
+
+    /// The change of weight that a score calls for.
+    fn wanted_step(&self, weight_halvings: u32, score: f64, leading_score: f64) -> Option<WeightStep> {
+        let objective_margin_ms = OBJECTIVE_MARGIN_RATIO * self.tightest_latency_objective_ms();
+        let margin = MIN_SCORE_MARGIN_MS.max(SCORE_MARGIN_RATIO * score).max(objective_margin_ms);
+        if score >= leading_score + margin && weight_halvings < MAX_WEIGHT_HALVINGS {
+            Some(WeightStep::Halve)
+        } else if score <= leading_score + margin / 2.0 && weight_halvings > 0 {
+            // By half the margin: a host that recovered to the same score as all others must return.
+            Some(WeightStep::Double)
+        } else {
+            None
         }
     }
 }
+
+/// Updates a zone's smoothed loss, latency and score of a host from its own fresh attempts and from those of
+/// `all_zones`, which a zone with few attempts relies on.
+fn update_score(stats: &mut ZoneHostStats, all_zones: &AttemptStats) {
+    let own = stats.fresh;
+    let loss_ratio = (own.failures + PRIOR_ATTEMPTS * all_zones.failures / all_zones.attempts)
+        / (own.attempts + PRIOR_ATTEMPTS);
+    stats.loss_ratio += SMOOTHING_FACTOR * (loss_ratio - stats.loss_ratio);
+    if let Some(mean_ms) = all_zones.mean_latency_ms() {
+        let latency_ms =
+            (own.latency_sum_ms + PRIOR_ATTEMPTS * mean_ms) / (own.attempts - own.failures + PRIOR_ATTEMPTS);
+        stats.latency_ms = Some(stats.latency_ms.map_or(latency_ms, |known| (known + latency_ms) / 2.0));
+    }
+    let loss_score_ms = SCORE_PER_LOSS_PERCENT_MS * 100.0 * stats.loss_ratio;
+    stats.score = stats.latency_ms.map(|latency_ms| latency_ms + loss_score_ms);
+    stats.fresh = AttemptStats::default();
+}
+
+/// Counts the rounds that call for a change, makes the change once it is confirmed and `is_allowed`, and
+/// returns whether it was made.
+fn confirm_step(stats: &mut ZoneHostStats, wanted: Option<WeightStep>, is_allowed: bool) -> bool {
+    let Some(step) = wanted else {
+        stats.confirming_rounds = 0;
+        return false;
+    };
+    stats.confirming_rounds += 1;
+    if stats.confirming_rounds < CONFIRMING_ROUNDS || !is_allowed {
+        return false;
+    }
+    stats.confirming_rounds = 0;
+    match step {
+        WeightStep::Halve => stats.weight_halvings += 1,
+        WeightStep::Double => stats.weight_halvings -= 1,
+    }
+    true
+}
--- a/crates/wingfold-director/src/policy/subsetting.rs
+++ b/crates/wingfold-director/src/policy/subsetting.rs
@@ -7,7 +7,7 @@
 use crate::policy::admission::SATURATED_UTILIZATION;
 use crate::policy::outlier_detection::COMMON_LOSS_RATIO;
 use crate::policy::ranking::{CONFIRMING_ROUNDS, RANKING_COOLDOWN_S};
-use crate::state::{Subset, Zone};
+use crate::state::{LocalityWeightedHosts, Subset, Zone};
 
 /// Requests that a connection should carry before it would close idle.
 pub(crate) const MIN_REQUESTS_PER_CONNECTION: f64 = 3.0;
@@ -90,7 +90,7 @@
     pub(crate) fn assign_subsets(&mut self, name: &ZoneId, zone: &mut Zone) {
         let (count, total) =
             self.proxies_in_zone(name).fold((0.0, 1e-9), |(n, all), p| (n + 1.0, all + p.1.requests_per_s));
-        let (hosts, known) = zone.locality_weighted_hosts();
+        let LocalityWeightedHosts { ready: hosts, known } = zone.locality_weighted_hosts();
         let wanted = (total / count * self.settings.connection_idle_timeout.secs()
             / zone.requests_per_connection.max(MIN_REQUESTS_PER_CONNECTION))
         .max(MIN_SUBSET_HOSTS);
--- a/crates/wingfold-director/src/policy/table_plan.rs
+++ b/crates/wingfold-director/src/policy/table_plan.rs
@@ -34,8 +34,8 @@
         {
             let factor = match path.health {
                 HealthState::Healthy => 0.5f64.powi(path.weight_halvings as i32),
-                HealthState::Probation(_) => PROBATION_WEIGHT_RATIO,
-                HealthState::Ejected(_) => 0.0,
+                HealthState::Probation { .. } => PROBATION_WEIGHT_RATIO,
+                HealthState::Ejected { .. } => 0.0,
             };
             let (weight, own) = (host.weight, health.in_own_zone);
             let (near, WarmUp { slow_start_factor: warmth, is_warming_up: cold }) =
--- a/crates/wingfold-director/src/queries.rs
+++ b/crates/wingfold-director/src/queries.rs
@@ -2,119 +2,140 @@
 use crate::director::Director;
 use crate::incremental::join_by_host;
 use crate::interface::{HostId, Micros, ProxyId, Timestamp, ZoneId};
-use crate::state::{AttemptStats, ByZone, FreshHostStats, HealthState, Host, Proxy, Table, Zone};
+use crate::state::{AttemptStats, ByZone, FreshHostStats, HealthState, Host, Proxy, ScoredHost, Table, Zone};
 use std::collections::BTreeMap;
 
+/// Shortest warm-up time that ages are measured by, in seconds: it keeps the ratio finite.
+const MIN_WARM_UP_S: f64 = 1e-3;
+
 impl Director {
-    /// Time since a host's start, in cold times: under 1 it may still be cold, whatever its ramp says.
+    /// Time since a host's start as a multiple of the warm-up time: below 1 the host may still be warming up.
     pub(crate) fn age_in_warm_ups(&self, host: &Host) -> f64 {
-        host.endpoint
-            .started_at
-            .map_or(f64::MAX, |at| self.now.since(at) / self.settings.warm_up.secs().max(1e-3))
+        let warm_up_s = self.settings.warm_up.secs().max(MIN_WARM_UP_S);
+        host.endpoint.started_at.map_or(f64::MAX, |started_at| self.now.since(started_at) / warm_up_s)
     }
 
-    /// A time from now.
+    /// The time `secs` seconds from now.
     pub(crate) fn seconds_from_now(&self, secs: f64) -> Timestamp {
         self.now + Micros::from_secs(secs)
     }
 
-    /// The shortest aim of any class.
+    /// The shortest latency objective of any class, in milliseconds.
     pub(crate) fn tightest_latency_objective_ms(&self) -> f64 {
-        self.settings.classes.iter().map(|c| c.latency_objective.secs() * 1e3).fold(f64::MAX, f64::min)
+        self.latency_objectives_ms().fold(f64::MAX, f64::min)
     }
 
-    /// The longest aim of any class.
+    /// The longest latency objective of any class, in milliseconds.
     pub(crate) fn longest_latency_objective_ms(&self) -> f64 {
-        self.settings.classes.iter().map(|c| c.latency_objective.secs() * 1e3).fold(0.0, f64::max)
+        self.latency_objectives_ms().fold(0.0, f64::max)
+    }
+
+    /// The latency objective of each class, in milliseconds.
+    fn latency_objectives_ms(&self) -> impl Iterator<Item = f64> + '_ {
+        self.settings.classes.iter().map(|class| class.latency_objective.secs() * 1e3)
     }
 
-    /// The hosts that the list shows as ready.
+    /// The hosts that the endpoint list shows as ready.
     pub(crate) fn ready_hosts(&self) -> impl Iterator<Item = (&HostId, &Host)> {
         self.hosts.iter().filter(|(_, host)| host.is_ready())
     }
 
-    /// The hosts by the zone that they stand in.
+    /// The hosts by the zone that they run in.
     pub(crate) fn hosts_by_zone(&self) -> BTreeMap<&ZoneId, Vec<(&HostId, &Host)>> {
-        let mut homes: BTreeMap<&ZoneId, Vec<(&HostId, &Host)>> = BTreeMap::new();
+        let mut hosts_by_zone: BTreeMap<&ZoneId, Vec<(&HostId, &Host)>> = BTreeMap::new();
         for (id, host) in &self.hosts {
-            homes.entry(&host.endpoint.zone).or_default().push((id, host));
+            hosts_by_zone.entry(&host.endpoint.zone).or_default().push((id, host));
         }
-        homes
+        hosts_by_zone
     }
 
-    /// Listed weights of the hosts that are ready, not out and have a score for a zone, with the scores.
-    pub(crate) fn scored_hosts(&self, zone: &Zone) -> Vec<(f64, f64)> {
-        let taken = join_by_host(&self.hosts, &zone.host_stats).filter(|(_, host, _)| host.is_ready());
-        let taken = taken
-            .filter_map(|(_, host, path)| Some((host, path.filter(|p| p.health == HealthState::Healthy)?)));
-        taken.filter_map(|(host, path)| Some((path.score?, host.weight))).collect()
+    /// The hosts that are ready, healthy in a zone and have a score there.
+    pub(crate) fn scored_hosts(&self, zone: &Zone) -> Vec<ScoredHost> {
+        join_by_host(&self.hosts, &zone.host_stats)
+            .filter(|(_, host, _)| host.is_ready())
+            .filter_map(|(_, host, stats)| {
+                let stats = stats.filter(|stats| stats.health == HealthState::Healthy)?;
+                Some(ScoredHost { score: stats.score?, weight: host.weight })
+            })
+            .collect()
     }
 
-    /// What all zones together met at each host since the last round that used it.
+    /// What the proxies of all zones together met at each host since the last scoring round that used it.
     pub(crate) fn fresh_stats_by_host(&self, zones: &ByZone<Zone>) -> Vec<FreshHostStats> {
         let ids = self.memo.host_index.ids();
         let mut sums = vec![AttemptStats::default(); ids.len()];
         for zone in zones.values() {
-            let rows = sums.iter_mut().zip(zone.memo.rows.paths());
-            rows.filter(|(_, row)| row.fresh.attempts > 0.0).for_each(|(all, row)| all.add(row.fresh));
+            for (sum, row) in sums.iter_mut().zip(zone.memo.rows.paths()) {
+                if row.fresh.attempts > 0.0 {
+                    sum.add(row.fresh);
+                }
+            }
         }
-        let met = sums.into_iter().enumerate().filter(|(_, sum)| sum.attempts > 0.0);
-        met.map(|(at, sum)| FreshHostStats { index: at, host: ids[at].clone(), stats: sum }).collect()
+        let attempted = sums.into_iter().enumerate().filter(|(_, sum)| sum.attempts > 0.0);
+        attempted.map(|(index, stats)| FreshHostStats { index, host: ids[index].clone(), stats }).collect()
     }
 
-    /// The joined proxies of a zone.
+    /// The connected proxies of a zone.
     pub(crate) fn proxies_in_zone<'a>(
         &'a self,
         zone: &'a ZoneId,
     ) -> impl Iterator<Item = (&'a ProxyId, &'a Proxy)> {
-        self.proxies.iter().filter(move |(_, p)| p.zone == *zone)
+        self.proxies.iter().filter(move |(_, proxy)| proxy.zone == *zone)
     }
 
-    /// The proxies bound to each slot of each zone.
+    /// The proxies assigned to each subset of each zone.
     pub(crate) fn proxies_by_subset(&self, zones: &ByZone<Zone>) -> ByZone<Vec<Vec<ProxyId>>> {
-        let slots = zones.iter().map(|(name, zone)| (name.clone(), vec![Vec::new(); zone.subsets.len()]));
-        let mut users: ByZone<Vec<Vec<ProxyId>>> = slots.collect();
+        let mut proxies_by_subset: ByZone<Vec<Vec<ProxyId>>> =
+            zones.iter().map(|(name, zone)| (name.clone(), vec![Vec::new(); zone.subsets.len()])).collect();
         for (id, proxy) in &self.proxies {
-            if let (Some(slots), Some(slot)) = (users.get_mut(&proxy.zone), proxy.subset) {
-                slots[slot].push(*id);
+            if let (Some(subsets), Some(subset)) = (proxies_by_subset.get_mut(&proxy.zone), proxy.subset) {
+                subsets[subset].push(*id);
             }
         }
-        users
+        proxies_by_subset
     }
 
-    /// The work of a zone's proxies by slot, on top of `least` each.
+    /// Requests per second of the proxies assigned to each subset of a zone, on top of `least` each.
     pub(crate) fn load_by_subset(&self, name: &ZoneId, zone: &Zone, least: f64) -> Vec<f64> {
-        let mut work = vec![least; zone.subsets.len()];
-        let dealt = self.proxies_in_zone(name).filter(|(_, p)| !p.awaiting_assignment);
-        let dealt = dealt.filter_map(|(_, p)| Some((p.subset?, p.requests_per_s)));
-        dealt.for_each(|(slot, rate)| work[slot] += rate);
-        work
+        let mut load = vec![least; zone.subsets.len()];
+        for (_, proxy) in self.proxies_in_zone(name).filter(|(_, proxy)| !proxy.awaiting_assignment) {
+            if let Some(subset) = proxy.subset {
+                load[subset] += proxy.requests_per_s;
+            }
+        }
+        load
     }
 
-    /// How many records are kept, by kind: hosts, paths, lines, proxies, messages sent.
+    /// How many records are kept, by kind: hosts, statistics of hosts in zones, table entries, proxies, send
+    /// times.
     pub fn record_counts(&self) -> [usize; 5] {
-        let tables = self.zones.values().flat_map(|zone| &zone.subsets).flat_map(|slot| &slot.tables);
         [
             self.hosts.len(),
             self.zones.values().map(|zone| zone.host_stats.len()).sum(),
-            tables.map(|table| table.entries.len()).sum(),
+            self.tables().map(|table| table.entries.len()).sum(),
             self.proxies.len(),
             self.proxies.values().map(|proxy| proxy.send_times.len()).sum(),
         ]
     }
 
-    /// One number for all tables (their lines and levels, bit for bit) and for who is bound to which.
+    /// A digest of all tables (entries and admission levels, bit for bit) and of the assignments of proxies.
     pub fn digest(&self) -> u64 {
-        let mix = |what: u32, at: u64| xxhash_rust::xxh3::xxh3_64_with_seed(&what.to_le_bytes(), at);
-        let tables = self.zones.values().flat_map(|zone| &zone.subsets).flat_map(|slot| &slot.tables);
-        let tables = tables.map(|table| mix(table.id.0, table.digest));
-        let bound = self.proxies.iter().filter_map(|(id, p)| Some(mix(!id.0, p.subset? as u64)));
-        tables.chain(bound).fold(0, u64::wrapping_add)
+        let mix = |id: u32, seed: u64| xxhash_rust::xxh3::xxh3_64_with_seed(&id.to_le_bytes(), seed);
+        let tables = self.tables().map(|table| mix(table.id.0, table.digest));
+        // The inverted number keeps a proxy apart from the table of the same number.
+        let assignments =
+            self.proxies.iter().filter_map(|(id, proxy)| Some(mix(!id.0, proxy.subset? as u64)));
+        tables.chain(assignments).fold(0, u64::wrapping_add)
     }
 
-    /// Works out all digests from what the tables hold.
+    /// Recomputes the digests of all tables from their contents.
     pub(crate) fn rebuild_digests(&mut self) {
-        let slots = self.zones.values_mut().flat_map(|zone| &mut zone.subsets);
-        slots.flat_map(|slot| &mut slot.tables).for_each(Table::rebuild_digest);
+        let subsets = self.zones.values_mut().flat_map(|zone| &mut zone.subsets);
+        subsets.flat_map(|subset| &mut subset.tables).for_each(Table::rebuild_digest);
+    }
+
+    /// The tables of all zones.
+    fn tables(&self) -> impl Iterator<Item = &Table> {
+        self.zones.values().flat_map(|zone| &zone.subsets).flat_map(|subset| &subset.tables)
     }
 }
--- a/crates/wingfold-director/src/rate_limit.rs
+++ b/crates/wingfold-director/src/rate_limit.rs
@@ -1,45 +1,74 @@
-//! Rate limits: what a limit admits of requests that come by chance.
+//! Rate limits for requests that arrive as a Poisson process.
 
-/// The cap a second on each of some rates that lets `total` through in all: a half or a whole number.
-pub(crate) fn even_cap(rates: &[f64], total: f64) -> f64 {
-    let cap = |step: u64| (step as f64 - 1.0).max(0.5);
-    let enough =
-        |step| rates.iter().map(|rate| expected_admitted_rate(*rate, cap(step))).sum::<f64>() >= total;
-    let mut most = 1;
-    while !enough(most) && most < 1 << 40 {
-        most *= 2;
+/// Smallest rate limit, in requests per second; above it limits are whole numbers.
+const MIN_LIMIT_PER_S: f64 = 0.5;
+/// Step from which no greater limit is tried: 2^40 requests per second.
+const MAX_LIMIT_STEP: u64 = 1 << 40;
+/// Rate above which a second's requests vary too little to matter, in requests per second.
+const STEADY_RATE_PER_S: f64 = 50.0;
+/// Terms of the Poisson distribution that are summed at most: enough up to the steady rate.
+const MAX_POISSON_TERMS: i32 = 200;
+/// Remaining probability below which further terms don't count.
+const NEGLIGIBLE_PROBABILITY: f64 = 1e-9;
+
+/// The least limit per second that, set on each of `rates` alike, admits at least `total` requests per
+/// second in all.
+pub(crate) fn equal_rate_limit(rates: &[f64], total: f64) -> f64 {
+    let is_enough = |step: u64| {
+        let limit = limit_at_step(step);
+        rates.iter().map(|rate| expected_admitted_rate(*rate, limit)).sum::<f64>() >= total
+    };
+    let mut enough = 1;
+    while !is_enough(enough) && enough < MAX_LIMIT_STEP {
+        enough *= 2;
     }
-    let mut least = most / 2;
-    while most - least > 1 {
-        let middle = (least + most) / 2;
-        (least, most) = if enough(middle) { (least, middle) } else { (middle, most) };
+    let mut too_small = enough / 2;
+    while enough - too_small > 1 {
+        let middle = (too_small + enough) / 2;
+        if is_enough(middle) {
+            enough = middle;
+        } else {
+            too_small = middle;
+        }
     }
-    cap(most)
+    limit_at_step(enough)
+}
+
+/// The limits that are considered, in ascending order from step 1 on: 0.5, 1, 2, 3 and so on.
+fn limit_at_step(step: u64) -> f64 {
+    (step as f64 - 1.0).max(MIN_LIMIT_PER_S)
 }
 
-/// What a cap lets through of requests that come by chance at a rate: well under the rate where few come,
-/// since a second has two as often as none.
-fn expected_admitted_rate(rate: f64, cap: f64) -> f64 {
-    if rate <= 0.0 || cap <= 0.0 {
+/// Requests per second that `limit` admits on average of Poisson arrivals at `rate`. At low rates that is
+/// well below both, since a second with two requests is as likely as one with none.
+fn expected_admitted_rate(rate: f64, limit: f64) -> f64 {
+    if rate <= 0.0 || limit <= 0.0 {
         return 0.0;
     }
-    if cap < 1.0 {
-        return cap * (1.0 - (-rate / cap).exp());
+    if limit < 1.0 {
+        return limit * (1.0 - (-rate / limit).exp());
     }
-    if rate > 50.0 {
-        return rate.min(cap);
+    if rate > STEADY_RATE_PER_S {
+        return rate.min(limit);
     }
-    // The mean of the lesser of a Poisson count and the cap.
-    let (mut chance, mut more, mut passed) = ((-rate).exp(), 1.0, 0.0);
-    for count in 0..200 {
-        more -= chance;
-        passed += more.max(0.0) * (cap - f64::from(count)).clamp(0.0, 1.0);
-        chance *= rate / f64::from(count + 1);
-        if f64::from(count) >= cap || more < 1e-9 {
+    mean_of_limited_poisson_count(rate, limit)
+}
+
+/// Mean of the lesser of a Poisson count with mean `rate` and `limit`: the sum of the probabilities that the
+/// count exceeds 0, 1, 2 and so on up to the limit.
+fn mean_of_limited_poisson_count(rate: f64, limit: f64) -> f64 {
+    let mut probability_of_count = (-rate).exp();
+    let mut probability_of_more = 1.0;
+    let mut admitted = 0.0;
+    for count in 0..MAX_POISSON_TERMS {
+        probability_of_more -= probability_of_count;
+        admitted += probability_of_more.max(0.0) * (limit - f64::from(count)).clamp(0.0, 1.0);
+        probability_of_count *= rate / f64::from(count + 1);
+        if f64::from(count) >= limit || probability_of_more < NEGLIGIBLE_PROBABILITY {
             break;
         }
     }
-    passed
+    admitted
 }
 
 #[cfg(test)]
--- a/crates/wingfold-director/src/rate_limit/tests.rs
+++ b/crates/wingfold-director/src/rate_limit/tests.rs
@@ -1,38 +1,47 @@
-use super::even_cap;
+use super::equal_rate_limit;
 
-/// Seconds of requests that come by chance at each rate: the share that a cap lets through.
-fn passed(rates: &[f64], cap: f64) -> f64 {
+/// Seconds simulated for each rate.
+const SECONDS_PER_RATE: usize = 4000;
+
+/// The ratio of requests that a limit admits, by simulated seconds of Poisson arrivals at each rate.
+fn admitted_ratio(rates: &[f64], limit: f64) -> f64 {
     let mut state = 7u64;
-    let mut chance = || {
+    let mut next_random = || {
         state = state.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(0x1405_7B7E_F767_814F);
         (state >> 11) as f64 / (1u64 << 53) as f64
     };
-    let (mut came, mut let_in) = (0.0, 0.0);
-    // A cap below one a second lets one request in as often as it says.
-    let span = f64::max(1.0, 1.0 / cap);
+    let mut arrived = 0.0;
+    let mut admitted = 0.0;
+    // A limit below one a second admits one request in the time that it says.
+    let span_s = f64::max(1.0, 1.0 / limit);
     for rate in rates {
-        for _ in 0..4000 {
-            let (mut count, mut left) = (0.0, (-rate * span).exp());
-            let mut product = chance();
-            while product > left {
-                (count, product) = (count + 1.0, product * chance());
+        for _ in 0..SECONDS_PER_RATE {
+            let mut count = 0.0;
+            let no_arrival = (-rate * span_s).exp();
+            let mut product = next_random();
+            while product > no_arrival {
+                count += 1.0;
+                product *= next_random();
             }
-            left = f64::min(count, (cap * span).floor().max(1.0));
-            (came, let_in) = (came + count, let_in + left);
+            arrived += count;
+            admitted += f64::min(count, (limit * span_s).floor().max(1.0));
         }
     }
-    let_in / came
+    admitted / arrived
 }
 
 #[test]
-fn a_cap_lets_through_what_was_meant_where_few_requests_come_to_each() {
+fn a_limit_admits_the_intended_ratio_where_few_requests_come_to_each() {
     for rates in [vec![0.2, 0.4, 0.5, 0.9], vec![3.0, 5.0], vec![20.0, 30.0], vec![0.3, 0.5, 12.0]] {
-        let all: f64 = rates.iter().sum();
-        for share in [0.7, 0.85, 0.9] {
-            let cap = even_cap(&rates, share * all);
-            let through = passed(&rates, cap);
-            assert!(through > share - 0.05, "{share} meant, {through:.2} let through by {cap} of {rates:?}");
+        let total: f64 = rates.iter().sum();
+        for intended in [0.7, 0.85, 0.9] {
+            let limit = equal_rate_limit(&rates, intended * total);
+            let admitted = admitted_ratio(&rates, limit);
+            assert!(
+                admitted > intended - 0.05,
+                "{intended} intended, {admitted:.2} admitted by {limit} of {rates:?}"
+            );
         }
     }
-    assert_eq!(even_cap(&[0.0, 0.0], 0.0), 0.5, "nobody comes");
+    assert_eq!(equal_rate_limit(&[0.0, 0.0], 0.0), 0.5, "no requests");
 }
--- a/crates/wingfold-director/src/state/class_group.rs
+++ b/crates/wingfold-director/src/state/class_group.rs
@@ -1,37 +1,44 @@
-//! Groups of classes that may go to the same hosts.
+//! Groups of classes whose requests may go to the same hosts.
 use crate::interface::{Class, Endpoint, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// Classes that may go to the same hosts share a table per zone.
+/// Classes whose requests may go to the same hosts: they share a table in each subset.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ClassGroup {
+    /// The first class of the group: its restrictions are those of all.
     #[serde(rename = "sample")]
     pub(crate) representative: Class,
+    /// The classes of the group; bit `k` stands for the class at position `k` of the settings.
     #[serde(rename = "mask")]
     pub(crate) classes: u64,
 }
 
 impl ClassGroup {
-    /// One group for each set of limits on where classes may go.
+    /// One group for each distinct restriction of classes to hosts, in the order of their first classes.
     pub(crate) fn from_classes(classes: &[Class]) -> Vec<ClassGroup> {
         let mut groups: Vec<ClassGroup> = Vec::new();
-        for (at, class) in classes.iter().enumerate() {
-            let limits =
-                |c: &Class| (c.own_zone_only, c.allowed_zones.clone(), c.allowed_machine_types.clone());
-            match groups.iter_mut().find(|g| limits(&g.representative) == limits(class)) {
-                Some(group) => group.classes |= 1 << at,
-                None => groups.push(ClassGroup { representative: class.clone(), classes: 1 << at }),
+        for (index, class) in classes.iter().enumerate() {
+            match groups.iter_mut().find(|group| has_same_restrictions(&group.representative, class)) {
+                Some(group) => group.classes |= 1 << index,
+                None => groups.push(ClassGroup { representative: class.clone(), classes: 1 << index }),
             }
         }
         groups
     }
 
-    /// Whether the group's classes are allowed at a host.
-    pub(crate) fn allows(&self, zone: &ZoneId, entry: &Endpoint) -> bool {
+    /// Whether requests of the group may go from a proxy in `proxy_zone` to a host.
+    pub(crate) fn allows(&self, proxy_zone: &ZoneId, endpoint: &Endpoint) -> bool {
         let class = &self.representative;
-        (!class.own_zone_only || entry.zone == *zone)
-            && (class.allowed_zones.is_empty() || class.allowed_zones.contains(&entry.zone))
+        (!class.own_zone_only || endpoint.zone == *proxy_zone)
+            && (class.allowed_zones.is_empty() || class.allowed_zones.contains(&endpoint.zone))
             && (class.allowed_machine_types.is_empty()
-                || class.allowed_machine_types.contains(&entry.machine_type))
+                || class.allowed_machine_types.contains(&endpoint.machine_type))
     }
 }
+
+/// Whether two classes are restricted to the same hosts.
+fn has_same_restrictions(one: &Class, other: &Class) -> bool {
+    one.own_zone_only == other.own_zone_only
+        && one.allowed_zones == other.allowed_zones
+        && one.allowed_machine_types == other.allowed_machine_types
+}
--- a/crates/wingfold-director/src/state/mod.rs
+++ b/crates/wingfold-director/src/state/mod.rs
@@ -1,6 +1,7 @@
 //! The records that a director keeps: plain data and questions about them, no decision.
 use crate::interface::ZoneId;
 
+mod admission_sample;
 mod class_group;
 mod host;
 mod plan;
@@ -10,6 +11,7 @@
 mod zone;
 mod zone_host_stats;
 
+pub(crate) use admission_sample::*;
 pub(crate) use class_group::*;
 pub(crate) use host::*;
 pub(crate) use plan::*;
--- a/crates/wingfold-director/src/state/zone.rs
+++ b/crates/wingfold-director/src/state/zone.rs
@@ -1,84 +1,98 @@
-//! A zone of proxies: what it knows of the hosts, and its subsets.
+//! A zone of proxies: its view of the hosts, and its subsets.
 use crate::incremental::{join_by_host, ZoneMemo};
 use crate::interface::{HostId, Timestamp};
-use crate::state::{Host, Subset, ZoneHostStats};
+use crate::state::{Host, ReportCounts, Subset, ZoneHostStats};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// An owner: what it knows of the hosts, its tables, and when its ranking last moved.
+/// A zone of proxies, which ranks the hosts by what its own proxies meet and has tables of its own.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct Zone {
+    /// What the zone knows of each host.
     #[serde(rename = "paths")]
     pub(crate) host_stats: BTreeMap<HostId, ZoneHostStats>,
+    /// The subsets that the zone's proxies are assigned to. They are only ever added.
     #[serde(rename = "slots")]
     pub(crate) subsets: Vec<Subset>,
-    /// Part of its weight that a host of another zone lacks here.
+    /// Ratio of its weight that a host of another zone loses here.
     #[serde(rename = "bias")]
     pub(crate) remote_discount: f64,
+    /// When the ranking last changed a weight.
     #[serde(rename = "moved_at")]
     pub(crate) ranking_changed_at: Option<Timestamp>,
-    /// Tries heard of so far, and turns: lines heard for each host that has a part.
+    /// What the load reports of the zone have counted so far.
     #[serde(rename = "heard")]
-    pub(crate) attempts_seen: (f64, f64),
+    pub(crate) attempts_seen: ReportCounts,
+    /// Hosts with an entry in any of the zone's tables.
     #[serde(rename = "width")]
     pub(crate) hosts_in_tables: f64,
-    /// Its tables have changed since that was worked out.
+    /// The tables have changed since the expected shares of the hosts were computed.
     #[serde(rename = "changed")]
     pub(crate) tables_changed: bool,
-    /// Uses that a connection should get, and rounds in a row that speak for fewer.
+    /// Requests that a connection should carry before it closes idle: the more, the smaller the subsets.
     #[serde(rename = "uses")]
     pub(crate) requests_per_connection: f64,
-    /// For how many uses and what work its parts were laid, and when.
+    /// The last assignment of hosts to subsets: requests per connection, requests per second, time.
     #[serde(rename = "laid")]
     pub(crate) last_assignment: Option<(f64, f64, Timestamp)>,
-    /// Its proxies were dealt to finer tables, as connections ran short.
+    /// The proxies were assigned to finer subsets, since connections ran short.
     #[serde(rename = "fine")]
     pub(crate) has_fine_subsets: bool,
+    /// Consecutive admission updates that called for fewer requests per connection.
     #[serde(rename = "confirmed")]
     pub(crate) calm_rounds: u32,
-    /// The loss that is usual among its hosts.
+    /// Median loss ratio of the hosts that answer.
     #[serde(rename = "usual")]
     pub(crate) baseline_loss: f64,
-    /// Spares are laid from then on.
+    /// No standby entries are sent before this time.
     #[serde(rename = "lean_until")]
     pub(crate) standby_paused_until: Timestamp,
-    /// What was worked out from the above.
+    /// Results cached from the fields above.
     #[serde(skip)]
     pub(crate) memo: ZoneMemo,
 }
 
+/// How many hosts a zone counts with, each by its locality weight.
+pub(crate) struct LocalityWeightedHosts {
+    /// The hosts that are ready.
+    pub(crate) ready: f64,
+    /// All hosts of the endpoint list.
+    pub(crate) known: f64,
+}
+
 impl Zone {
-    /// Begins to know each ready host that it does not know yet.
-    pub(crate) fn add_unknown_hosts(&mut self, fleet: &BTreeMap<HostId, Host>) {
-        let unknown =
-            join_by_host(fleet, &self.host_stats).filter(|(_, host, path)| host.is_ready() && path.is_none());
-        let unknown: Vec<HostId> = unknown.map(|(id, ..)| id.clone()).collect();
-        let paths = unknown.into_iter().map(|id| (id, ZoneHostStats::default()));
+    /// Adds empty statistics for each ready host that has none yet.
+    pub(crate) fn add_unknown_hosts(&mut self, hosts: &BTreeMap<HostId, Host>) {
+        let unknown: Vec<HostId> = join_by_host(hosts, &self.host_stats)
+            .filter(|(_, host, stats)| host.is_ready() && stats.is_none())
+            .map(|(id, ..)| id.clone())
+            .collect();
+        let empty_stats = unknown.into_iter().map(|id| (id, ZoneHostStats::default()));
         if self.host_stats.is_empty() {
-            self.host_stats = paths.collect();
+            // Building a map from sorted entries is cheaper than inserting them one by one.
+            self.host_stats = empty_stats.collect();
         } else {
-            self.host_stats.extend(paths);
+            self.host_stats.extend(empty_stats);
         }
     }
-}
 
-impl Zone {
-    /// The part of its weight that a host has here, by locality: of the zone's own, or of others.
-    pub(crate) fn locality_weight(&self, own: bool) -> f64 {
-        if own {
+    /// Ratio of its weight that a host has here by its place alone.
+    pub(crate) fn locality_weight(&self, in_own_zone: bool) -> f64 {
+        if in_own_zone {
             1.0
         } else {
             1.0 - self.remote_discount
         }
     }
 
-    /// Ready and known hosts, each counted as near as it is.
-    pub(crate) fn locality_weighted_hosts(&self) -> (f64, f64) {
-        let rows = || self.memo.rows.health().iter();
-        let ready: f64 =
-            rows().filter(|row| row.is_ready).map(|row| self.locality_weight(row.in_own_zone)).sum();
-        let known: f64 = rows().map(|row| self.locality_weight(row.in_own_zone)).sum();
-        (ready, known)
+    /// The number of ready and of known hosts, each counted by its locality weight.
+    pub(crate) fn locality_weighted_hosts(&self) -> LocalityWeightedHosts {
+        let rows = self.memo.rows.health();
+        let ready_rows = rows.iter().filter(|row| row.is_ready);
+        LocalityWeightedHosts {
+            ready: ready_rows.map(|row| self.locality_weight(row.in_own_zone)).sum(),
+            known: rows.iter().map(|row| self.locality_weight(row.in_own_zone)).sum(),
+        }
     }
 }
--- a/crates/wingfold-director/src/state/zone_host_stats.rs
+++ b/crates/wingfold-director/src/state/zone_host_stats.rs
@@ -1,121 +1,208 @@
-//! What a zone of proxies knows of a host.
+//! Statistics of a host as the proxies of one zone see it, and its health there.
 use crate::interface::{HostId, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// Tries, losses among them, and time of the good ones in ms.
+/// Attempts at a host and their results.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct AttemptStats {
+    /// All attempts.
     #[serde(rename = "tries")]
     pub(crate) attempts: f64,
+    /// The attempts without a good answer.
     #[serde(rename = "lost")]
     pub(crate) failures: f64,
+    /// Sum of the latencies of the successful attempts, in milliseconds.
     #[serde(rename = "ms")]
     pub(crate) latency_sum_ms: f64,
 }
 
 impl AttemptStats {
-    /// Counts `other` in.
+    /// Adds the counts and latencies of `other`.
     pub(crate) fn add(&mut self, other: AttemptStats) {
-        *self = AttemptStats {
-            attempts: self.attempts + other.attempts,
-            failures: self.failures + other.failures,
-            latency_sum_ms: self.latency_sum_ms + other.latency_sum_ms,
-        };
+        self.attempts += other.attempts;
+        self.failures += other.failures;
+        self.latency_sum_ms += other.latency_sum_ms;
     }
 
-    /// Mean time of the good tries, if there were any.
+    /// Mean latency of the successful attempts in milliseconds, if there were any.
     pub(crate) fn mean_latency_ms(&self) -> Option<f64> {
         (self.attempts > self.failures).then(|| self.latency_sum_ms / (self.attempts - self.failures))
     }
 }
 
+/// What the load reports of a zone's proxies have counted since the start.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "StoredReportCounts", into = "StoredReportCounts")]
+pub(crate) struct ReportCounts {
+    /// Attempts at all hosts.
+    pub(crate) attempts: f64,
+    /// Load reports per host in the zone's tables: 1 stands for a report of every host.
+    pub(crate) report_rounds: f64,
+}
+
+/// The stored form of [`ReportCounts`]: attempts, report rounds.
+type StoredReportCounts = (f64, f64);
+
+impl From<StoredReportCounts> for ReportCounts {
+    fn from((attempts, report_rounds): StoredReportCounts) -> Self {
+        ReportCounts { attempts, report_rounds }
+    }
+}
+
+impl From<ReportCounts> for StoredReportCounts {
+    fn from(counts: ReportCounts) -> Self {
+        (counts.attempts, counts.report_rounds)
+    }
+}
+
 /// What a zone knows of a host.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct ZoneHostStats {
-    /// Since the last round that used it.
+    /// Attempts since the last scoring round that used them.
     #[serde(rename = "sum")]
     pub(crate) fresh: AttemptStats,
-    /// Smoothed figures, and the last score.
+    /// Smoothed mean latency of successful attempts, in milliseconds; `None` before the first of them.
     #[serde(rename = "latency")]
     pub(crate) latency_ms: Option<f64>,
+    /// Smoothed ratio of failures to attempts.
     #[serde(rename = "loss")]
     pub(crate) loss_ratio: f64,
+    /// Score of the last scoring round that had fresh attempts, in milliseconds; lower is better.
     pub(crate) score: Option<f64>,
-    /// Halvings in force, and rounds in a row that speak for the next move.
+    /// How often the ranking has halved the host's weight.
     #[serde(rename = "step")]
     pub(crate) weight_halvings: u32,
+    /// Consecutive scoring rounds that called for the next change of `weight_halvings`.
     #[serde(rename = "confirmed")]
     pub(crate) confirming_rounds: u32,
-    /// Evidence of the fast path: fading counts, and losses since the last line with a good answer.
+    /// Successful attempts for outlier detection, decayed exponentially up to `decayed_at`.
     #[serde(rename = "good")]
     pub(crate) recent_successes: f64,
+    /// Failed attempts for outlier detection, decayed exponentially up to `decayed_at`.
     #[serde(rename = "bad")]
     pub(crate) recent_failures: f64,
+    /// Failed attempts since the last load report that contained a successful one.
     #[serde(rename = "streak")]
     pub(crate) consecutive_failures: f64,
-    /// Tries in a row that were lost or, in the mean of their sum, came late.
+    /// Consecutive attempts that failed or whose mean latency missed every latency objective.
     #[serde(rename = "row")]
     pub(crate) consecutive_useless: f64,
+    /// When the decaying counts were last updated: the time of the last load report.
     #[serde(rename = "faded_at")]
     pub(crate) decayed_at: Timestamp,
-    /// Part of the zone's tries that its tables send here, tries that should have come since it was last
-    /// heard (while the part was another), and the zone's counts from then on.
+    /// Ratio of the zone's attempts that its tables direct to this host.
     #[serde(rename = "part")]
     pub(crate) expected_share: f64,
+    /// Attempts that were expected since the last load report, up to the last change of `expected_share`.
     #[serde(rename = "missed")]
     pub(crate) missed_attempts: f64,
+    /// The zone's counts from which on attempts are expected at the present `expected_share`.
     #[serde(rename = "seen")]
-    pub(crate) last_heard: (f64, f64),
+    pub(crate) counts_at_last_report: ReportCounts,
+    /// Whether the zone's tables hold the host.
     #[serde(rename = "state")]
     pub(crate) health: HealthState,
-    /// How long the stay outside lasts.
+    /// Length of the last ejection, in seconds.
     #[serde(rename = "stay_s")]
     pub(crate) ejection_s: f64,
-    /// On its first trial.
+    /// No probation has started or ended since the host's process started.
     #[serde(rename = "new")]
     pub(crate) first_probation: bool,
 }
 
 impl ZoneHostStats {
-    /// Tries that should have come since the host was last heard of, by the zone's count of all tries.
-    pub(crate) fn missed_attempts_by(&self, tries: f64) -> f64 {
-        missed_attempts(self.missed_attempts, self.last_heard.0, self.expected_share, tries)
+    /// Attempts that were expected since the last load report, once the zone has counted `attempts_seen`.
+    pub(crate) fn missed_attempts_by(&self, attempts_seen: f64) -> f64 {
+        let attempts_at_last_report = self.counts_at_last_report.attempts;
+        missed_attempts(self.missed_attempts, attempts_at_last_report, self.expected_share, attempts_seen)
     }
 
-    /// Forgets all, in a new state and with halvings in force.
-    pub(crate) fn reset(&mut self, state: HealthState, step: u32) {
+    /// Discards all evidence and enters another state. The length of the last ejection stays.
+    pub(crate) fn reset(&mut self, health: HealthState, weight_halvings: u32) {
         *self = ZoneHostStats {
-            health: state,
-            weight_halvings: step,
+            health,
+            weight_halvings,
             ejection_s: self.ejection_s,
             ..ZoneHostStats::default()
         };
     }
 }
 
+/// Attempts that were expected at a host since its last load report: `missed` up to the last change of its
+/// `expected_share`, and from then on its share of the zone's attempts.
+pub(crate) fn missed_attempts(
+    missed: f64,
+    attempts_at_last_report: f64,
+    expected_share: f64,
+    attempts_seen: f64,
+) -> f64 {
+    missed + (attempts_seen - attempts_at_last_report) * expected_share
+}
+
+/// How outlier detection in a zone treats a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "StoredHealthState", into = "StoredHealthState")]
 pub(crate) enum HealthState {
+    /// In use, at the weight that the ranking gives it.
     #[default]
-    #[serde(rename = "In")]
     Healthy,
-    #[serde(rename = "Out")]
-    Ejected(Timestamp),
-    #[serde(rename = "Trial")]
-    Probation(Timestamp),
+    /// In no table.
+    Ejected {
+        /// When probation may start.
+        until: Timestamp,
+    },
+    /// In use at a small weight, to see whether it answers.
+    Probation {
+        /// When the host counts as recovered at the latest.
+        until: Timestamp,
+    },
+}
+
+/// The stored form of [`HealthState`].
+#[derive(Serialize, Deserialize)]
+enum StoredHealthState {
+    In,
+    Out(Timestamp),
+    Trial(Timestamp),
+}
+
+impl From<StoredHealthState> for HealthState {
+    fn from(stored: StoredHealthState) -> Self {
+        match stored {
+            StoredHealthState::In => HealthState::Healthy,
+            StoredHealthState::Out(until) => HealthState::Ejected { until },
+            StoredHealthState::Trial(until) => HealthState::Probation { until },
+        }
+    }
+}
+
+impl From<HealthState> for StoredHealthState {
+    fn from(health: HealthState) -> Self {
+        match health {
+            HealthState::Healthy => StoredHealthState::In,
+            HealthState::Ejected { until } => StoredHealthState::Out(until),
+            HealthState::Probation { until } => StoredHealthState::Trial(until),
+        }
+    }
 }
 
-/// What all zones together met at a host since the last round that used it.
+/// What the proxies of all zones together met at a host since the last scoring round that used it.
 pub(crate) struct FreshHostStats {
-    /// The host's position in the roster.
+    /// The host's position in the host index.
     pub(crate) index: usize,
+    /// The host.
     pub(crate) host: HostId,
+    /// Sum of the zones' fresh attempts.
     pub(crate) stats: AttemptStats,
 }
 
-/// Tries that should have come to a host since it was last heard of: `missed` while its part of the zone's
-/// tries was another, and its `part` of all `tries` since `seen`.
-pub(crate) fn missed_attempts(missed: f64, seen: f64, part: f64, tries: f64) -> f64 {
-    missed + (tries - seen) * part
+/// A host that counts for the leading group of a zone.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct ScoredHost {
+    /// Score in milliseconds; lower is better.
+    pub(crate) score: f64,
+    /// Listed weight.
+    pub(crate) weight: f64,
 }
