--- a/crates/wingfold-director/src/incremental/expected_shares.rs
+++ b/crates/wingfold-director/src/incremental/expected_shares.rs
@@ -1,59 +1,83 @@
-//! Which part of a zone's attempts each host should get by the zone's tables.
+//! Which share of a zone's attempts each host should get by the zone's tables.
 use crate::director::Director;
-use crate::incremental::compare_hosts;
+use crate::incremental::position_cursor;
 use crate::interface::HostId;
-use crate::state::{ByZone, Zone};
-use std::cmp::Ordering;
+use crate::state::{ByZone, Subset, Zone};
 use std::collections::BTreeSet;
 
-impl Zone {
-    /// Works out what part of the zone's tries each host should get by its tables, given each slot's work;
-    /// `ids` are all hosts in their order, as the zone's rows have them.
-    fn update_expected_shares(&mut self, ids: &[HostId], work: &[f64]) {
-        let total: f64 = work.iter().sum();
-        let mut parts: Vec<Option<f64>> = vec![None; ids.len()];
-        let mut unlisted: BTreeSet<&HostId> = BTreeSet::new();
-        for (slot, work) in self.subsets.iter().zip(work) {
-            let lines = &slot.tables[0].entries;
-            let all = lines.values().sum::<f64>() * total;
-            let mut next = 0;
-            for (id, weight) in lines {
-                while ids.get(next).is_some_and(|other| compare_hosts(other, id) == Ordering::Less) {
-                    next += 1;
-                }
-                match parts.get_mut(next).filter(|_| compare_hosts(&ids[next], id) == Ordering::Equal) {
-                    Some(part) => *part = Some(part.unwrap_or_default() + work * weight / all),
-                    None => drop(unlisted.insert(id)),
+/// Shares of a zone's attempts that its tables send to their hosts.
+struct ExpectedShares<'a> {
+    /// By position; `None` for a host that no table holds.
+    by_position: Vec<Option<f64>>,
+    /// Hosts of tables that the host index does not have.
+    unindexed: BTreeSet<&'a HostId>,
+}
+
+impl<'a> ExpectedShares<'a> {
+    /// The shares by the tables of a zone's subsets, given the load of each.
+    fn from_tables(subsets: &'a [Subset], ids: &[HostId], loads: &[f64]) -> ExpectedShares<'a> {
+        let total_load: f64 = loads.iter().sum();
+        let mut shares = ExpectedShares { by_position: vec![None; ids.len()], unindexed: BTreeSet::new() };
+        for (subset, load) in subsets.iter().zip(loads) {
+            let entries = &subset.tables[0].entries;
+            let total_weight = entries.values().sum::<f64>() * total_load;
+            let mut positions = position_cursor(ids);
+            for (id, weight) in entries {
+                match positions.find(id) {
+                    Some(position) => shares.add(position, load * weight / total_weight),
+                    None => drop(shares.unindexed.insert(id)),
                 }
             }
         }
-        let listed = parts.iter().filter(|part| part.is_some()).count();
-        self.hosts_in_tables = (listed + unlisted.len()) as f64;
-        let mut next = 0;
-        for (id, path) in &mut self.host_stats {
-            while ids.get(next).is_some_and(|other| compare_hosts(other, id) == Ordering::Less) {
-                next += 1;
+        shares
+    }
+
+    /// Adds to the share of the host at a position.
+    fn add(&mut self, position: usize, share: f64) {
+        let known = self.by_position[position].unwrap_or_default();
+        self.by_position[position] = Some(known + share);
+    }
+
+    /// How many hosts the tables hold.
+    fn host_count(&self) -> usize {
+        let indexed = self.by_position.iter().filter(|share| share.is_some()).count();
+        indexed + self.unindexed.len()
+    }
+}
+
+impl Zone {
+    /// Updates which share of the zone's attempts each host should get by its tables, given the load of each
+    /// subset. `ids` are all hosts by position.
+    fn update_expected_shares(&mut self, ids: &[HostId], loads: &[f64]) {
+        let shares = ExpectedShares::from_tables(&self.subsets, ids, loads);
+        self.hosts_in_tables = shares.host_count() as f64;
+        let by_position = shares.by_position;
+        let (attempts, report_rounds) = self.attempts_seen;
+        let mut positions = position_cursor(ids);
+        for (id, stats) in &mut self.host_stats {
+            let position = positions.find(id);
+            stats.missed_attempts = stats.missed_attempts_by(attempts);
+            let last_heard_round =
+                if stats.expected_share > 0.0 { stats.last_heard.1 } else { report_rounds };
+            stats.last_heard = (attempts, last_heard_round);
+            stats.expected_share = position.and_then(|position| by_position[position]).unwrap_or(0.0);
+            if let Some(position) = position {
+                self.memo.rows.update_expected_share(position, stats);
             }
-            let at = Some(next)
-                .filter(|at| ids.get(*at).is_some_and(|other| compare_hosts(other, id) == Ordering::Equal));
-            path.missed_attempts = path.missed_attempts_by(self.attempts_seen.0);
-            let turns = if path.expected_share > 0.0 { path.last_heard.1 } else { self.attempts_seen.1 };
-            path.last_heard = (self.attempts_seen.0, turns);
-            path.expected_share = at.and_then(|at| parts[at]).unwrap_or(0.0);
-            at.into_iter().for_each(|at| self.memo.rows.update_expected_share(at, path));
         }
         self.memo.evidence += 1;
     }
 }
 
 impl Director {
-    /// Works out what part of its tries each host should get in the zones whose tables have changed; each
-    /// slot has at least so much work.
-    pub(crate) fn update_changed_expected_shares(&self, zones: &mut ByZone<Zone>, least: f64) {
+    /// Updates which share of its attempts each host should get in the zones whose tables have changed. Each
+    /// subset counts for `base_load` requests per second beside those of its proxies.
+    pub(crate) fn update_changed_expected_shares(&self, zones: &mut ByZone<Zone>, base_load: f64) {
         let ids = self.memo.host_index.ids();
         for (name, zone) in zones {
             if std::mem::take(&mut zone.tables_changed) {
-                zone.update_expected_shares(&ids, &self.load_by_subset(name, zone, least));
+                let loads = self.load_by_subset(name, zone, base_load);
+                zone.update_expected_shares(&ids, &loads);
             }
         }
     }
--- a/crates/wingfold-director/src/incremental/host_index.rs
+++ b/crates/wingfold-director/src/incremental/host_index.rs
@@ -1,9 +1,8 @@
 //! The hosts of the fleet by position. What is worked out for each host lies in vectors in this order,
 //! which are far cheaper to go over than the records themselves.
-use crate::incremental::compare_hosts;
+use crate::incremental::{compare_hosts, position_cursor};
 use crate::interface::{Endpoint, HostId, Readiness, ZoneId};
 use crate::state::Host;
-use std::cmp::Ordering;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -120,13 +119,7 @@
 
     /// Brings it in line with the fleet, as of a revision of the list.
     pub(crate) fn update(&mut self, fleet: &BTreeMap<HostId, Host>, revision: u64) -> Reindexing {
-        let mut known = self.ids.iter().enumerate().peekable();
-        let mut old = Vec::with_capacity(fleet.len());
-        for id in fleet.keys() {
-            while known.next_if(|(_, other)| compare_hosts(other, id) == Ordering::Less).is_some() {}
-            let same = known.next_if(|(_, other)| compare_hosts(other, id) == Ordering::Equal);
-            old.push(same.map(|(at, _)| at));
-        }
+        let old = self.previous_index(fleet);
         let shrinks = old.len() < self.ids.len();
         self.ids = Arc::new(fleet.keys().cloned().collect());
         self.index_zones(fleet);
@@ -138,6 +131,12 @@
         Reindexing { previous_revision: before, previous_index: old, shrinks, changed }
     }
 
+    /// The positions that the hosts of the fleet have had until now.
+    fn previous_index(&self, fleet: &BTreeMap<HostId, Host>) -> Vec<Option<usize>> {
+        let mut positions = position_cursor(&self.ids);
+        fleet.keys().map(|id| positions.find(id)).collect()
+    }
+
     fn renewal(&self, told: &ListedHost) -> Option<ChangedHost> {
         Some(ChangedHost { index: self.position(&told.host)?, is_ready: told.is_ready })
     }
--- a/crates/wingfold-director/src/incremental/steps.rs
+++ b/crates/wingfold-director/src/incremental/steps.rs
@@ -52,7 +52,7 @@
             if zone.memo.subset_assignment.is_current(&inputs, self.now) {
                 continue;
             }
-            let rest_end = zone.last_assignment.map(|(_, _, at)| at + rest);
+            let rest_end = zone.last_assignment.map(|last| last.assigned_at + rest);
             self.assign_subsets(name, zone);
             let due = rest_end.filter(|end| *end > self.now).unwrap_or(NEVER);
             zone.memo.subset_assignment.record(inputs, due);
--- a/crates/wingfold-director/src/policy/push.rs
+++ b/crates/wingfold-director/src/policy/push.rs
@@ -1,15 +1,15 @@
 //! What is sent when: the changes of each table by their priority, as far as the send capacity allows.
 use crate::director::Director;
 use crate::incremental::{TableInputs, ZoneTableInputs, NEVER};
-use crate::interface::{Action, ClassId, Retry};
+use crate::interface::{Action, ClassId, ProxyId, Retry};
 use crate::policy::outlier_detection::COMMON_LOSS_RATIO;
 use crate::policy::ranking::RANKING_COOLDOWN_S;
-use crate::policy::send_capacity::{
-    PushPriority, ASSIGNMENT_PRIORITY, BARRIER_INTERVAL_RATIO, DRAIN_PRIORITY, HEALTH_PRIORITY,
-    ORDINARY_PRIORITY, STANDBY_PRIORITY,
-};
+use crate::policy::send_capacity::{PushPriority, BARRIER_INTERVAL_RATIO};
 use crate::policy::subsetting::MIN_REQUESTS_PER_CONNECTION;
-use crate::state::{subsets_by_last_sent, ByZone, EntryChange, HealthState, Zone};
+use crate::state::{
+    subsets_by_last_sent, ByZone, ClassAdmission, EntryChange, HealthState, Table, TableChanges, TablePlan,
+    Zone,
+};
 
 /// The retry policy of every class: proof that an attempt never ran makes a retry safe, whatever its
 /// effect. After any other failure a retry would come after the latency objective, and double the work just
@@ -19,125 +19,302 @@
 const WEIGHT_CHANGE_RATIO: f64 = 0.02;
 /// Ratio of the drain grace after which proxies that wait for their tables go before tables in use.
 const JOIN_PRIORITY_AFTER_GRACE_RATIO: f64 = 0.2;
+/// Requests per second that each subset counts for beside those of its proxies: one that has none yet gets
+/// attempts soon.
+const BASE_SUBSET_LOAD_PER_S: f64 = 1e-3;
+
+/// What is sent of a table in this evaluation.
+struct TablePush {
+    /// The table is cleared first, and `changes` hold all its entries but the standby ones.
+    replaces_table: bool,
+    /// Entries and admission levels to send.
+    changes: TableChanges,
+}
+
+impl TablePush {
+    /// Changes of a table that keeps its other entries.
+    fn update(changes: TableChanges) -> TablePush {
+        TablePush { replaces_table: false, changes }
+    }
+
+    /// A table that is sent as planned, without standby entries.
+    fn replacement(plan: &TablePlan, admission_levels: Vec<ClassAdmission>) -> TablePush {
+        let changes = TableChanges { entries: plan.full_table_changes(), admission_levels };
+        TablePush { replaces_table: true, changes }
+    }
+
+    /// Lines that this is in a message.
+    fn lines(&self) -> usize {
+        usize::from(self.replaces_table) + self.changes.len()
+    }
+
+    /// Appends the actions and records them in the table.
+    fn send(self, table: &mut Table, out: &mut Vec<Action>) {
+        if self.replaces_table {
+            out.push(Action::ClearTable(table.id));
+            table.clear();
+        }
+        out.extend(table.actions(&self.changes, RETRY_POLICY));
+        table.record_sent(self.changes);
+    }
+}
+
+/// What the proxies that wait for their tables, and the size of tables, leave to other changes.
+struct PushConditions {
+    /// The tables of waiting proxies would exceed the in-flight limit of ordinary changes.
+    is_join_burst: bool,
+    /// Tables have standby entries.
+    with_standby: bool,
+    /// The priority that every change has at least.
+    least_priority: PushPriority,
+}
+
+/// What a table lacks of its plan.
+struct PendingPush<'a> {
+    /// The proxies that the table is assigned to.
+    proxies: &'a [ProxyId],
+    /// What the table should hold.
+    plan: &'a TablePlan<'a>,
+    /// What is not sent yet, new standby entries apart.
+    missing: TableChanges,
+    /// New standby entries.
+    standby: Vec<EntryChange>,
+    /// The admission levels that the table should hold.
+    admission_levels: Vec<ClassAdmission>,
+}
+
+impl PendingPush<'_> {
+    /// Whether the table holds all that it should.
+    fn is_empty(&self) -> bool {
+        self.missing.is_empty() && self.standby.is_empty()
+    }
+
+    /// Lines of a message that replaces the table.
+    fn replacement_lines(&self) -> usize {
+        1 + self.plan.active_entries().count() + self.admission_levels.len()
+    }
+}
 
 impl Director {
+    /// Sends what tables lack of their plans and assigns waiting proxies, as far as the send capacity
+    /// allows.
     pub(crate) fn reconcile_tables(&mut self, zones: &mut ByZone<Zone>, out: &mut Vec<Action>) {
         self.expire_barriers();
-        // Who was sent nothing for longest goes first: where the channel is short none must wait for ever.
         let waiting = self.proxies_awaiting_assignment();
-        let shared = self.zone_table_inputs(zones, &waiting);
-        for (name, at) in subsets_by_last_sent(zones) {
-            let Some(zone) = zones.get_mut(&name) else { continue };
-            (0..self.class_groups.len())
-                .for_each(|group| self.push_changes(zone, &shared[&name], group, at, out));
+        let inputs = self.zone_table_inputs(zones, &waiting);
+        // Where the send capacity is short no subset must wait for ever.
+        for subset in subsets_by_last_sent(zones) {
+            let Some(zone) = zones.get_mut(&subset.zone) else { continue };
+            for group in 0..self.class_groups.len() {
+                self.push_changes(zone, &inputs[&subset.zone], group, subset.index, out);
+            }
         }
-        self.update_changed_expected_shares(zones, 1e-3);
+        self.update_changed_expected_shares(zones, BASE_SUBSET_LOAD_PER_S);
         if !waiting.is_empty() {
             self.assign_proxies(zones, waiting, out);
         }
-        self.finish_messages(BARRIER_INTERVAL_RATIO * self.in_flight_limit(DRAIN_PRIORITY), out);
+        let barrier_interval = BARRIER_INTERVAL_RATIO * self.in_flight_limit(PushPriority::DRAIN);
+        self.finish_messages(barrier_interval, out);
     }
 
-    /// Sends the differences of a table for a group of classes if the most urgent may go now, and then as
-    /// many new spares as there is room for.
+    /// Sends the changes of a subset's table for a group of classes if the most urgent may be sent now, and
+    /// then as many new standby entries as the send capacity allows.
     fn push_changes(
         &mut self,
         zone: &mut Zone,
         shared: &ZoneTableInputs,
         group: usize,
-        at: usize,
+        subset_index: usize,
         out: &mut Vec<Action>,
     ) {
-        let (usable, users, waiting) =
-            (&shared.eligible[group], &shared.proxies_by_subset[at], shared.waiting_proxies);
-        let own =
-            (0..self.settings.classes.len()).filter(|at| self.class_groups[group].classes >> at & 1 == 1);
-        let wanted: Vec<_> = own.map(|at| (ClassId(at), shared.admission_levels[at])).collect();
-        // Spares are a luxury: joiners must not wait for them, nor may they cost connections that run short.
-        let joins = self.send_queue.queued_lines + (waiting * usable.len() * self.class_groups.len()) as f64;
-        let crowded = waiting > 0 && joins > self.in_flight_limit(ORDINARY_PRIORITY);
-        // Those that the channel can't lay within a cooldown would never be whole, and hold up all that is.
-        let laid_by = (self.proxies.len() * usable.len() * self.class_groups.len()) as f64
-            / self.settings.send_rate_lines_per_s;
-        let spared = laid_by <= RANKING_COOLDOWN_S
-            && !crowded
-            && zone.requests_per_connection <= MIN_REQUESTS_PER_CONNECTION;
-        let (slot, table) = (&zone.subsets[at], &zone.subsets[at].tables[group]);
-        let inputs = TableInputs::new(shared, slot, table, zone.baseline_loss >= COMMON_LOSS_RATIO, spared);
+        let conditions = self.push_conditions(zone, shared, group);
+        let subset = &zone.subsets[subset_index];
+        let table = &subset.tables[group];
+        let loss_is_common = zone.baseline_loss >= COMMON_LOSS_RATIO;
+        let inputs = TableInputs::new(shared, subset, table, loss_is_common, conditions.with_standby);
         if table.up_to_date.is_current(&inputs, self.now) {
             return;
         }
-        let plan = self.plan_table(zone, shared, group, slot, table.peak_weight);
-        let (mut changes, mut levels) = table.changes_to(&plan, spared, &wanted, WEIGHT_CHANGE_RATIO);
-        let spares = if spared { plan.missing_standby_entries(table) } else { Vec::new() };
-        let urgent = changes.iter().map(|change| self.change_priority(zone, change));
-        // In a crowd the joiners' part of the channel is for all: tables that stand still jam hosts. Joiners
-        // have it for themselves once the first of them has waited for a good part of its grace.
-        let least = if crowded
-            && shared.longest_wait_s < JOIN_PRIORITY_AFTER_GRACE_RATIO * self.settings.drain_grace.secs()
-        {
-            ASSIGNMENT_PRIORITY
-        } else {
-            ORDINARY_PRIORITY
+        let plan = self.plan_table(zone, shared, group, subset, table.peak_weight);
+        let levels = self.planned_admission_levels(shared, group);
+        let proxies = &shared.proxies_by_subset[subset_index];
+        let pending = PendingPush {
+            proxies,
+            plan: &plan,
+            missing: table.changes_to(&plan, conditions.with_standby, &levels, WEIGHT_CHANGE_RATIO),
+            standby: if conditions.with_standby { plan.missing_standby_entries(table) } else { Vec::new() },
+            admission_levels: levels,
         };
-        let urgency = urgent.fold(least, |a, b| if b > a { b } else { a });
-        let (mut anew, mut count) = (false, changes.len() + levels.len());
-        let settled = count == 0 && spares.is_empty();
-        // A table that none holds yet costs nothing: it must be whole before a proxy is bound.
-        let short = 1 + plan.active_entries().count() + wanted.len();
-        let shorter = short < count && (crowded || urgency == DRAIN_PRIORITY);
-        let tight = shorter || !self.has_capacity(urgency, count, users);
-        if count > 0 && !users.is_empty() && tight {
-            // Where there is no room for all, a table is laid anew without spares if that is shorter;
-            // else what is urgent must not wait for the rest, but for new lines: a table was left empty.
-            anew = short < count && self.has_capacity(urgency, short, users);
-            if anew {
-                (changes, levels, count) = (plan.full_table_changes(), wanted.clone(), short);
-            } else {
-                changes.retain(|change| change.adds_entry() || self.change_priority(zone, change) == urgency);
-                (levels, count) = (Vec::new(), changes.len());
-                if urgency == ORDINARY_PRIORITY || !self.has_capacity(urgency, count, users) {
-                    return;
-                }
-            }
-        }
-        if anew {
+        let is_up_to_date = pending.is_empty();
+        let Some(push) = self.select_push(zone, shared, &conditions, pending) else { return };
+        if push.replaces_table {
             zone.standby_paused_until = self.seconds_from_now(RANKING_COOLDOWN_S);
-        } else if waiting == 0
-            && self.now >= zone.standby_paused_until
-            && self.has_capacity(STANDBY_PRIORITY, count + 1, users)
-        {
-            let room = (self.in_flight_limit(STANDBY_PRIORITY) - self.send_queue.queued_lines)
-                / users.len().max(1) as f64;
-            let most = (room - self.message_head_lines()) as usize;
-            changes.extend(spares.into_iter().take(most.saturating_sub(count)));
-            count = changes.len() + levels.len();
-        }
-        let table = &mut zone.subsets[at].tables[group];
-        table.peak_weight = plan.peak_weight;
-        if anew {
-            out.push(Action::ClearTable(table.id));
-            table.clear();
         }
-        out.extend(table.actions(&changes, &levels, RETRY_POLICY));
-        table.record_sent(changes, levels);
-        if settled {
+        let lines = push.lines();
+        let table = &mut zone.subsets[subset_index].tables[group];
+        table.peak_weight = plan.peak_weight;
+        push.send(table, out);
+        if is_up_to_date {
             table.up_to_date.record(inputs.with_peak_weight(table.peak_weight), NEVER);
         }
-        if count > 0 {
-            self.record_messages(count, users);
-            (zone.tables_changed, zone.subsets[at].last_sent_at) = (true, self.now);
+        if lines > 0 {
+            self.record_messages(lines, proxies);
+            zone.tables_changed = true;
+            zone.subsets[subset_index].last_sent_at = self.now;
+        }
+    }
+
+    /// What holds for the changes of all tables of a zone for a group of classes.
+    fn push_conditions(&self, zone: &Zone, shared: &ZoneTableInputs, group: usize) -> PushConditions {
+        let is_join_burst = self.is_join_burst(shared, group);
+        PushConditions {
+            is_join_burst,
+            with_standby: !is_join_burst && self.allows_standby_entries(zone, shared, group),
+            least_priority: self.least_priority(shared, is_join_burst),
         }
     }
 
-    /// How urgent a change of a line is: a cold host has its budget from the start, so its old share goes.
+    /// Whether the tables that waiting proxies need would exceed the in-flight limit of ordinary changes.
+    fn is_join_burst(&self, shared: &ZoneTableInputs, group: usize) -> bool {
+        let table_lines = shared.eligible[group].len() * self.class_groups.len();
+        let needed_lines = self.send_queue.queued_lines + (shared.waiting_proxies * table_lines) as f64;
+        shared.waiting_proxies > 0 && needed_lines > self.in_flight_limit(PushPriority::ORDINARY)
+    }
+
+    /// Whether tables have standby entries. They cost connections, which may run short, and where all of
+    /// them can't be sent within a cooldown they would never be complete and delay all other changes.
+    fn allows_standby_entries(&self, zone: &Zone, shared: &ZoneTableInputs, group: usize) -> bool {
+        let all_entries = self.proxies.len() * shared.eligible[group].len() * self.class_groups.len();
+        let send_time_s = all_entries as f64 / self.settings.send_rate_lines_per_s;
+        send_time_s <= RANKING_COOLDOWN_S && zone.requests_per_connection <= MIN_REQUESTS_PER_CONNECTION
+    }
+
+    /// The admission level of each class of a group.
+    fn planned_admission_levels(&self, shared: &ZoneTableInputs, group: usize) -> Vec<ClassAdmission> {
+        let group = &self.class_groups[group];
+        (0..self.settings.classes.len())
+            .filter(|class| group.classes >> class & 1 == 1)
+            .map(|class| ClassAdmission { class: ClassId(class), level: shared.admission_levels[class] })
+            .collect()
+    }
+
+    /// The priority that every change has at least. In a burst of joining proxies all changes share their
+    /// send capacity, since tables that are not updated overload hosts, until the first of the proxies has
+    /// waited for a good part of the drain grace.
+    fn least_priority(&self, shared: &ZoneTableInputs, is_join_burst: bool) -> PushPriority {
+        let shared_until_s = JOIN_PRIORITY_AFTER_GRACE_RATIO * self.settings.drain_grace.secs();
+        if is_join_burst && shared.longest_wait_s < shared_until_s {
+            PushPriority::ASSIGNMENT
+        } else {
+            PushPriority::ORDINARY
+        }
+    }
+
+    /// The priority of the most urgent of some changes, and `least` at least.
+    fn most_urgent_priority(
+        &self,
+        zone: &Zone,
+        changes: &[EntryChange],
+        least: PushPriority,
+    ) -> PushPriority {
+        let priorities = changes.iter().map(|change| self.change_priority(zone, change));
+        priorities.fold(least, PushPriority::most_urgent)
+    }
+
+    /// The priority of a change. A host that is warming up loses weight at health priority: its budget is
+    /// small from the start, and what exceeds it would overload it.
     fn change_priority(&self, zone: &Zone, change: &EntryChange) -> PushPriority {
-        let out =
-            || zone.host_stats.get(&change.host).is_some_and(|p| matches!(p.health, HealthState::Ejected(_)));
-        match change.lowers_weight().then(|| &self.hosts[&change.host]) {
-            Some(host) if !host.is_ready() => DRAIN_PRIORITY,
-            Some(host) if out() || self.age_in_warm_ups(host) < 1.0 => HEALTH_PRIORITY,
-            _ => ORDINARY_PRIORITY, // Only hosts that are ready get more.
+        if !change.lowers_weight() {
+            return PushPriority::ORDINARY;
+        }
+        let host = &self.hosts[&change.host];
+        if !host.is_ready() {
+            return PushPriority::DRAIN;
+        }
+        let stats = zone.host_stats.get(&change.host);
+        let is_ejected = stats.is_some_and(|stats| matches!(stats.health, HealthState::Ejected(_)));
+        if is_ejected || self.age_in_warm_ups(host) < 1.0 {
+            PushPriority::HEALTH
+        } else {
+            PushPriority::ORDINARY
+        }
+    }
+
+    /// What is sent of a table's changes now: `None` if the send capacity admits nothing.
+    fn select_push(
+        &self,
+        zone: &Zone,
+        shared: &ZoneTableInputs,
+        conditions: &PushConditions,
+        mut pending: PendingPush,
+    ) -> Option<TablePush> {
+        let proxies = pending.proxies;
+        let standby = std::mem::take(&mut pending.standby);
+        let mut push = self.select_missing_changes(zone, conditions, pending)?;
+        let no_proxy_waits = shared.waiting_proxies == 0;
+        if no_proxy_waits && !push.replaces_table && self.now >= zone.standby_paused_until {
+            self.add_standby_entries(&mut push.changes, standby, proxies);
+        }
+        Some(push)
+    }
+
+    /// What is sent of a table's missing changes: all of them, a replacement of the table where that is
+    /// shorter, or the most urgent ones alone.
+    fn select_missing_changes(
+        &self,
+        zone: &Zone,
+        conditions: &PushConditions,
+        pending: PendingPush,
+    ) -> Option<TablePush> {
+        let replacement_lines = pending.replacement_lines();
+        let PendingPush { proxies, plan, missing, admission_levels, .. } = pending;
+        // A table without proxies costs nothing, and must be complete before a proxy is assigned to it.
+        if missing.is_empty() || proxies.is_empty() {
+            return Some(TablePush::update(missing));
+        }
+        let priority = self.most_urgent_priority(zone, &missing.entries, conditions.least_priority);
+        let is_replacement_shorter = replacement_lines < missing.len();
+        let prefers_replacement =
+            is_replacement_shorter && (conditions.is_join_burst || priority == PushPriority::DRAIN);
+        if !prefers_replacement && self.has_capacity(priority, missing.len(), proxies) {
+            return Some(TablePush::update(missing));
+        }
+        if is_replacement_shorter && self.has_capacity(priority, replacement_lines, proxies) {
+            return Some(TablePush::replacement(plan, admission_levels));
+        }
+        self.select_urgent_changes(zone, missing.entries, priority, proxies)
+    }
+
+    /// The most urgent changes alone, if the send capacity admits them. New entries go with them, or the
+    /// table might be left empty.
+    fn select_urgent_changes(
+        &self,
+        zone: &Zone,
+        mut entries: Vec<EntryChange>,
+        priority: PushPriority,
+        proxies: &[ProxyId],
+    ) -> Option<TablePush> {
+        entries.retain(|change| change.adds_entry() || self.change_priority(zone, change) == priority);
+        if priority == PushPriority::ORDINARY || !self.has_capacity(priority, entries.len(), proxies) {
+            return None;
+        }
+        Some(TablePush::update(TableChanges { entries, admission_levels: Vec::new() }))
+    }
+
+    /// Adds as many new standby entries to a table's changes as the send capacity allows.
+    fn add_standby_entries(
+        &self,
+        changes: &mut TableChanges,
+        standby: Vec<EntryChange>,
+        proxies: &[ProxyId],
+    ) {
+        let lines = changes.len();
+        if !self.has_capacity(PushPriority::STANDBY, lines + 1, proxies) {
+            return;
         }
+        let free_lines = self.in_flight_limit(PushPriority::STANDBY) - self.send_queue.queued_lines;
+        let free_lines_per_proxy = free_lines / proxies.len().max(1) as f64;
+        let max_lines = (free_lines_per_proxy - self.lines_per_message()) as usize;
+        changes.entries.extend(standby.into_iter().take(max_lines.saturating_sub(lines)));
     }
 }
--- a/crates/wingfold-director/src/policy/send_capacity.rs
+++ b/crates/wingfold-director/src/policy/send_capacity.rs
@@ -1,125 +1,171 @@
-//! Send capacity: how much may be under way to the proxies at once, by the priority of a message.
+//! Send capacity: how much may be in flight to the proxies at once, by the priority of a message.
+//!
+//! The size of a message is counted in lines, as the settings limit it: each table entry, admission level
+//! and barrier is one line, and each message has a fixed overhead besides.
 use crate::director::Director;
 use crate::interface::{Action, Micros, ProxyId, Timestamp};
 
-/// A barrier is sent once this ratio of the in-flight limit went without one.
+/// A barrier is sent once this ratio of the in-flight limit has been sent without one.
 pub(crate) const BARRIER_INTERVAL_RATIO: f64 = 0.02;
-/// A barrier expires once its lines would have left at this ratio of the drain rate last measured,
-pub(crate) const MIN_DRAIN_RATE_RATIO: f64 = 0.25;
-/// in so many seconds at most,
-pub(crate) const MAX_DRAIN_WAIT_S: f64 = 15.0;
-/// and after this many seconds more while acknowledgements come, since single ones may be lost,
-pub(crate) const ACKNOWLEDGEMENT_TIMEOUT_S: f64 = 6.0;
-/// or after this many where none come.
-pub(crate) const SILENT_ACKNOWLEDGEMENT_TIMEOUT_S: f64 = 1.0;
-/// Seconds of sending that may wait in the queue, where no message overtakes another: more is held back here.
+/// Least drain rate, as a ratio of the one last measured, that a barrier is waited for at.
+const MIN_DRAIN_RATE_RATIO: f64 = 0.25;
+/// Longest time in seconds that a barrier's lines are given to leave the send queue.
+const MAX_DRAIN_WAIT_S: f64 = 15.0;
+/// Seconds after its delivery in which a barrier must be acknowledged while acknowledgements come: single
+/// ones may be lost.
+const ACKNOWLEDGEMENT_TIMEOUT_S: f64 = 6.0;
+/// The same where no acknowledgement is expected.
+const SILENT_ACKNOWLEDGEMENT_TIMEOUT_S: f64 = 1.0;
+/// Seconds of sending that the send queue may hold. No message overtakes another there, so that whatever is
+/// less urgent is better held back.
 const MAX_QUEUED_S: f64 = 2.0;
-/// Seconds of sending that must have waited before a message for its time to tell the drain rate.
+/// Seconds of sending that must have been queued before a message for its delay to show the drain rate.
 const MIN_RATE_SAMPLE_S: f64 = 0.25;
-/// How urgent a message is: the ratio of the in-flight limit, and of the messages to a proxy, that it may
-/// use.
-pub(crate) type PushPriority = (f64, f64);
-/// A host that drains leaves a table.
-pub(crate) const DRAIN_PRIORITY: PushPriority = (0.9, 1.0);
-/// A proxy gets its first tables.
-pub(crate) const ASSIGNMENT_PRIORITY: PushPriority = (0.8, 0.9);
-/// A host that was ejected or has just started loses weight.
-pub(crate) const HEALTH_PRIORITY: PushPriority = (0.5, 0.7);
-/// Any other change.
-pub(crate) const ORDINARY_PRIORITY: PushPriority = (0.25, 0.4);
-/// A standby entry.
-pub(crate) const STANDBY_PRIORITY: PushPriority = (0.1, 0.25);
+/// Weight of a new sample in the smoothed drain rate.
+const DRAIN_RATE_SMOOTHING: f64 = 0.1;
+/// Barriers are numbered below this.
+const BARRIER_NUMBERS: u64 = 65_536;
+
+/// How urgent a message is: the more urgent, the more of the shared limits it may use.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+pub(crate) struct PushPriority {
+    /// Ratio of the in-flight limit that may be used up, this message included.
+    in_flight_ratio: f64,
+    /// Ratio of the messages that one proxy may get within the message window.
+    message_ratio: f64,
+}
+
+impl PushPriority {
+    /// A host that drains is removed from a table.
+    pub(crate) const DRAIN: PushPriority = PushPriority { in_flight_ratio: 0.9, message_ratio: 1.0 };
+    /// A proxy gets its first tables.
+    pub(crate) const ASSIGNMENT: PushPriority = PushPriority { in_flight_ratio: 0.8, message_ratio: 0.9 };
+    /// A host that was ejected or has just started loses weight.
+    pub(crate) const HEALTH: PushPriority = PushPriority { in_flight_ratio: 0.5, message_ratio: 0.7 };
+    /// Any other change of an entry or an admission level.
+    pub(crate) const ORDINARY: PushPriority = PushPriority { in_flight_ratio: 0.25, message_ratio: 0.4 };
+    /// A standby entry is added.
+    pub(crate) const STANDBY: PushPriority = PushPriority { in_flight_ratio: 0.1, message_ratio: 0.25 };
+
+    /// The more urgent of two priorities.
+    pub(crate) fn most_urgent(self, other: PushPriority) -> PushPriority {
+        if other > self {
+            other
+        } else {
+            self
+        }
+    }
+}
 
 impl Director {
-    /// Lines a second that the channel sends at present.
+    /// Lines per second that leave the send queue at present: as measured, or else as in the settings.
     pub(crate) fn drain_rate_per_s(&self) -> f64 {
-        match self.send_queue.drain_rate_per_s > 0.0 {
-            true => self.send_queue.drain_rate_per_s,
-            false => self.settings.send_rate_lines_per_s,
+        if self.send_queue.drain_rate_per_s > 0.0 {
+            self.send_queue.drain_rate_per_s
+        } else {
+            self.settings.send_rate_lines_per_s
         }
     }
 
-    /// Lines that may be under way for orders of an urgency: those waiting in the channel and those past it.
-    pub(crate) fn in_flight_limit(&self, (queue, _): PushPriority) -> f64 {
-        let pace = self.drain_rate_per_s();
-        (queue * self.settings.max_queued_lines)
-            .min(pace * (queue * MAX_QUEUED_S + self.settings.mean_push_delay.secs()))
+    /// Lines that may be in flight for messages of a priority: those in the send queue and those that have
+    /// left it and are not delivered yet.
+    pub(crate) fn in_flight_limit(&self, priority: PushPriority) -> f64 {
+        let ratio = priority.in_flight_ratio;
+        let delivery_s = self.settings.mean_push_delay.secs();
+        (ratio * self.settings.max_queued_lines)
+            .min(self.drain_rate_per_s() * (ratio * MAX_QUEUED_S + delivery_s))
     }
 
-    /// Whether orders of `lines` lines to each of some proxies may go now.
-    pub(crate) fn has_capacity(&self, urgency: PushPriority, lines: usize, users: &[ProxyId]) -> bool {
-        let most = urgency.1 * self.settings.max_messages_per_proxy as f64;
-        let recent = |at: &&Timestamp| self.now.since(**at) <= self.settings.message_window.secs();
-        let free = |id: &ProxyId| {
-            let sent = || self.proxies[id].send_times.iter().filter(recent).count() as f64;
-            most == 0.0 || self.pending_messages.contains_key(id) || sent() + 1.0 <= most
-        };
-        let lines = (lines as f64 + self.message_head_lines()) * users.len() as f64;
-        self.send_queue.queued_lines + lines <= self.in_flight_limit(urgency) && users.iter().all(free)
+    /// Whether `lines` lines may be sent now to each of some proxies.
+    pub(crate) fn has_capacity(&self, priority: PushPriority, lines: usize, proxies: &[ProxyId]) -> bool {
+        let new_lines = (lines as f64 + self.lines_per_message()) * proxies.len() as f64;
+        self.send_queue.queued_lines + new_lines <= self.in_flight_limit(priority)
+            && proxies.iter().all(|proxy| self.may_get_message(priority, *proxy))
+    }
+
+    /// Whether the limit on the messages to one proxy admits another. A proxy that gets one in this
+    /// evaluation anyway gets no further message, but a longer one.
+    fn may_get_message(&self, priority: PushPriority, proxy: ProxyId) -> bool {
+        let max_messages = priority.message_ratio * self.settings.max_messages_per_proxy as f64;
+        if max_messages == 0.0 || self.pending_messages.contains_key(&proxy) {
+            return true;
+        }
+        let window_s = self.settings.message_window.secs();
+        let is_recent = |sent_at: &&Timestamp| self.now.since(**sent_at) <= window_s;
+        let recent_messages = self.proxies[&proxy].send_times.iter().filter(is_recent).count() as f64;
+        recent_messages + 1.0 <= max_messages
     }
 
-    /// Lines that a message counts besides its own: its head, and a mark if it has one.
-    pub(crate) fn message_head_lines(&self) -> f64 {
+    /// Lines that each message counts besides its changes: its overhead, and a barrier if it has one.
+    pub(crate) fn lines_per_message(&self) -> f64 {
         self.settings.message_overhead_lines + 1.0
     }
 
-    /// Counts what goes to some proxies: all that one answer sends a proxy is one message.
-    pub(crate) fn record_messages(&mut self, lines: usize, users: &[ProxyId]) {
-        let head = self.message_head_lines();
-        for id in users {
-            let first = !self.pending_messages.contains_key(id);
-            let counted = lines as f64 + if first { head } else { 0.0 };
-            *self.pending_messages.entry(*id).or_default() += counted;
-            self.send_queue.queued_lines += counted;
-            let Some(proxy) = self.proxies.get_mut(id).filter(|_| first) else { continue };
-            proxy.send_times.push_back(self.now);
-            proxy.send_times.drain(
-                ..proxy.send_times.len().saturating_sub(self.settings.max_messages_per_proxy as usize),
-            );
+    /// Records that `lines` lines are sent to each of some proxies. All that a proxy gets in one evaluation
+    /// is one message.
+    pub(crate) fn record_messages(&mut self, lines: usize, proxies: &[ProxyId]) {
+        let message_lines = self.lines_per_message();
+        for id in proxies {
+            let is_first = !self.pending_messages.contains_key(id);
+            let overhead = if is_first { message_lines } else { 0.0 };
+            let sent_lines = lines as f64 + overhead;
+            *self.pending_messages.entry(*id).or_default() += sent_lines;
+            self.send_queue.queued_lines += sent_lines;
+            if is_first {
+                self.record_send_time(*id);
+            }
         }
     }
 
-    /// Books the messages of one answer, with a mark in each once more than `most` lines have gone without
-    /// one.
-    pub(crate) fn finish_messages(&mut self, most: f64, out: &mut Vec<Action>) {
-        let sending = std::mem::take(&mut self.pending_messages);
-        let unmarked = self.send_queue.lines_since_barrier + sending.values().sum::<f64>();
-        let marked = unmarked > most && !sending.is_empty();
-        if marked {
-            self.send_queue.last_barrier = (self.send_queue.last_barrier + 1) % 65_536;
+    /// Records that a message is sent to a proxy now. As many times are kept as are limited.
+    fn record_send_time(&mut self, id: ProxyId) {
+        let max_messages = self.settings.max_messages_per_proxy as usize;
+        let Some(proxy) = self.proxies.get_mut(&id) else { return };
+        proxy.send_times.push_back(self.now);
+        let surplus = proxy.send_times.len().saturating_sub(max_messages);
+        proxy.send_times.drain(..surplus);
+    }
+
+    /// Completes the messages of this evaluation. Each carries a barrier once more than `barrier_interval`
+    /// lines have been sent without one.
+    pub(crate) fn finish_messages(&mut self, barrier_interval: f64, out: &mut Vec<Action>) {
+        let messages = std::mem::take(&mut self.pending_messages);
+        let lines_since_barrier = self.send_queue.lines_since_barrier + messages.values().sum::<f64>();
+        let has_barrier = lines_since_barrier > barrier_interval && !messages.is_empty();
+        if has_barrier {
+            self.send_queue.last_barrier = (self.send_queue.last_barrier + 1) % BARRIER_NUMBERS;
             out.push(Action::Barrier { all_proxies: false, number: self.send_queue.last_barrier });
         }
-        self.send_queue.record_sent(self.now, sending, marked);
+        self.send_queue.record_sent(self.now, messages, has_barrier);
     }
 
-    /// Takes in that a proxy has applied a barrier, and what that tells of the drain rate.
+    /// Records that a proxy has acknowledged a barrier, `elapsed` after it was sent, and what that shows of
+    /// the drain rate.
     pub(crate) fn record_acknowledgement(&mut self, proxy: ProxyId, barrier: u64, elapsed: Micros) {
         let nominal_rate = self.settings.send_rate_lines_per_s;
         let min_measurement_s = 2.0 * self.settings.max_push_delay.secs();
-        let waited = self.send_queue.acknowledge(self.now, proxy, barrier, min_measurement_s);
+        let queued_lines = self.send_queue.acknowledge(self.now, proxy, barrier, min_measurement_s);
         let min_lines = MIN_RATE_SAMPLE_S * self.drain_rate_per_s();
-        let Some(lines) = waited.filter(|lines| *lines > min_lines) else { return };
-        // What waited before the message, over its time without the way, is the drain rate.
+        let Some(queued_lines) = queued_lines.filter(|lines| *lines > min_lines) else { return };
         let queued_s = (elapsed.secs() - self.settings.mean_push_delay.secs()).max(0.0);
         let known_rate = self.drain_rate_per_s();
-        let sample = (lines / queued_s).min(nominal_rate);
-        self.send_queue.drain_rate_per_s = known_rate + 0.1 * (sample - known_rate);
+        let sample = (queued_lines / queued_s).min(nominal_rate);
+        self.send_queue.drain_rate_per_s = known_rate + DRAIN_RATE_SMOOTHING * (sample - known_rate);
     }
 
     /// Gives up on the oldest barrier if it should have been acknowledged long ago.
     pub(crate) fn expire_barriers(&mut self) {
         let nominal_rate = self.settings.send_rate_lines_per_s;
-        let Some(silence) = self.send_queue.acknowledgement_silence(self.now, &self.proxies, nominal_rate)
-        else {
-            return;
-        };
-        let timeout_s = match silence.acknowledgement_expected {
-            true => ACKNOWLEDGEMENT_TIMEOUT_S,
-            false => SILENT_ACKNOWLEDGEMENT_TIMEOUT_S,
+        let silence = self.send_queue.acknowledgement_silence(self.now, &self.proxies, nominal_rate);
+        let Some(silence) = silence else { return };
+        let timeout_s = if silence.acknowledgement_expected {
+            ACKNOWLEDGEMENT_TIMEOUT_S
+        } else {
+            SILENT_ACKNOWLEDGEMENT_TIMEOUT_S
         };
-        let way_s = self.settings.max_push_delay.secs() + timeout_s;
+        let delivery_s = self.settings.max_push_delay.secs() + timeout_s;
         let drain_s = (silence.drain_s / MIN_DRAIN_RATE_RATIO).min(MAX_DRAIN_WAIT_S);
-        if silence.silent_s > way_s + drain_s {
+        if silence.silent_s > delivery_s + drain_s {
             self.send_queue.expire_oldest_barrier(self.now);
         }
     }
--- a/crates/wingfold-director/src/policy/subsetting.rs
+++ b/crates/wingfold-director/src/policy/subsetting.rs
@@ -1,17 +1,20 @@
 //! Deterministic subsetting: which part of the hosts a subset of proxies uses at listed weight, and how
 //! large it is.
 //!
-//! Each zone's proxies share subsets, and each subset an arc of a ring of all hosts.
+//! Each zone's proxies share subsets, and each subset an arc of a ring of all hosts. An arc has all hosts
+//! unless proxies send so little that most connections would close idle before they are used again:
+//! handshakes then take up the hosts' capacity, and each arc is as long as its share of the load, with all
+//! other hosts as standby entries.
 use crate::director::Director;
 use crate::interface::{Notice, ZoneId};
 use crate::policy::admission::SATURATED_UTILIZATION;
 use crate::policy::outlier_detection::COMMON_LOSS_RATIO;
 use crate::policy::ranking::{CONFIRMING_ROUNDS, RANKING_COOLDOWN_S};
-use crate::state::{Subset, Zone};
+use crate::state::{RingArc, Subset, SubsetAssignment, Zone};
 
 /// Requests that a connection should carry before it would close idle.
 pub(crate) const MIN_REQUESTS_PER_CONNECTION: f64 = 3.0;
-/// The same where connections run short.
+/// The same where connections are short.
 const MAX_REQUESTS_PER_CONNECTION: f64 = 48.0;
 /// Hosts of a subset, at least.
 pub(crate) const MIN_SUBSET_HOSTS: f64 = 3.0;
@@ -19,60 +22,103 @@
 const FULL_SUBSET_RATIO: f64 = 0.7;
 /// Proxies that share a subset.
 const PROXIES_PER_SUBSET: f64 = 5.0;
-/// The same where connections run short.
+/// The same where connections are short.
 const PROXIES_PER_FINE_SUBSET: f64 = 2.0;
-/// Arcs are laid again once one would move by more than this ratio of its length.
+/// Arcs are assigned again once one would move by more than this ratio of its length.
 const SUBSET_CHANGE_RATIO: f64 = 0.25;
 /// Ratio of the hosts that must have been reported for a loss to be common.
 const MIN_REPORTED_HOST_RATIO: f64 = 0.2;
 /// Hosts that are enough for a mean, however many there are.
 pub(crate) const MIN_SAMPLE_HOSTS: f64 = 16.0;
+/// Recent attempts from which a host counts as reported.
+const MIN_REPORTED_ATTEMPTS: f64 = 2.0;
+/// Loss below which connections are no longer short.
+const CALM_LOSS_RATIO: f64 = COMMON_LOSS_RATIO / 5.0;
+/// Calm rounds after which a subset grows.
+const CALM_ROUNDS: u32 = 2 * CONFIRMING_ROUNDS;
+/// Least requests per second of a zone.
+const MIN_ZONE_REQUESTS_PER_S: f64 = 1e-9;
+/// Ratio of the mean load of a zone's subsets that each counts for beside the load of its proxies: one
+/// without proxies must have an arc when the first comes.
+const BASE_SUBSET_LOAD_RATIO: f64 = 0.1;
 
-/// Arcs of the ring of hosts for slots of some work, laid end to end from `begin` on: the start of each,
-/// and its share of the work. They lie in the order of their numbers' multiples of the golden ratio: arcs
-/// of slots opened one after the other are scattered evenly, and another slot changes nothing in the order
-/// of those before.
-fn ring_arcs(work: &[f64], begin: f64) -> Vec<(f64, f64)> {
+/// Arcs of the ring of hosts for subsets of some load, laid end to end from `start` on, each as long as its
+/// share of the load.
+///
+/// They lie in the order of the fractions of their numbers' multiples of the golden ratio: subsets added one
+/// after the other are filled by proxies that connect at once, and must not crowd onto the same few hosts.
+/// Another subset changes nothing in the order of those before.
+fn ring_arcs(loads: &[f64], start: f64) -> Vec<RingArc> {
     const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
-    let place = |slot: &usize| (*slot as f64 * GOLDEN_RATIO).fract();
-    let mut order: Vec<usize> = (0..work.len()).collect();
-    order.sort_by(|a, b| place(a).total_cmp(&place(b)));
-    let (all, mut start) = (work.iter().sum::<f64>(), begin);
-    let mut arcs = vec![(begin, 0.0); work.len()];
-    for slot in order {
-        arcs[slot] = (start, work[slot] / all);
-        start += work[slot] / all;
+    let place = |subset: &usize| (*subset as f64 * GOLDEN_RATIO).fract();
+    let mut order: Vec<usize> = (0..loads.len()).collect();
+    order.sort_by(|one, other| place(one).total_cmp(&place(other)));
+    let total_load = loads.iter().sum::<f64>();
+    let mut end = start;
+    let mut arcs = vec![RingArc { start, length: 0.0 }; loads.len()];
+    for subset in order {
+        let load_share = loads[subset] / total_load;
+        arcs[subset] = RingArc { start: end, length: load_share };
+        end += load_share;
     }
     arcs
 }
 
+/// Whether a subset's arc would move by more than it may without a change of its tables.
+fn is_moved(subset: &Subset, arc: &RingArc) -> bool {
+    let start_change = (subset.start - arc.start).abs();
+    let length_change = (subset.length - arc.length).abs();
+    f64::max(start_change, length_change) > SUBSET_CHANGE_RATIO * subset.length
+}
+
+/// The proxies and the hosts of a zone, and how many of the hosts a subset should have.
+struct SubsetDemand {
+    /// Proxies of the zone.
+    proxies: f64,
+    /// Requests per second of all of them.
+    requests_per_s: f64,
+    /// Ready hosts, each counted by its locality weight.
+    ready_hosts: f64,
+    /// Hosts that a proxy of mean load should use.
+    hosts_per_proxy: f64,
+    /// Whether each subset has all hosts.
+    has_all_hosts: bool,
+    /// Whether connections are short: then arcs are as long as is needed, and no longer.
+    connections_are_short: bool,
+}
+
+impl SubsetDemand {
+    /// Mean length of an arc, as a ratio of the ring, for some subsets and directors that serve the zone.
+    fn mean_arc_length(&self, subsets: f64, directors: f64) -> f64 {
+        let needed_length = self.hosts_per_proxy / self.ready_hosts;
+        if self.has_all_hosts {
+            1.0
+        } else if self.connections_are_short {
+            f64::max(needed_length, 1.0 / (subsets * directors))
+        } else {
+            // Arcs together cover each host equally often.
+            (needed_length * subsets).round().max(1.0) / subsets
+        }
+    }
+}
+
 impl Director {
-    /// Common losses while hosts have time to spare mean refused connections. Each proxy then keeps to fewer
-    /// hosts, and to more again by steps once losses are gone. Harm: less choice if they have another cause.
+    /// Adjusts how many requests a connection should carry. Common losses while hosts have capacity to spare
+    /// mean refused connections: proxies then use fewer hosts at once, and more again step by step once
+    /// losses are gone. Where losses have another cause this leaves proxies less choice.
     pub(crate) fn adjust_subset_size(&mut self, name: &ZoneId, zone: &mut Zone) {
-        // One that has just started has heard of a few hosts only, and those are the ones that fail.
-        let heard = || {
-            zone.memo
-                .rows
-                .paths()
-                .iter()
-                .filter(|row| row.recent_successes + row.recent_failures >= 2.0)
-                .count() as f64
+        let previous = zone.requests_per_connection.max(MIN_REQUESTS_PER_CONNECTION);
+        let is_calm = zone.baseline_loss < CALM_LOSS_RATIO && previous > MIN_REQUESTS_PER_CONNECTION;
+        zone.calm_rounds = if is_calm { (zone.calm_rounds + 1) % CALM_ROUNDS } else { 0 };
+        let may_grow = is_calm && zone.calm_rounds == 0;
+        zone.requests_per_connection = if self.refuses_connections(zone) {
+            MAX_REQUESTS_PER_CONNECTION
+        } else if may_grow {
+            previous / 2.0
+        } else {
+            previous
         };
-        let told = || {
-            self.utilization > 0.0
-                && heard()
-                    >= MIN_SAMPLE_HOSTS.min(MIN_REPORTED_HOST_RATIO * self.ready_hosts().count() as f64)
-        };
-        let short = (COMMON_LOSS_RATIO..1.0).contains(&zone.baseline_loss)
-            && self.utilization < SATURATED_UTILIZATION
-            && told();
-        let before = zone.requests_per_connection.max(MIN_REQUESTS_PER_CONNECTION);
-        let calm = zone.baseline_loss < COMMON_LOSS_RATIO / 5.0 && before > MIN_REQUESTS_PER_CONNECTION;
-        zone.calm_rounds = if calm { (zone.calm_rounds + 1) % (2 * CONFIRMING_ROUNDS) } else { 0 };
-        let back = if calm && zone.calm_rounds == 0 { before / 2.0 } else { before };
-        zone.requests_per_connection = if short { MAX_REQUESTS_PER_CONNECTION } else { back };
-        if zone.requests_per_connection != before {
+        if zone.requests_per_connection != previous {
             self.notices.push(Notice::SubsetSizeChanged {
                 zone: name.clone(),
                 requests_per_connection: zone.requests_per_connection,
@@ -82,78 +128,152 @@
         }
     }
 
-    /// Deals a zone's hosts to its slots. Each has every host, the design's table, unless a proxy sends so
-    /// little that most connections would close before they are used again: handshakes then eat the hosts'
-    /// capacity, and each slot gets an arc of the ring, as long as its part of the work, at listed weight and
-    /// all others as spares. Arcs cover the ring evenly; short ones start elsewhere with each director. Slots
-    /// opened one after the other lie far apart: joiners fill those, and would crowd onto the same few hosts.
+    /// Whether losses are common in a zone while hosts have capacity to spare. A director that has just
+    /// started has reports of a few hosts only, and those are the ones that fail.
+    fn refuses_connections(&self, zone: &Zone) -> bool {
+        let loss_is_common = (COMMON_LOSS_RATIO..1.0).contains(&zone.baseline_loss);
+        let has_spare_capacity = self.utilization > 0.0 && self.utilization < SATURATED_UTILIZATION;
+        if !loss_is_common || !has_spare_capacity {
+            return false;
+        }
+        let stats = zone.memo.rows.paths().iter();
+        let attempts = stats.map(|row| row.recent_successes + row.recent_failures);
+        let reported_hosts = attempts.filter(|attempts| *attempts >= MIN_REPORTED_ATTEMPTS).count() as f64;
+        let ready_hosts = self.ready_hosts().count() as f64;
+        reported_hosts >= MIN_SAMPLE_HOSTS.min(MIN_REPORTED_HOST_RATIO * ready_hosts)
+    }
+
+    /// Assigns a zone's hosts to its subsets, each an arc of the ring. Arcs of different directors start at
+    /// different places.
     pub(crate) fn assign_subsets(&mut self, name: &ZoneId, zone: &mut Zone) {
-        let (count, total) =
-            self.proxies_in_zone(name).fold((0.0, 1e-9), |(n, all), p| (n + 1.0, all + p.1.requests_per_s));
-        let (hosts, known) = zone.locality_weighted_hosts();
-        let wanted = (total / count * self.settings.connection_idle_timeout.secs()
-            / zone.requests_per_connection.max(MIN_REQUESTS_PER_CONNECTION))
-        .max(MIN_SUBSET_HOSTS);
-        let (groups, idle) = (self.class_groups.len(), self.settings.connection_idle_timeout.0);
-        // By all hosts known: a zone that loses its own must not turn to every host of the others.
-        let whole = count == 0.0 || idle == 0 || wanted >= FULL_SUBSET_RATIO * known;
-        let due = if count > 0.0 { count.max(self.expected_proxies_per_zone()) / groups as f64 } else { 0.0 };
-        let slots = |by: f64| (due / by).ceil().max(1.0);
-        if zone.requests_per_connection > MIN_REQUESTS_PER_CONNECTION
-            && !zone.has_fine_subsets
-            && hosts / slots(PROXIES_PER_SUBSET) > 2.0 * MIN_SUBSET_HOSTS
-        {
+        let demand = self.subset_demand(name, zone);
+        self.add_subsets(name, zone, &demand);
+        let subsets = zone.subsets.len() as f64;
+        let base_load = BASE_SUBSET_LOAD_RATIO * demand.requests_per_s / subsets;
+        let loads = self.load_by_subset(name, zone, base_load);
+        let total_load = loads.iter().sum::<f64>();
+        let arcs = self.subset_arcs(&demand, &loads);
+        let is_reassigned = !self.keeps_assignment(zone, total_load)
+            && zone.subsets.iter().zip(&arcs).any(|(subset, arc)| is_moved(subset, arc));
+        if is_reassigned {
+            zone.last_assignment = Some(SubsetAssignment {
+                requests_per_connection: zone.requests_per_connection,
+                load_per_s: total_load,
+                assigned_at: self.now,
+            });
+        }
+        for (subset, arc) in zone.subsets.iter_mut().zip(arcs) {
+            // The tables of a new subset cost nothing, as no proxy is assigned to it yet.
+            let is_new = subset.length == 0.0;
+            if is_reassigned || is_new {
+                subset.set_arc(arc);
+            }
+        }
+    }
+
+    /// How many hosts the subsets of a zone should have.
+    fn subset_demand(&self, name: &ZoneId, zone: &Zone) -> SubsetDemand {
+        let mut proxies = 0.0;
+        let mut requests_per_s = MIN_ZONE_REQUESTS_PER_S;
+        for (_, proxy) in self.proxies_in_zone(name) {
+            proxies += 1.0;
+            requests_per_s += proxy.requests_per_s;
+        }
+        let (ready_hosts, known_hosts) = zone.locality_weighted_hosts();
+        let requests_per_connection = zone.requests_per_connection.max(MIN_REQUESTS_PER_CONNECTION);
+        let idle_timeout = self.settings.connection_idle_timeout;
+        let hosts_per_proxy =
+            (requests_per_s / proxies * idle_timeout.secs() / requests_per_connection).max(MIN_SUBSET_HOSTS);
+        // By all known hosts: a zone that loses its own must not turn to every host of the others.
+        let needs_most_hosts = hosts_per_proxy >= FULL_SUBSET_RATIO * known_hosts;
+        SubsetDemand {
+            proxies,
+            requests_per_s,
+            ready_hosts,
+            hosts_per_proxy,
+            has_all_hosts: proxies == 0.0 || idle_timeout.0 == 0 || needs_most_hosts,
+            connections_are_short: zone.requests_per_connection > MIN_REQUESTS_PER_CONNECTION,
+        }
+    }
+
+    /// Adds the subsets that a zone lacks for its proxies. Once connections are short and subsets are large,
+    /// the zone has finer subsets for good, and its proxies are assigned again.
+    fn add_subsets(&mut self, name: &ZoneId, zone: &mut Zone, demand: &SubsetDemand) {
+        let subsets = self.subset_count(demand, PROXIES_PER_SUBSET);
+        let subsets_are_large = demand.ready_hosts / subsets > 2.0 * MIN_SUBSET_HOSTS;
+        if demand.connections_are_short && !zone.has_fine_subsets && subsets_are_large {
             zone.has_fine_subsets = true;
-            self.proxies.values_mut().filter(|p| p.zone == *name).for_each(|p| p.awaiting_assignment = true);
-            self.memo.revisions.proxies += 1;
+            self.reassign_proxies(name);
         }
-        let slots =
-            slots(if zone.has_fine_subsets { PROXIES_PER_FINE_SUBSET } else { PROXIES_PER_SUBSET }) as usize;
-        while zone.subsets.len() < slots {
+        let needed_subsets =
+            if zone.has_fine_subsets { self.subset_count(demand, PROXIES_PER_FINE_SUBSET) } else { subsets };
+        let groups = self.class_groups.len();
+        while zone.subsets.len() < needed_subsets as usize {
             zone.subsets.push(Subset::new(self.next_table_id, groups));
             self.next_table_id += groups as u32;
         }
-        let slots = zone.subsets.len() as f64;
-        let tables = slots * self.directors_per_zone();
-        let tight = f64::max(wanted / hosts, 1.0 / tables);
-        let even = (wanted / hosts * slots).round().max(1.0) / slots;
-        let part = [even, tight, 1.0]
-            [if whole { 2 } else { usize::from(zone.requests_per_connection > MIN_REQUESTS_PER_CONNECTION) }];
-        let work = self.load_by_subset(name, zone, 0.1 * total / slots);
-        let (all, begin) = (work.iter().sum::<f64>(), f64::from(self.settings.director_index) / tables);
-        let length = |share: f64| (part * share * slots).max(MIN_SUBSET_HOSTS / hosts).min(1.0);
-        let spans = ring_arcs(&work, begin).into_iter().map(|(start, share)| (start, length(share)));
-        let moved = |(slot, to): (&Subset, (f64, f64))| {
-            f64::max((slot.start - to.0).abs(), (slot.length - to.1).abs())
-                > SUBSET_CHANGE_RATIO * slot.length
+    }
+
+    /// How many subsets a zone needs if so many proxies share one; all groups of classes together have a
+    /// table for each so many proxies.
+    fn subset_count(&self, demand: &SubsetDemand, proxies_per_subset: f64) -> f64 {
+        let proxies = if demand.proxies > 0.0 {
+            demand.proxies.max(self.expected_proxies_per_zone()) / self.class_groups.len() as f64
+        } else {
+            0.0
         };
-        // Not with every joiner: in a crowd of them that would cost more than their tables.
-        let rests = zone.last_assignment.is_some_and(|(uses, work, at)| {
-            uses == zone.requests_per_connection
-                && all < work * (1.0 + 2.0 * SUBSET_CHANGE_RATIO)
-                && self.now.since(at) < RANKING_COOLDOWN_S
-        });
-        let anew = !rests && zone.subsets.iter().zip(spans.clone()).any(moved);
-        zone.last_assignment =
-            if anew { Some((zone.requests_per_connection, all, self.now)) } else { zone.last_assignment };
-        // A slot opened meanwhile gets its arc at once: its table costs nothing, as no proxy holds it yet.
-        for (slot, span) in zone.subsets.iter_mut().zip(spans).filter(|(slot, _)| anew || slot.length == 0.0)
-        {
-            (slot.start, slot.length) = span;
-            slot.tables.iter_mut().for_each(|t| t.peak_weight = 0.0);
+        (proxies / proxies_per_subset).ceil().max(1.0)
+    }
+
+    /// Has all proxies of a zone wait for another assignment.
+    fn reassign_proxies(&mut self, name: &ZoneId) {
+        for proxy in self.proxies.values_mut().filter(|proxy| proxy.zone == *name) {
+            proxy.awaiting_assignment = true;
+        }
+        self.memo.revisions.proxies += 1;
+    }
+
+    /// The arcs of subsets of some load.
+    fn subset_arcs(&self, demand: &SubsetDemand, loads: &[f64]) -> Vec<RingArc> {
+        let subsets = loads.len() as f64;
+        let directors = self.directors_per_zone();
+        let mean_length = demand.mean_arc_length(subsets, directors);
+        let min_length = MIN_SUBSET_HOSTS / demand.ready_hosts;
+        let start = f64::from(self.settings.director_index) / (subsets * directors);
+        let mut arcs = ring_arcs(loads, start);
+        for arc in &mut arcs {
+            let load_share = arc.length;
+            arc.length = (mean_length * load_share * subsets).max(min_length).min(1.0);
         }
+        arcs
+    }
+
+    /// Whether a zone keeps its arcs for now. With every proxy that connects they would cost more than the
+    /// tables of these.
+    fn keeps_assignment(&self, zone: &Zone, total_load: f64) -> bool {
+        zone.last_assignment.is_some_and(|last| {
+            last.requests_per_connection == zone.requests_per_connection
+                && total_load < last.load_per_s * (1.0 + 2.0 * SUBSET_CHANGE_RATIO)
+                && self.now.since(last.assigned_at) < RANKING_COOLDOWN_S
+        })
     }
 
     /// How many proxies a director may expect in a zone, by its settings alone.
     fn expected_proxies_per_zone(&self) -> f64 {
-        let (directors, zones) = (self.settings.directors.max(1), self.settings.zones.len().max(1) as u32);
-        let parts = if self.settings.local_first { directors.max(zones) } else { directors * zones };
-        f64::from(self.settings.proxies) / f64::from(parts)
+        let directors = self.settings.directors.max(1);
+        let zones = self.settings.zones.len().max(1) as u32;
+        let shares = if self.settings.local_first { directors.max(zones) } else { directors * zones };
+        f64::from(self.settings.proxies) / f64::from(shares)
     }
 
-    /// How many directors surely serve a zone.
+    /// How many directors serve a zone at least.
     fn directors_per_zone(&self) -> f64 {
-        let (directors, zones) = (self.settings.directors.max(1), self.settings.zones.len().max(1) as u32);
-        f64::from(if self.settings.local_first { (directors / zones).max(1) } else { directors })
+        let directors = self.settings.directors.max(1);
+        let zones = self.settings.zones.len().max(1) as u32;
+        if self.settings.local_first {
+            f64::from((directors / zones).max(1))
+        } else {
+            f64::from(directors)
+        }
     }
 }
--- a/crates/wingfold-director/src/policy/table_plan.rs
+++ b/crates/wingfold-director/src/policy/table_plan.rs
@@ -1,11 +1,11 @@
 //! What a table should hold: eligible entries, their weights, and standby entries.
 use crate::director::Director;
-use crate::incremental::{HostInZone, ZoneTableInputs};
-use crate::interface::ZoneId;
+use crate::incremental::{HostInZone, StatsRow, ZoneTableInputs};
+use crate::interface::{HostId, ZoneId};
 use crate::policy::outlier_detection::{COMMON_LOSS_RATIO, PROBATION_WEIGHT_RATIO};
 use crate::policy::subsetting::MIN_SUBSET_HOSTS;
 use crate::state::{
-    place_on_ring, EligibleEntry, HealthState, Host, PlannedEntry, Subset, TablePlan, WarmUp, Zone,
+    place_on_ring, EligibleEntry, HealthState, PlannedEntry, RingArc, Subset, TablePlan, WarmUp, Zone,
 };
 use crate::statistics::nth_least;
 
@@ -15,120 +15,239 @@
 const WARM_UP_BUDGET_RATIO: f64 = 0.5;
 /// Utilization of the fleet that this budget assumes.
 const ASSUMED_UTILIZATION: f64 = 0.75;
+/// Largest share of a table's attempts that one host gets while it warms up.
+const MAX_WARM_UP_SHARE: f64 = 0.9;
 /// Ratio of the peak weight that warm hosts must hold for hosts that warm up to wait.
 const MIN_WARM_WEIGHT_RATIO: f64 = 0.2;
+/// Ring distance, in ratios of the ring, by which an arc reaches beyond the last host that it must hold.
+const RING_DISTANCE_TOLERANCE: f64 = 1e-9;
+
+/// Ratio of its weight that a host has by its health and its ranking.
+fn health_factor(stats: &StatsRow) -> f64 {
+    match stats.health {
+        HealthState::Healthy => 0.5f64.powi(stats.weight_halvings as i32),
+        HealthState::Probation(_) => PROBATION_WEIGHT_RATIO,
+        HealthState::Ejected(_) => 0.0,
+    }
+}
+
+/// An entry of a host that is warming up.
+struct WarmingEntry<'a> {
+    /// What its weight depends on.
+    eligible: &'a EligibleEntry,
+    /// Its position among the entries of the plan.
+    position: usize,
+}
+
+/// A table while it is planned: entries in the order of their hosts, and sums over them.
+#[derive(Default)]
+struct DraftTable<'a> {
+    /// The entries.
+    entries: Vec<PlannedEntry<'a>>,
+    /// Those of hosts that are warming up.
+    warming_up: Vec<WarmingEntry<'a>>,
+    /// Listed weight of the hosts, whatever their health and warm-up.
+    listed_weight: f64,
+    /// The same of hosts that are not warming up.
+    warm_weight: f64,
+    /// Weight by their health of hosts that are not warming up.
+    healthy_warm_weight: f64,
+}
+
+impl DraftTable<'_> {
+    /// Removes the entries of hosts that are warming up.
+    fn remove_warming_up(&mut self) {
+        let mut warming_up = self.warming_up.iter().map(|entry| entry.position).peekable();
+        let mut position = 0;
+        self.entries.retain(|_| {
+            let is_warming_up = warming_up.next_if_eq(&position).is_some();
+            position += 1;
+            !is_warming_up
+        });
+    }
+}
+
+/// Plans the table of a subset from the entries that it may hold.
+struct TablePlanner<'a> {
+    /// The entries that the table may hold.
+    eligible: &'a [EligibleEntry],
+    /// All hosts by position.
+    host_ids: &'a [HostId],
+    /// The arc of the ring of hosts that has listed weight.
+    arc: RingArc,
+}
+
+impl<'a> TablePlanner<'a> {
+    /// Whether the arc is the whole ring.
+    fn has_all_hosts(&self) -> bool {
+        self.arc.length >= 1.0
+    }
+
+    /// The weight of a host. On an arc, hosts of other zones are fewer by their locality, not lighter.
+    fn weight(&self, entry: &EligibleEntry) -> f64 {
+        if self.has_all_hosts() {
+            entry.weight * entry.locality_weight
+        } else {
+            entry.weight
+        }
+    }
+
+    /// How far a host lies from the start of the arc, as a ratio of the ring: farther, the less weight its
+    /// locality leaves it.
+    fn ring_distance(&self, entry: &EligibleEntry) -> f64 {
+        if self.has_all_hosts() {
+            0.0
+        } else {
+            (entry.ring_position - self.arc.start).rem_euclid(1.0) / entry.locality_weight
+        }
+    }
+
+    /// How far the arc reaches. It holds the least number of warm hosts, however short it should be.
+    fn arc_end(&self, distances: &[f64]) -> f64 {
+        let is_warm = |entry: &EligibleEntry| !entry.is_warming_up && entry.health_factor > 0.0;
+        let warm = self.eligible.iter().zip(distances).filter(|(entry, _)| is_warm(entry));
+        let last_needed = nth_least(warm.map(|(_, distance)| *distance), MIN_SUBSET_HOSTS as usize);
+        self.arc.length.max(last_needed.map_or(0.0, |distance| distance + RING_DISTANCE_TOLERANCE))
+    }
+
+    /// An entry of the table.
+    fn planned(&self, entry: &EligibleEntry, weight: f64, is_standby: bool) -> PlannedEntry<'a> {
+        PlannedEntry { host: &self.host_ids[entry.index], weight, is_standby }
+    }
+
+    /// The hosts on the arc at their weights, and the others as standby entries.
+    fn draft_arc(&self) -> DraftTable<'a> {
+        let distances: Vec<f64> = self.eligible.iter().map(|entry| self.ring_distance(entry)).collect();
+        let arc_end = self.arc_end(&distances);
+        let mut draft =
+            DraftTable { entries: Vec::with_capacity(self.eligible.len()), ..DraftTable::default() };
+        for (entry, distance) in self.eligible.iter().zip(distances) {
+            let is_beyond_arc = distance >= arc_end;
+            if !is_beyond_arc {
+                self.add_active(&mut draft, entry);
+            } else if !entry.is_warming_up {
+                let standby_weight = self.weight(entry) * STANDBY_WEIGHT_RATIO;
+                draft.entries.push(self.planned(entry, standby_weight, true));
+            }
+        }
+        draft
+    }
+
+    /// Adds a host on the arc. One that is ejected has no entry, but counts in the sums.
+    fn add_active(&self, draft: &mut DraftTable<'a>, entry: &'a EligibleEntry) {
+        let weight = self.weight(entry);
+        let is_in_use = entry.health_factor > 0.0;
+        draft.listed_weight += weight;
+        if !entry.is_warming_up {
+            draft.warm_weight += weight;
+            draft.healthy_warm_weight += weight * entry.health_factor;
+        } else if is_in_use {
+            draft.warming_up.push(WarmingEntry { eligible: entry, position: draft.entries.len() });
+        }
+        if is_in_use {
+            let factor = entry.health_factor.min(entry.slow_start_factor);
+            draft.entries.push(self.planned(entry, weight * factor, false));
+        }
+    }
+
+    /// All hosts, whatever their health and wherever they lie on the ring.
+    fn draft_all_hosts(&self) -> DraftTable<'a> {
+        let planned =
+            |entry: &EligibleEntry| self.planned(entry, self.weight(entry) * entry.slow_start_factor, false);
+        let warming_up = self.eligible.iter().zip(0..).filter(|(entry, _)| entry.is_warming_up);
+        let warm = self.eligible.iter().filter(|entry| !entry.is_warming_up);
+        let warm_weight = warm.map(|entry| self.weight(entry)).sum();
+        DraftTable {
+            entries: self.eligible.iter().map(planned).collect(),
+            warming_up: warming_up.map(|(eligible, position)| WarmingEntry { eligible, position }).collect(),
+            listed_weight: self.eligible.iter().map(|entry| self.weight(entry)).sum(),
+            warm_weight,
+            healthy_warm_weight: warm_weight,
+        }
+    }
+
+    /// The table before hosts that warm up are limited. It is never empty: if no warm host of the arc is
+    /// healthy, all warm hosts that the endpoint list shows as ready are used.
+    fn draft(&self) -> DraftTable<'a> {
+        let draft = self.draft_arc();
+        let lacks_warm_hosts =
+            draft.healthy_warm_weight == 0.0 && self.eligible.iter().any(|entry| !entry.is_warming_up);
+        if lacks_warm_hosts || draft.entries.iter().all(|entry| entry.is_standby) {
+            self.draft_all_hosts()
+        } else {
+            draft
+        }
+    }
+
+    /// Limits each host that is warming up to the load that it survives: where few hosts are left, what the
+    /// others no longer carry must not overload it.
+    fn limit_warming_up(&self, draft: &mut DraftTable, peak_weight: f64, overload_factor: f64) {
+        for WarmingEntry { eligible, position } in &draft.warming_up {
+            let budget =
+                overload_factor * eligible.slow_start_factor * WARM_UP_BUDGET_RATIO / ASSUMED_UTILIZATION;
+            let share = (budget * self.weight(eligible) / peak_weight).min(MAX_WARM_UP_SHARE);
+            let max_weight = share / (1.0 - share) * draft.healthy_warm_weight;
+            let entry = &mut draft.entries[*position];
+            entry.weight = entry.weight.min(max_weight);
+        }
+    }
+}
 
 impl Director {
-    /// The hosts that a zone's proxies may use for a group of classes.
+    /// The hosts that a zone's proxies may use for a group of classes. `warm_ups` are those of all hosts by
+    /// position.
     pub(crate) fn eligible_entries(
         &self,
         name: &ZoneId,
         zone: &Zone,
         group: usize,
-        warmths: &[WarmUp],
+        warm_ups: &[WarmUp],
     ) -> Vec<EligibleEntry> {
-        let mut lines = Vec::with_capacity(self.hosts.len());
-        let open = |h: &Host| h.is_ready() && self.class_groups[group].allows(name, &h.endpoint);
-        for HostInZone { index: at, host, health, stats: path, .. } in
-            self.hosts_in_zone(zone).filter(|of| open(of.host))
-        {
-            let factor = match path.health {
-                HealthState::Healthy => 0.5f64.powi(path.weight_halvings as i32),
-                HealthState::Probation(_) => PROBATION_WEIGHT_RATIO,
-                HealthState::Ejected(_) => 0.0,
-            };
-            let (weight, own) = (host.weight, health.in_own_zone);
-            let (near, WarmUp { slow_start_factor: warmth, is_warming_up: cold }) =
-                (zone.locality_weight(own), warmths[at]);
-            lines.push(EligibleEntry {
-                index: at,
-                weight,
-                locality_weight: near,
-                health_factor: factor,
-                slow_start_factor: warmth,
-                is_warming_up: cold,
-                in_own_zone: own,
+        let group = &self.class_groups[group];
+        let is_eligible = |of: &HostInZone| of.host.is_ready() && group.allows(name, &of.host.endpoint);
+        let mut entries = Vec::with_capacity(self.hosts.len());
+        for of in self.hosts_in_zone(zone).filter(is_eligible) {
+            let in_own_zone = of.health.in_own_zone;
+            let warm_up = warm_ups[of.index];
+            entries.push(EligibleEntry {
+                index: of.index,
+                weight: of.host.weight,
+                locality_weight: zone.locality_weight(in_own_zone),
+                health_factor: health_factor(of.stats),
+                slow_start_factor: warm_up.slow_start_factor,
+                is_warming_up: warm_up.is_warming_up,
+                in_own_zone,
                 ring_position: 0.0,
             });
         }
-        place_on_ring(&mut lines);
-        lines
+        place_on_ring(&mut entries);
+        entries
     }
 
-    /// The lines of a table at their weights, its spares, and the scale of a usual day.
+    /// What the table of a subset should hold for a group of classes. `peak_weight` is that of the table so
+    /// far.
     pub(crate) fn plan_table<'a>(
         &self,
         zone: &Zone,
         shared: &'a ZoneTableInputs,
         group: usize,
-        slot: &Subset,
-        full: f64,
+        subset: &Subset,
+        peak_weight: f64,
     ) -> TablePlan<'a> {
-        let usable = &shared.eligible[group];
-        let whole = slot.length >= 1.0; // In a part, fewer hosts of other zones stand for less weight of all.
-        let weight = |l: &EligibleEntry| if whole { l.weight * l.locality_weight } else { l.weight };
-        let far = |l: &EligibleEntry| {
-            if whole {
-                0.0
-            } else {
-                (l.ring_position - slot.start).rem_euclid(1.0) / l.locality_weight
-            }
-        };
-        let far: Vec<f64> = usable.iter().map(far).collect();
-        let warm = usable.iter().zip(&far).filter(|(l, _)| !l.is_warming_up && l.health_factor > 0.0);
-        let last = nth_least(warm.map(|(_, far)| *far), MIN_SUBSET_HOSTS as usize);
-        let reach = slot.length.max(last.map_or(0.0, |last| last + 1e-9));
-        let mut lines: Vec<PlannedEntry> = Vec::with_capacity(usable.len());
-        let planned = |l: &EligibleEntry, weight, spare| PlannedEntry {
-            host: &shared.host_ids[l.index],
-            weight,
-            is_standby: spare,
-        };
-        // Cold hosts that have a line, and where.
-        let mut cold: Vec<(&EligibleEntry, usize)> = Vec::new();
-        let (mut usual, mut warm, mut rest) = (0.0, 0.0, 0.0);
-        for (line, far) in usable.iter().zip(far) {
-            let (base, factor) = (weight(line), line.health_factor);
-            if far >= reach {
-                if !line.is_warming_up {
-                    lines.push(planned(line, base * STANDBY_WEIGHT_RATIO, true));
-                }
-                continue;
-            }
-            usual += base;
-            if line.is_warming_up {
-                cold.extend((factor > 0.0).then_some((line, lines.len())));
+        let planner =
+            TablePlanner { eligible: &shared.eligible[group], host_ids: &shared.host_ids, arc: subset.arc() };
+        let mut draft = planner.draft();
+        let peak_weight = peak_weight.max(draft.listed_weight);
+        // While losses are common, proxies avoid most other hosts by their own count, and a host that warms
+        // up would get all attempts. Warm hosts count by listed weight, whatever a long fault has left of it.
+        let has_warm_hosts = draft.warm_weight >= MIN_WARM_WEIGHT_RATIO * peak_weight;
+        if draft.healthy_warm_weight > 0.0 {
+            if has_warm_hosts && zone.baseline_loss >= COMMON_LOSS_RATIO {
+                draft.remove_warming_up();
             } else {
-                warm += base;
-                rest += base * factor;
-            }
-            if factor > 0.0 {
-                lines.push(planned(line, base * factor.min(line.slow_start_factor), false));
+                planner.limit_warming_up(&mut draft, peak_weight, self.settings.overload_factor);
             }
         }
-        // Never empty: whatever was judged above, a warm host that the list shows as ready stays.
-        if rest == 0.0 && usable.iter().any(|l| !l.is_warming_up) || lines.iter().all(|l| l.is_standby) {
-            lines = usable.iter().map(|l| planned(l, weight(l) * l.slow_start_factor, false)).collect();
-            cold = usable.iter().zip(0..).filter(|(l, _)| l.is_warming_up).collect();
-            rest = usable.iter().filter(|l| !l.is_warming_up).map(weight).sum();
-            (usual, warm) = (usable.iter().map(weight).sum(), rest);
-        }
-        let full = full.max(usual);
-        // Cold hosts wait while losses are common: proxies avoid most other lines by their own count, and all
-        // of it would fall on the newcomer. Warm hosts count by listed weight, whatever a strain left.
-        let waits = warm >= MIN_WARM_WEIGHT_RATIO * full && zone.baseline_loss >= COMMON_LOSS_RATIO;
-        cold.retain(|_| rest > 0.0);
-        for (line, at) in cold.iter().filter(|_| !waits) {
-            // Few hosts left: what the others no longer carry must not push a cold host over.
-            let budget = self.settings.overload_factor * line.slow_start_factor * WARM_UP_BUDGET_RATIO
-                / ASSUMED_UTILIZATION;
-            let share = (budget * weight(line) / full).min(0.9);
-            lines[*at].weight = lines[*at].weight.min(share / (1.0 - share) * rest);
-        }
-        if waits {
-            let (mut waiting, mut next) = (cold.iter().map(|(_, at)| *at).peekable(), 0..);
-            lines.retain(|_| next.next().is_none_or(|at| waiting.next_if_eq(&at).is_none()));
-        }
-        TablePlan { entries: lines, peak_weight: full }
+        TablePlan { entries: draft.entries, peak_weight }
     }
 }
--- a/crates/wingfold-director/src/state/zone.rs
+++ b/crates/wingfold-director/src/state/zone.rs
@@ -29,9 +29,9 @@
     /// Uses that a connection should get, and rounds in a row that speak for fewer.
     #[serde(rename = "uses")]
     pub(crate) requests_per_connection: f64,
-    /// For how many uses and what work its parts were laid, and when.
+    /// Its last subset assignment.
     #[serde(rename = "laid")]
-    pub(crate) last_assignment: Option<(f64, f64, Timestamp)>,
+    pub(crate) last_assignment: Option<SubsetAssignment>,
     /// Its proxies were dealt to finer tables, as connections ran short.
     #[serde(rename = "fine")]
     pub(crate) has_fine_subsets: bool,
@@ -48,6 +48,30 @@
     pub(crate) memo: ZoneMemo,
 }
 
+/// An assignment of a zone's hosts to its subsets.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, f64, Timestamp)", into = "(f64, f64, Timestamp)")]
+pub(crate) struct SubsetAssignment {
+    /// Requests that a connection should carry, by which the subsets were sized.
+    pub(crate) requests_per_connection: f64,
+    /// Requests per second of the zone's proxies at that time.
+    pub(crate) load_per_s: f64,
+    /// When the hosts were assigned.
+    pub(crate) assigned_at: Timestamp,
+}
+
+impl From<(f64, f64, Timestamp)> for SubsetAssignment {
+    fn from((requests_per_connection, load_per_s, assigned_at): (f64, f64, Timestamp)) -> Self {
+        SubsetAssignment { requests_per_connection, load_per_s, assigned_at }
+    }
+}
+
+impl From<SubsetAssignment> for (f64, f64, Timestamp) {
+    fn from(last: SubsetAssignment) -> Self {
+        (last.requests_per_connection, last.load_per_s, last.assigned_at)
+    }
+}
+
 impl Zone {
     /// Begins to know each ready host that it does not know yet.
     pub(crate) fn add_unknown_hosts(&mut self, fleet: &BTreeMap<HostId, Host>) {
