--- a/crates/wingfold-director/src/incremental/host_index.rs
+++ b/crates/wingfold-director/src/incremental/host_index.rs
@@ -1,23 +1,26 @@
-//! The hosts of the fleet by position. What is worked out for each host lies in vectors in this order,
-//! which are far cheaper to go over than the records themselves.
+//! The hosts of the fleet by position. What is computed for each host is kept in vectors in this order, which
+//! are far cheaper to iterate over than the records themselves.
 use crate::incremental::{compare_hosts, position_cursor};
 use crate::interface::{Endpoint, HostId, Readiness, ZoneId};
 use crate::state::Host;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What the list has told of a host.
+/// A host that an endpoint list event names.
 #[derive(Clone, Debug)]
 struct ListedHost {
+    /// The host.
     host: HostId,
-    /// As ready: it may have started anew since it was last told of.
+    /// Whether it is listed as ready: it may have restarted since the event before.
     is_ready: bool,
 }
 
-/// Hosts that the list has changed since the roster was last brought up to date.
+/// Hosts that the endpoint list has changed since the index was last updated.
 #[derive(Clone, Debug)]
 enum ChangedHosts {
+    /// These.
     Named(Vec<ListedHost>),
+    /// Possibly any.
     Any,
 }
 
@@ -27,72 +30,75 @@
     }
 }
 
-/// Every host in its order, as of a revision of the list.
+/// Every host in the order of its identifier, as of a revision of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HostIndex {
+    /// The hosts by position.
     ids: Arc<Vec<HostId>>,
-    /// By position: the zone in which a host stands, as a position among `zones`.
+    /// By position: the zone of a host, as a position among `zones`.
     zone_of_host: Vec<usize>,
+    /// The zones of the hosts, in the order in which their first hosts come.
     zones: Vec<ZoneId>,
+    /// The revision of the endpoint list; `None` before the first.
     revision: Option<u64>,
+    /// What the endpoint list has changed since.
     changed: ChangedHosts,
 }
 
-/// How the positions of a roster have changed.
+/// How an update has changed the positions of an index.
 #[derive(Debug)]
 pub(crate) struct Reindexing {
-    /// The revision of the roster before.
+    /// The revision of the index before.
     pub(crate) previous_revision: Option<u64>,
-    /// By new position: the old one; `None` for a host that has come.
+    /// By new position: the position before; `None` for a new host.
     pub(crate) previous_index: Vec<Option<usize>>,
-    /// There are fewer hosts than before.
+    /// Whether there are fewer hosts than before.
     shrinks: bool,
-    /// The hosts that the list has changed; `None` where it may have changed any.
+    /// The hosts that the endpoint list has changed; `None` if it may have changed any.
     pub(crate) changed: Option<Vec<ChangedHost>>,
 }
 
-/// A host that the list has changed.
+/// A host that the endpoint list has changed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ChangedHost {
     /// Its new position.
     pub(crate) index: usize,
-    /// It was told of as ready, and may have started anew.
+    /// Whether it was listed as ready, and may have restarted.
     pub(crate) is_ready: bool,
 }
 
 impl Reindexing {
-    /// Whether any host has come, gone or another position.
+    /// Whether any host is new, was removed or has another position.
     pub(crate) fn changes_positions(&self) -> bool {
-        self.shrinks || self.previous_index.iter().enumerate().any(|(at, old)| *old != Some(at))
+        let is_moved = |(index, previous): (usize, &Option<usize>)| *previous != Some(index);
+        self.shrinks || self.previous_index.iter().enumerate().any(is_moved)
     }
 }
 
 impl HostIndex {
-    /// The list has changed the hosts of these entries.
+    /// Records that the endpoint list has changed the hosts of some entries.
     pub(crate) fn record_changes(&mut self, entries: &[Endpoint]) {
-        if let ChangedHosts::Named(named) = &mut self.changed {
-            let told = |entry: &Endpoint| ListedHost {
-                host: entry.host.clone(),
-                is_ready: entry.readiness == Readiness::Ready,
-            };
-            named.extend(entries.iter().map(told));
-            if named.len() > self.ids.len() {
-                self.changed = ChangedHosts::Any;
-            }
+        let ChangedHosts::Named(named) = &mut self.changed else { return };
+        named.extend(entries.iter().map(|entry| ListedHost {
+            host: entry.host.clone(),
+            is_ready: entry.readiness == Readiness::Ready,
+        }));
+        if named.len() > self.ids.len() {
+            self.changed = ChangedHosts::Any;
         }
     }
 
-    /// The list may have changed any host.
+    /// Records that the endpoint list may have changed any host.
     pub(crate) fn record_any_change(&mut self) {
         self.changed = ChangedHosts::Any;
     }
 
-    /// Whether it stands at this revision of the list.
+    /// Whether it is as of this revision of the endpoint list.
     pub(crate) fn is_at_revision(&self, revision: u64) -> bool {
         self.revision == Some(revision)
     }
 
-    /// The hosts in their order.
+    /// The hosts by position.
     pub(crate) fn ids(&self) -> Arc<Vec<HostId>> {
         self.ids.clone()
     }
@@ -107,28 +113,25 @@
         self.ids.binary_search_by(|known| compare_hosts(known, id)).ok()
     }
 
-    /// The zones in which hosts stand.
+    /// The zones of the hosts.
     pub(crate) fn zones(&self) -> &[ZoneId] {
         &self.zones
     }
 
-    /// By position: the zone in which a host stands, as a position among `zones`.
+    /// By position: the zone of a host, as a position among `zones`.
     pub(crate) fn homes(&self) -> &[usize] {
         &self.zone_of_host
     }
 
-    /// Brings it in line with the fleet, as of a revision of the list.
+    /// Updates it to the hosts of the fleet, as of a revision of the endpoint list.
     pub(crate) fn update(&mut self, fleet: &BTreeMap<HostId, Host>, revision: u64) -> Reindexing {
-        let old = self.previous_index(fleet);
-        let shrinks = old.len() < self.ids.len();
+        let previous_index = self.previous_index(fleet);
+        let shrinks = previous_index.len() < self.ids.len();
         self.ids = Arc::new(fleet.keys().cloned().collect());
         self.index_zones(fleet);
-        let changed = match std::mem::take(&mut self.changed) {
-            ChangedHosts::Any => None,
-            ChangedHosts::Named(named) => Some(named.iter().filter_map(|told| self.renewal(told)).collect()),
-        };
-        let before = self.revision.replace(revision);
-        Reindexing { previous_revision: before, previous_index: old, shrinks, changed }
+        let changed = self.take_changed_hosts();
+        let previous_revision = self.revision.replace(revision);
+        Reindexing { previous_revision, previous_index, shrinks, changed }
     }
 
     /// The positions that the hosts of the fleet have had until now.
@@ -137,20 +140,33 @@
         fleet.keys().map(|id| positions.find(id)).collect()
     }
 
-    fn renewal(&self, told: &ListedHost) -> Option<ChangedHost> {
-        Some(ChangedHost { index: self.position(&told.host)?, is_ready: told.is_ready })
+    /// The hosts that the endpoint list has changed since the last update, at their new positions.
+    fn take_changed_hosts(&mut self) -> Option<Vec<ChangedHost>> {
+        match std::mem::take(&mut self.changed) {
+            ChangedHosts::Any => None,
+            ChangedHosts::Named(named) => {
+                Some(named.iter().filter_map(|listed| self.changed_host(listed)).collect())
+            }
+        }
+    }
+
+    /// A host that an endpoint list event names, at its position; `None` if the fleet no longer has it.
+    fn changed_host(&self, listed: &ListedHost) -> Option<ChangedHost> {
+        Some(ChangedHost { index: self.position(&listed.host)?, is_ready: listed.is_ready })
     }
 
+    /// Rebuilds the zones of the hosts.
     fn index_zones(&mut self, fleet: &BTreeMap<HostId, Host>) {
-        let mut numbers: BTreeMap<&ZoneId, usize> = BTreeMap::new();
-        (self.zone_of_host, self.zones) = (Vec::with_capacity(fleet.len()), Vec::new());
+        let mut zone_indices: BTreeMap<&ZoneId, usize> = BTreeMap::new();
+        self.zone_of_host = Vec::with_capacity(fleet.len());
+        self.zones = Vec::new();
         for host in fleet.values() {
             let zone = &host.endpoint.zone;
-            let number = *numbers.entry(zone).or_insert(self.zones.len());
-            if number == self.zones.len() {
+            let zone_index = *zone_indices.entry(zone).or_insert(self.zones.len());
+            if zone_index == self.zones.len() {
                 self.zones.push(zone.clone());
             }
-            self.zone_of_host.push(number);
+            self.zone_of_host.push(zone_index);
         }
     }
 }
--- a/crates/wingfold-director/src/incremental/host_rows.rs
+++ b/crates/wingfold-director/src/incremental/host_rows.rs
@@ -4,105 +4,130 @@
 use crate::incremental::{join_by_host, ChangedHost, Reindexing};
 use crate::interface::{HostId, Timestamp, ZoneId};
 use crate::state::{missed_attempts, AttemptStats, ByZone, HealthState, Host, Zone, ZoneHostStats};
+use std::collections::BTreeMap;
 
-/// What a host counts for in the health of a zone, and what the zone expects of it: figures of its record
-/// and of its path, equal to those. It fills a line of the processor's cache: each look goes over all of
-/// them.
+/// What a host counts for in the health of a zone, and what the zone expects of it: copies of values of its
+/// record and of its statistics. A row fills one line of the processor's cache, since each evaluation reads
+/// all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct HealthRow {
+    /// Whether the endpoint list shows the host as ready.
     pub(crate) is_ready: bool,
-    /// It stands in the zone itself.
+    /// Whether the host is in the zone itself.
     pub(crate) in_own_zone: bool,
-    /// It is in use, or may be.
+    /// Whether the zone uses the host, or may.
     pub(crate) is_in_use: bool,
-    /// It lost something, is out or on trial.
+    /// Whether attempts on the host failed or were useless, or it is ejected or on probation.
     has_failures: bool,
-    /// 0 for a host that is not ready.
+    /// Listed weight; 0 for a host that is not ready.
     pub(crate) weight: f64,
-    /// Its share of tries that were lost, where enough were heard of.
+    /// Ratio of its attempts that failed, where enough were reported.
     pub(crate) loss_ratio: Option<f64>,
-    /// As in its path: tries missed, the zone's counts when it was last heard of, and its part of the
-    /// zone's tries.
+    /// Attempts that should have come, as in its statistics.
     missed_attempts: f64,
+    /// The zone's counts when it was last reported, as in its statistics.
     pub(crate) last_heard: (f64, f64),
+    /// Share of the zone's attempts that it should get, as in its statistics.
     expected_share: f64,
 }
 
-/// What a zone met at a host, and how it treats it: figures of the path, equal to those.
+/// What a zone has observed of a host, and how it treats it: copies of values of its statistics.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct StatsRow {
-    /// The zone has a path to the host.
+    /// Whether the zone has statistics of the host.
     pub(crate) is_known: bool,
+    /// Whether it is on its first probation.
     pub(crate) new: bool,
+    /// How often its weight is halved.
     pub(crate) weight_halvings: u32,
+    /// Its health.
     pub(crate) health: HealthState,
+    /// Failed attempts in a row.
     pub(crate) consecutive_failures: f64,
+    /// Attempts in a row that failed or came too late.
     pub(crate) consecutive_useless: f64,
+    /// Successful attempts, decaying with time.
     pub(crate) recent_successes: f64,
+    /// Failed attempts, decaying with time.
     pub(crate) recent_failures: f64,
+    /// When the recent counts last decayed: when it was last reported.
     pub(crate) decayed_at: Timestamp,
+    /// Its score, in milliseconds.
     score: Option<f64>,
+    /// Attempts since the last scoring round that used them.
     pub(crate) fresh: AttemptStats,
 }
 
 impl HealthRow {
-    pub(crate) fn new(host: &Host, own: bool, path: Option<&ZoneHostStats>) -> HealthRow {
-        let ready = host.is_ready();
-        let weight = if ready { host.weight } else { 0.0 };
+    /// The row of a host by its record and, if the zone has any, its statistics.
+    pub(crate) fn new(host: &Host, in_own_zone: bool, stats: Option<&ZoneHostStats>) -> HealthRow {
+        let is_ready = host.is_ready();
+        let weight = if is_ready { host.weight } else { 0.0 };
         let mut row =
-            HealthRow { is_ready: ready, in_own_zone: own, weight, is_in_use: ready, ..HealthRow::default() };
-        path.into_iter().for_each(|path| row.update(path));
+            HealthRow { is_ready, in_own_zone, weight, is_in_use: is_ready, ..HealthRow::default() };
+        if let Some(stats) = stats {
+            row.update(stats);
+        }
         row
     }
 
-    pub(crate) fn update(&mut self, path: &ZoneHostStats) {
-        let (stays, loss) = Director::usage_and_loss(path);
-        (self.is_in_use, self.loss_ratio) = (stays && self.is_ready, loss);
-        self.has_failures = path.health != HealthState::Healthy
-            || path.consecutive_failures > 0.0
-            || path.consecutive_useless > 0.0;
-        self.update_expected_share(path);
+    /// Copies what depends on the statistics.
+    pub(crate) fn update(&mut self, stats: &ZoneHostStats) {
+        let (is_usable, loss_ratio) = Director::usage_and_loss(stats);
+        self.is_in_use = is_usable && self.is_ready;
+        self.loss_ratio = loss_ratio;
+        self.has_failures = stats.health != HealthState::Healthy
+            || stats.consecutive_failures > 0.0
+            || stats.consecutive_useless > 0.0;
+        self.update_expected_share(stats);
     }
 
-    /// The host is ready no more; `own` as the list now tells it.
-    fn mark_not_ready(&mut self, own: bool) {
-        (self.is_ready, self.in_own_zone, self.weight, self.is_in_use) = (false, own, 0.0, false);
+    /// Records that the host is no longer ready; `in_own_zone` is as now listed.
+    fn mark_not_ready(&mut self, in_own_zone: bool) {
+        self.is_ready = false;
+        self.in_own_zone = in_own_zone;
+        self.weight = 0.0;
+        self.is_in_use = false;
     }
 
-    pub(crate) fn update_expected_share(&mut self, path: &ZoneHostStats) {
-        (self.missed_attempts, self.last_heard, self.expected_share) =
-            (path.missed_attempts, path.last_heard, path.expected_share);
+    /// Copies what the zone expects of the host.
+    pub(crate) fn update_expected_share(&mut self, stats: &ZoneHostStats) {
+        self.missed_attempts = stats.missed_attempts;
+        self.last_heard = stats.last_heard;
+        self.expected_share = stats.expected_share;
     }
 
-    /// Tries that should have come since the host was last heard of, by the zone's count of all tries.
-    pub(crate) fn missed_attempts_by(&self, tries: f64) -> f64 {
-        missed_attempts(self.missed_attempts, self.last_heard.0, self.expected_share, tries)
+    /// Attempts that should have come since the host was last reported, by the zone's count of all attempts.
+    pub(crate) fn missed_attempts_by(&self, attempts: f64) -> f64 {
+        missed_attempts(self.missed_attempts, self.last_heard.0, self.expected_share, attempts)
     }
 
-    /// Whether a verdict may concern the host: for what it lost, or since so many tries are missed.
-    fn is_suspect(&self, tries: f64, missed: f64) -> bool {
-        self.has_failures || self.missed_attempts_by(tries) >= missed
+    /// Whether the health of the host may change: it has failures, or so many attempts are missed.
+    fn is_suspect(&self, attempts: f64, min_missed_attempts: f64) -> bool {
+        self.has_failures || self.missed_attempts_by(attempts) >= min_missed_attempts
     }
 }
 
 impl StatsRow {
-    pub(crate) fn new(path: Option<&ZoneHostStats>) -> StatsRow {
-        path.map_or(StatsRow::default(), StatsRow::of)
+    /// The row of a host by its statistics, if the zone has any.
+    pub(crate) fn new(stats: Option<&ZoneHostStats>) -> StatsRow {
+        stats.map_or(StatsRow::default(), StatsRow::of)
     }
 
-    pub(crate) fn of(path: &ZoneHostStats) -> StatsRow {
+    /// The row of a host by its statistics.
+    pub(crate) fn of(stats: &ZoneHostStats) -> StatsRow {
         StatsRow {
             is_known: true,
-            new: path.first_probation,
-            weight_halvings: path.weight_halvings,
-            health: path.health,
-            consecutive_failures: path.consecutive_failures,
-            consecutive_useless: path.consecutive_useless,
-            recent_successes: path.recent_successes,
-            recent_failures: path.recent_failures,
-            decayed_at: path.decayed_at,
-            score: path.score,
-            fresh: path.fresh,
+            new: stats.first_probation,
+            weight_halvings: stats.weight_halvings,
+            health: stats.health,
+            consecutive_failures: stats.consecutive_failures,
+            consecutive_useless: stats.consecutive_useless,
+            recent_successes: stats.recent_successes,
+            recent_failures: stats.recent_failures,
+            decayed_at: stats.decayed_at,
+            score: stats.score,
+            fresh: stats.fresh,
         }
     }
 }
@@ -110,37 +135,43 @@
 /// A host as a zone sees it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HostInZone<'a> {
-    /// Its position in the roster.
+    /// Its position in the host index.
     pub(crate) index: usize,
+    /// Its identifier.
     pub(crate) id: &'a HostId,
+    /// Its record.
     pub(crate) host: &'a Host,
+    /// What it counts for in the health of the zone.
     pub(crate) health: &'a HealthRow,
+    /// What the zone has observed of it.
     pub(crate) stats: &'a StatsRow,
 }
 
-/// The rows of a zone.
+/// The rows of a zone, by position.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HostRows {
+    /// What each host counts for in the health of the zone.
     health: Vec<HealthRow>,
+    /// What the zone has observed of each host.
     stats: Vec<StatsRow>,
-    /// The revision of the list that they are in line with; `None`: they are to be made anew.
+    /// The revision of the endpoint list that they are as of; `None` if they must be rebuilt.
     revision: Option<u64>,
-    /// Hosts that the zone has heard of since.
+    /// Hosts that were reported since.
     outdated_hosts: Vec<HostId>,
 }
 
 impl HostRows {
-    /// What each host counts for, in order.
+    /// What each host counts for in the health of the zone, by position.
     pub(crate) fn health(&self) -> &[HealthRow] {
         &self.health
     }
 
-    /// What was met at each host, in order.
+    /// What the zone has observed of each host, by position.
     pub(crate) fn paths(&self) -> &[StatsRow] {
         &self.stats
     }
 
-    /// What the zone knows of a host has changed.
+    /// Records that the zone's statistics of a host have changed.
     pub(crate) fn record_outdated(&mut self, host: &HostId) {
         if self.outdated_hosts.len() < self.health.len() {
             self.outdated_hosts.push(host.clone());
@@ -149,47 +180,74 @@
         }
     }
 
-    /// Takes over what the zone now knows of the host at a position.
-    pub(crate) fn update(&mut self, at: usize, path: &ZoneHostStats) {
-        self.health[at].update(path);
-        self.stats[at] = StatsRow::of(path);
+    /// Copies the statistics of the host at a position.
+    pub(crate) fn update(&mut self, index: usize, stats: &ZoneHostStats) {
+        self.health[index].update(stats);
+        self.stats[index] = StatsRow::of(stats);
     }
 
-    /// Takes over what is expected of the host at a position.
-    pub(crate) fn update_expected_share(&mut self, at: usize, path: &ZoneHostStats) {
-        self.health[at].update_expected_share(path);
+    /// Copies what the zone expects of the host at a position.
+    pub(crate) fn update_expected_share(&mut self, index: usize, stats: &ZoneHostStats) {
+        self.health[index].update_expected_share(stats);
     }
 
-    /// The positions of hosts that a verdict may concern, by the zone's count of all tries.
-    pub(crate) fn suspects(&self, tries: f64, missed: f64) -> Vec<usize> {
-        let suspects = self.health.iter().enumerate().filter(|(_, row)| row.is_suspect(tries, missed));
-        suspects.map(|(at, _)| at).collect()
+    /// The positions of hosts whose health may change, by the zone's count of all attempts.
+    pub(crate) fn suspects(&self, attempts: f64, min_missed_attempts: f64) -> Vec<usize> {
+        let rows = self.health.iter().enumerate();
+        rows.filter(|(_, row)| row.is_suspect(attempts, min_missed_attempts))
+            .map(|(index, _)| index)
+            .collect()
     }
 
-    /// Tries lost in a row at the hosts at some positions.
+    /// Sum of the failed attempts in a row at the hosts at some positions.
     pub(crate) fn consecutive_failures_of(&self, positions: &[usize]) -> f64 {
-        positions.iter().map(|at| self.stats[*at].consecutive_failures).sum()
+        positions.iter().map(|index| self.stats[*index].consecutive_failures).sum()
     }
 
-    /// Scores of the hosts that are ready, not out and have one, with their listed weights.
+    /// Scores of the hosts that are ready, healthy and have one, with their listed weights.
     pub(crate) fn scored_hosts(&self) -> Vec<(f64, f64)> {
-        let taken = self.health.iter().zip(&self.stats);
-        let taken = taken.filter(|(row, path)| row.is_ready && path.health == HealthState::Healthy);
-        taken.filter_map(|(row, path)| Some((path.score?, row.weight))).collect()
+        let rows = self.health.iter().zip(&self.stats);
+        rows.filter(|(health, stats)| health.is_ready && stats.health == HealthState::Healthy)
+            .filter_map(|(health, stats)| Some((stats.score?, health.weight)))
+            .collect()
+    }
+
+    /// Moves the rows to their new positions. `buffer` is reused between zones.
+    fn reindex(&mut self, reindexing: &Reindexing, buffer: &mut HostRows) {
+        copy_reindexed(&reindexing.previous_index, &self.health, &mut buffer.health);
+        copy_reindexed(&reindexing.previous_index, &self.stats, &mut buffer.stats);
+        std::mem::swap(&mut self.health, &mut buffer.health);
+        std::mem::swap(&mut self.stats, &mut buffer.stats);
     }
 
-    fn reindex(&mut self, renumbering: &Reindexing, spare: &mut HostRows) {
-        copy_reindexed(&renumbering.previous_index, &self.health, &mut spare.health);
-        copy_reindexed(&renumbering.previous_index, &self.stats, &mut spare.stats);
-        std::mem::swap(&mut self.health, &mut spare.health);
-        std::mem::swap(&mut self.stats, &mut spare.stats);
+    /// Updates the row of a host that the endpoint list has changed, and begins statistics of a ready host
+    /// that has none.
+    fn apply_change(
+        &mut self,
+        change: &HostChange,
+        in_own_zone: bool,
+        zone_stats: &mut BTreeMap<HostId, ZoneHostStats>,
+    ) {
+        if change.keeps_stats {
+            self.health[change.index].mark_not_ready(in_own_zone);
+            return;
+        }
+        let mut stats = zone_stats.get(change.id);
+        if stats.is_none() && change.host.is_ready() {
+            stats = Some(zone_stats.entry(change.id.clone()).or_default());
+        }
+        self.health[change.index] = HealthRow::new(change.host, in_own_zone, stats);
+        self.stats[change.index] = StatsRow::new(stats);
     }
 }
 
-/// Puts rows at their new positions: `old` has their old ones.
-fn copy_reindexed<Row: Copy + Default>(old: &[Option<usize>], from: &[Row], to: &mut Vec<Row>) {
+/// Copies rows to their new positions; `previous_index` has the positions before. Runs of hosts that stay
+/// together are copied at once.
+fn copy_reindexed<Row: Copy + Default>(previous_index: &[Option<usize>], from: &[Row], to: &mut Vec<Row>) {
     to.clear();
-    for run in old.chunk_by(|one, next| one.is_some() && *next == one.map(|at| at + 1)) {
+    let follows =
+        |one: &Option<usize>, next: &Option<usize>| one.is_some() && *next == one.map(|index| index + 1);
+    for run in previous_index.chunk_by(follows) {
         match run[0] {
             Some(first) => to.extend_from_slice(&from[first..first + run.len()]),
             None => to.push(Row::default()),
@@ -197,83 +255,92 @@
     }
 }
 
+/// A host that the endpoint list has changed, with its record.
+struct HostChange<'a> {
+    /// Its new position.
+    index: usize,
+    /// Its identifier.
+    id: &'a HostId,
+    /// Its record.
+    host: &'a Host,
+    /// Whether zones keep their statistics of it as they are: it only drains or was removed.
+    keeps_stats: bool,
+}
+
 impl Director {
-    /// Brings the rows of all zones in line with the list.
+    /// Updates the rows of all zones to the endpoint list.
     pub(crate) fn update_host_rows(&mut self, zones: &mut ByZone<Zone>) {
         let revision = self.memo.revisions.hosts;
         if !self.memo.host_index.is_at_revision(revision) {
-            let renumbering = self.memo.host_index.update(&self.hosts, revision);
-            self.apply_reindexing(zones, &renumbering, revision);
+            let reindexing = self.memo.host_index.update(&self.hosts, revision);
+            self.apply_reindexing(zones, &reindexing, revision);
         }
-        let others = zones.iter_mut().filter(|(_, zone)| zone.memo.rows.revision != Some(revision));
-        for (name, zone) in others {
-            zone.add_unknown_hosts(&self.hosts);
-            zone.memo.rows = self.build_host_rows(name, zone);
+        for (name, zone) in zones {
+            if zone.memo.rows.revision != Some(revision) {
+                zone.add_unknown_hosts(&self.hosts);
+                zone.memo.rows = self.build_host_rows(name, zone);
+            }
         }
     }
 
-    /// Moves the rows that were in line with the list before to their new positions, and makes those of the
-    /// hosts anew that the list has changed.
-    fn apply_reindexing(&self, zones: &mut ByZone<Zone>, renumbering: &Reindexing, revision: u64) {
-        let (Some(before), Some(changed)) = (renumbering.previous_revision, &renumbering.changed) else {
-            return;
-        };
+    /// Moves the rows that were as of the revision before to their new positions, and updates those of the
+    /// hosts that the endpoint list has changed.
+    fn apply_reindexing(&self, zones: &mut ByZone<Zone>, reindexing: &Reindexing, revision: u64) {
+        let Some(previous_revision) = reindexing.previous_revision else { return };
+        let Some(changed) = &reindexing.changed else { return };
         let ids = self.memo.host_index.ids();
-        let host = |renewal: &ChangedHost| {
-            Some((*renewal, &ids[renewal.index], self.hosts.get(&ids[renewal.index])?))
-        };
-        let changed: Vec<(ChangedHost, &HostId, &Host)> = changed.iter().filter_map(host).collect();
-        // The list leaves the paths of a host that only drains or goes as they are.
-        let leaves = |of: &ChangedHost, host: &Host| {
-            !of.is_ready && !host.is_ready() && renumbering.previous_index[of.index].is_some()
-        };
-        let mut spare = HostRows::default();
-        let in_line = zones.iter_mut().filter(|(_, zone)| zone.memo.rows.revision == Some(before));
-        for (name, zone) in in_line {
+        let changes: Vec<HostChange> =
+            changed.iter().filter_map(|changed| self.host_change(changed, &ids, reindexing)).collect();
+        let changes_positions = reindexing.changes_positions();
+        let mut buffer = HostRows::default();
+        for (name, zone) in zones {
             let rows = &mut zone.memo.rows;
-            if renumbering.changes_positions() {
-                rows.reindex(renumbering, &mut spare);
+            if rows.revision != Some(previous_revision) {
+                continue;
             }
-            for (renewal, id, host) in &changed {
-                let (at, own) = (renewal.index, host.endpoint.zone == *name);
-                if leaves(renewal, host) {
-                    rows.health[at].mark_not_ready(own);
-                    continue;
-                }
-                let mut path = zone.host_stats.get(*id);
-                if path.is_none() && host.is_ready() {
-                    path = Some(zone.host_stats.entry((*id).clone()).or_default());
-                }
-                rows.health[at] = HealthRow::new(host, own, path);
-                rows.stats[at] = StatsRow::new(path);
+            if changes_positions {
+                rows.reindex(reindexing, &mut buffer);
+            }
+            for change in &changes {
+                let in_own_zone = change.host.endpoint.zone == *name;
+                rows.apply_change(change, in_own_zone, &mut zone.host_stats);
             }
             rows.revision = Some(revision);
         }
     }
 
-    /// Brings the rows of the hosts that a zone has heard of up to date.
+    /// A host that the endpoint list has changed, with its record.
+    fn host_change<'a>(
+        &'a self,
+        changed: &ChangedHost,
+        ids: &'a [HostId],
+        reindexing: &Reindexing,
+    ) -> Option<HostChange<'a>> {
+        let index = changed.index;
+        let id = &ids[index];
+        let host = self.hosts.get(id)?;
+        let was_known = reindexing.previous_index[index].is_some();
+        let keeps_stats = !changed.is_ready && !host.is_ready() && was_known;
+        Some(HostChange { index, id, host, keeps_stats })
+    }
+
+    /// Updates the rows of the hosts that were reported to a zone.
     pub(crate) fn update_outdated_rows(&self, zone: &mut Zone) {
         for id in std::mem::take(&mut zone.memo.rows.outdated_hosts) {
-            if let (Some(at), Some(path)) = (self.memo.host_index.position(&id), zone.host_stats.get(&id)) {
-                zone.memo.rows.update(at, path);
-            }
+            let Some(index) = self.memo.host_index.position(&id) else { continue };
+            let Some(stats) = zone.host_stats.get(&id) else { continue };
+            zone.memo.rows.update(index, stats);
         }
     }
 
-    /// Every host as a zone sees it, in order.
+    /// Every host as a zone sees it, by position.
     pub(crate) fn hosts_in_zone<'a>(&'a self, zone: &'a Zone) -> impl Iterator<Item = HostInZone<'a>> {
         let rows = zone.memo.rows.health.iter().zip(&zone.memo.rows.stats);
         let hosts = self.hosts.iter().zip(rows).enumerate();
-        hosts.map(|(at, ((id, host), (health, path)))| HostInZone {
-            index: at,
-            id,
-            host,
-            health,
-            stats: path,
-        })
+        hosts.map(|(index, ((id, host), (health, stats)))| HostInZone { index, id, host, health, stats })
     }
 
-    /// The hosts at some positions, in order, as a zone sees them; or all of them.
+    /// The hosts at some ascending positions as a zone sees them; or all of them.
     pub(crate) fn hosts_in_zone_at<'a>(
         &'a self,
         zone: &'a Zone,
@@ -281,28 +348,30 @@
         all: bool,
     ) -> impl Iterator<Item = HostInZone<'a>> {
         let mut positions = positions.iter().peekable();
-        let is_meant = move |of: &HostInZone| positions.next_if_eq(&&of.index).is_some() || all;
-        self.hosts_in_zone(zone).filter(is_meant)
+        let is_selected = move |of: &HostInZone| positions.next_if_eq(&&of.index).is_some() || all;
+        self.hosts_in_zone(zone).filter(is_selected)
     }
 
+    /// The rows of a zone by the records.
     fn build_host_rows(&self, name: &ZoneId, zone: &Zone) -> HostRows {
-        let hosts = self.hosts.len();
-        let (mut health, mut paths) = (Vec::with_capacity(hosts), Vec::with_capacity(hosts));
-        for (_, host, path) in join_by_host(&self.hosts, &zone.host_stats) {
-            health.push(HealthRow::new(host, host.endpoint.zone == *name, path));
-            paths.push(StatsRow::new(path));
+        let mut health = Vec::with_capacity(self.hosts.len());
+        let mut stats_rows = Vec::with_capacity(self.hosts.len());
+        for (_, host, stats) in join_by_host(&self.hosts, &zone.host_stats) {
+            health.push(HealthRow::new(host, host.endpoint.zone == *name, stats));
+            stats_rows.push(StatsRow::new(stats));
         }
         HostRows {
             health,
-            stats: paths,
+            stats: stats_rows,
             revision: Some(self.memo.revisions.hosts),
             outdated_hosts: Vec::new(),
         }
     }
 
-    /// Whether the rows of a zone say what its paths do.
+    /// Whether the rows of a zone equal the records that they are copied from.
     pub(crate) fn host_rows_match_stats(&self, name: &ZoneId, zone: &Zone) -> bool {
-        let (rows, expected) = (&zone.memo.rows, self.build_host_rows(name, zone));
+        let rows = &zone.memo.rows;
+        let expected = self.build_host_rows(name, zone);
         rows.health == expected.health && rows.stats == expected.stats
     }
 
@@ -312,12 +381,12 @@
         zones: &ByZone<Zone>,
         holds: impl Fn(&StatsRow) -> bool,
     ) -> Vec<bool> {
-        let mut any = vec![false; self.memo.host_index.len()];
+        let mut holds_in_any = vec![false; self.memo.host_index.len()];
         for zone in zones.values() {
-            for (any, row) in any.iter_mut().zip(&zone.memo.rows.stats) {
-                *any |= holds(row);
+            for (holds_for_host, row) in holds_in_any.iter_mut().zip(&zone.memo.rows.stats) {
+                *holds_for_host |= holds(row);
             }
         }
-        any
+        holds_in_any
     }
 }
--- a/crates/wingfold-director/src/incremental/mod.rs
+++ b/crates/wingfold-director/src/incremental/mod.rs
@@ -1,8 +1,8 @@
-//! Results worked out from the records and cached until the records that they were worked out from change.
+//! Results computed from the records and cached until the records that they were computed from change.
 //!
-//! Nothing is decided here and none of it is written to a checkpoint: a result that is missing is worked
-//! out again, in full. A step that is run again on equal inputs, before its due time, must change nothing;
-//! then it may be skipped.
+//! Nothing is decided here and none of it is written to a checkpoint: a result that is missing is computed
+//! again, in full. A step that is run again for equal inputs, before its due time, must change nothing; then
+//! it may be skipped.
 
 mod expected_shares;
 mod host_index;
--- a/crates/wingfold-director/src/incremental/table_inputs.rs
+++ b/crates/wingfold-director/src/incremental/table_inputs.rs
@@ -2,96 +2,113 @@
 use crate::director::Director;
 use crate::incremental::EligibleByGroup;
 use crate::interface::{HostId, ProxyId, ZoneId};
-use crate::state::{ByZone, Subset, Table, Zone};
+use crate::state::{ByZone, Subset, Table, WarmUp, Zone};
 use std::cell::LazyCell;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What the tables of a zone have in common: usable hosts by group, levels by class, bound proxies by slot,
-/// and how many proxies of all zones wait to be bound, and the first of them for how long.
+/// What the tables of a zone have in common.
 pub(crate) struct ZoneTableInputs {
     /// All hosts by position.
     pub(crate) host_ids: Arc<Vec<HostId>>,
+    /// The entries that the tables may hold, by group of classes.
     pub(crate) eligible: EligibleByGroup,
-    /// Changes whenever `usable` does.
+    /// Changes whenever `eligible` does.
     pub(crate) revision: u64,
+    /// Admission levels by class.
     pub(crate) admission_levels: Vec<f64>,
+    /// The proxies that are assigned to each subset.
     pub(crate) proxies_by_subset: Vec<Vec<ProxyId>>,
+    /// How many proxies of all zones wait for an assignment.
     pub(crate) waiting_proxies: usize,
+    /// Seconds that the first of these has waited.
     pub(crate) longest_wait_s: f64,
 }
 
-/// What the orders for a table depend on, apart from room in the channel.
+/// What the changes of a table depend on, apart from the send capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct TableInputs {
-    /// Of the lines that the zone may use.
+    /// The revision of the entries that the table may hold.
     pub(crate) revision: u64,
+    /// Admission levels by class.
     pub(crate) admission_levels: Vec<f64>,
+    /// Where the subset's arc starts, as a ratio of the ring of hosts.
     pub(crate) start: f64,
+    /// Length of the subset's arc, as a ratio of the ring of hosts.
     pub(crate) length: f64,
+    /// The largest listed weight that the table's hosts ever had together.
     pub(crate) peak_weight: f64,
-    /// Losses are common, and cold hosts wait.
+    /// Whether losses are common in the zone, so that hosts that warm up wait.
     pub(crate) loss_is_common: bool,
-    /// Spares are laid.
+    /// Whether the table has standby entries.
     pub(crate) with_standby: bool,
 }
 
 impl TableInputs {
+    /// The inputs of a subset's table.
     pub(crate) fn new(
         shared: &ZoneTableInputs,
-        slot: &Subset,
+        subset: &Subset,
         table: &Table,
-        common: bool,
-        spared: bool,
+        loss_is_common: bool,
+        with_standby: bool,
     ) -> Self {
-        let (revision, levels) = (shared.revision, shared.admission_levels.clone());
-        let (start, length, full) = (slot.start, slot.length, table.peak_weight);
         TableInputs {
-            revision,
-            admission_levels: levels,
-            start,
-            length,
-            peak_weight: full,
-            loss_is_common: common,
-            with_standby: spared,
+            revision: shared.revision,
+            admission_levels: shared.admission_levels.clone(),
+            start: subset.start,
+            length: subset.length,
+            peak_weight: table.peak_weight,
+            loss_is_common,
+            with_standby,
         }
     }
 
-    /// The same at another scale of a usual day.
-    pub(crate) fn with_peak_weight(self, full: f64) -> Self {
-        TableInputs { peak_weight: full, ..self }
+    /// The same with another peak weight.
+    pub(crate) fn with_peak_weight(self, peak_weight: f64) -> Self {
+        TableInputs { peak_weight, ..self }
     }
 }
 
 impl Director {
-    /// What the tables of each zone have in common; `waiting` are the proxies that wait to be bound.
+    /// What the tables of each zone have in common. `waiting` are the proxies that wait for an assignment,
+    /// in the order in which they connected.
     pub(crate) fn zone_table_inputs(
         &self,
         zones: &mut ByZone<Zone>,
         waiting: &[ProxyId],
     ) -> BTreeMap<ZoneId, ZoneTableInputs> {
-        let shares: Vec<f64> =
-            (0..self.settings.classes.len()).map(|class| self.admitted_quota(class)).collect();
-        let waits = waiting.first().map_or(0.0, |id| self.now.since(self.proxies[id].connected_at));
-        let warmths = LazyCell::new(|| self.warm_ups());
-        let mut users = self.proxies_by_subset(zones);
-        let mut shared = BTreeMap::new();
+        let quotas = self.admitted_quotas();
+        let longest_wait_s = waiting.first().map_or(0.0, |id| self.now.since(self.proxies[id].connected_at));
+        // Most evaluations need no warm-ups, and they cost a pass over all hosts.
+        let warm_ups: LazyCell<Vec<WarmUp>, _> = LazyCell::new(|| self.warm_ups());
+        let mut proxies_by_subset = self.proxies_by_subset(zones);
+        let mut inputs = BTreeMap::new();
         for (name, zone) in zones.iter_mut() {
-            let usable = self
-                .eligible_by_group(zone, |zone, group| self.eligible_entries(name, zone, group, &warmths));
-            let levels =
-                shares.iter().enumerate().map(|(class, share)| self.admission_level(name, class, *share));
-            let common = ZoneTableInputs {
+            let eligible = self
+                .eligible_by_group(zone, |zone, group| self.eligible_entries(name, zone, group, &warm_ups));
+            let zone_inputs = ZoneTableInputs {
                 host_ids: self.memo.host_index.ids(),
-                eligible: usable,
+                eligible,
                 revision: zone.memo.eligible_revision,
-                admission_levels: levels.collect(),
-                proxies_by_subset: users.swap_remove(name).unwrap_or_default(),
+                admission_levels: self.admission_levels(name, &quotas),
+                proxies_by_subset: proxies_by_subset.swap_remove(name).unwrap_or_default(),
                 waiting_proxies: waiting.len(),
-                longest_wait_s: waits,
+                longest_wait_s,
             };
-            shared.insert(name.clone(), common);
+            inputs.insert(name.clone(), zone_inputs);
         }
-        shared
+        inputs
+    }
+
+    /// The admitted ratio of each class.
+    fn admitted_quotas(&self) -> Vec<f64> {
+        (0..self.settings.classes.len()).map(|class| self.admitted_quota(class)).collect()
+    }
+
+    /// The admission level of each class in a zone's tables, by the admitted ratios.
+    fn admission_levels(&self, zone: &ZoneId, quotas: &[f64]) -> Vec<f64> {
+        let levels = quotas.iter().enumerate();
+        levels.map(|(class, quota)| self.admission_level(zone, class, *quota)).collect()
     }
 }
--- a/crates/wingfold-director/src/policy/assignment.rs
+++ b/crates/wingfold-director/src/policy/assignment.rs
@@ -30,7 +30,7 @@
             let Some(loads) = loads.get_mut(&proxy.zone) else { continue };
             let Some(subset) = least_loaded_subset(loads) else { continue };
             let tables = &zones[&proxy.zone].subsets[subset].tables;
-            // The tables of all classes at once: a proxy would not get the changes of a table left assigned.
+            // All classes at once: one that kept the table of another subset would get no changes of it.
             let lines = tables.iter().map(Table::full_lines).sum();
             let has_no_entries = tables.iter().all(|table| table.entries.is_empty());
             if has_no_entries || !self.has_capacity(PushPriority::ASSIGNMENT, lines, &[id]) {
--- a/crates/wingfold-director/src/policy/mod.rs
+++ b/crates/wingfold-director/src/policy/mod.rs
@@ -1,8 +1,8 @@
 //! Every decision of a director, one concern a file. [`crate::director`] says in which order they are taken.
 //!
-//! Ordinary tables follow the Best Exit Selection Design (docs/design.md): each zone of proxies is an owner
-//! that scores every host by reported latency and loss; the leading group keeps its listed weight, and the
-//! weight of laggards is halved step by step. All else answers cases that the design leaves open.
+//! Tables follow the Best Exit Selection Design (docs/design.md): each zone of proxies is an owner that
+//! scores every host by reported latency and loss; the leading group keeps its listed weight, and the weight
+//! of laggards is halved step by step. All other decisions are on cases that the design leaves open.
 
 pub(crate) mod admission;
 pub(crate) mod assignment;
--- a/crates/wingfold-director/src/policy/push.rs
+++ b/crates/wingfold-director/src/policy/push.rs
@@ -43,7 +43,7 @@
         TablePush { replaces_table: true, changes }
     }
 
-    /// Lines that this is in a message.
+    /// Lines that it adds to a message.
     fn lines(&self) -> usize {
         usize::from(self.replaces_table) + self.changes.len()
     }
@@ -59,11 +59,11 @@
     }
 }
 
-/// What the proxies that wait for their tables, and the size of tables, leave to other changes.
+/// What holds for the changes of all of a zone's tables for a group of classes.
 struct PushConditions {
     /// The tables of waiting proxies would exceed the in-flight limit of ordinary changes.
     is_join_burst: bool,
-    /// Tables have standby entries.
+    /// Tables have standby entries. In a join burst they have none, which would delay the proxies.
     with_standby: bool,
     /// The priority that every change has at least.
     least_priority: PushPriority,
@@ -164,7 +164,7 @@
         }
     }
 
-    /// What holds for the changes of all tables of a zone for a group of classes.
+    /// The conditions of a zone's tables for a group of classes.
     fn push_conditions(&self, zone: &Zone, shared: &ZoneTableInputs, group: usize) -> PushConditions {
         let is_join_burst = self.is_join_burst(shared, group);
         PushConditions {
@@ -181,8 +181,9 @@
         shared.waiting_proxies > 0 && needed_lines > self.in_flight_limit(PushPriority::ORDINARY)
     }
 
-    /// Whether tables have standby entries. They cost connections, which may run short, and where all of
-    /// them can't be sent within a cooldown they would never be complete and delay all other changes.
+    /// Whether a zone's tables may have standby entries. They cost connections, which hosts may refuse; and
+    /// where not all of them can be sent within a cooldown, they would never be complete and would delay all
+    /// other changes.
     fn allows_standby_entries(&self, zone: &Zone, shared: &ZoneTableInputs, group: usize) -> bool {
         let all_entries = self.proxies.len() * shared.eligible[group].len() * self.class_groups.len();
         let send_time_s = all_entries as f64 / self.settings.send_rate_lines_per_s;
@@ -198,12 +199,12 @@
             .collect()
     }
 
-    /// The priority that every change has at least. In a burst of joining proxies all changes share their
-    /// send capacity, since tables that are not updated overload hosts, until the first of the proxies has
-    /// waited for a good part of the drain grace.
+    /// The priority that every change has at least. In a join burst all changes may use the send capacity of
+    /// the proxies, since outdated tables overload hosts, until the first of these proxies has waited for a
+    /// good part of the drain grace.
     fn least_priority(&self, shared: &ZoneTableInputs, is_join_burst: bool) -> PushPriority {
-        let shared_until_s = JOIN_PRIORITY_AFTER_GRACE_RATIO * self.settings.drain_grace.secs();
-        if is_join_burst && shared.longest_wait_s < shared_until_s {
+        let join_priority_after_s = JOIN_PRIORITY_AFTER_GRACE_RATIO * self.settings.drain_grace.secs();
+        if is_join_burst && shared.longest_wait_s < join_priority_after_s {
             PushPriority::ASSIGNMENT
         } else {
             PushPriority::ORDINARY
--- a/crates/wingfold-director/src/policy/subsetting.rs
+++ b/crates/wingfold-director/src/policy/subsetting.rs
@@ -14,7 +14,7 @@
 
 /// Requests that a connection should carry before it would close idle.
 pub(crate) const MIN_REQUESTS_PER_CONNECTION: f64 = 3.0;
-/// The same where connections are short.
+/// The same where hosts have refused connections.
 const MAX_REQUESTS_PER_CONNECTION: f64 = 48.0;
 /// Hosts of a subset, at least.
 pub(crate) const MIN_SUBSET_HOSTS: f64 = 3.0;
@@ -22,7 +22,7 @@
 const FULL_SUBSET_RATIO: f64 = 0.7;
 /// Proxies that share a subset.
 const PROXIES_PER_SUBSET: f64 = 5.0;
-/// The same where connections are short.
+/// The same where hosts have refused connections.
 const PROXIES_PER_FINE_SUBSET: f64 = 2.0;
 /// Arcs are assigned again once one would move by more than this ratio of its length.
 const SUBSET_CHANGE_RATIO: f64 = 0.25;
@@ -32,7 +32,7 @@
 pub(crate) const MIN_SAMPLE_HOSTS: f64 = 16.0;
 /// Recent attempts from which a host counts as reported.
 const MIN_REPORTED_ATTEMPTS: f64 = 2.0;
-/// Loss below which connections are no longer short.
+/// Loss below which hosts refuse no connections.
 const CALM_LOSS_RATIO: f64 = COMMON_LOSS_RATIO / 5.0;
 /// Calm rounds after which a subset grows.
 const CALM_ROUNDS: u32 = 2 * CONFIRMING_ROUNDS;
@@ -83,8 +83,9 @@
     hosts_per_proxy: f64,
     /// Whether each subset has all hosts.
     has_all_hosts: bool,
-    /// Whether connections are short: then arcs are as long as is needed, and no longer.
-    connections_are_short: bool,
+    /// Whether proxies limit their connections, since hosts have refused some: arcs are then no longer than
+    /// is needed.
+    limits_connections: bool,
 }
 
 impl SubsetDemand {
@@ -93,7 +94,7 @@
         let needed_length = self.hosts_per_proxy / self.ready_hosts;
         if self.has_all_hosts {
             1.0
-        } else if self.connections_are_short {
+        } else if self.limits_connections {
             f64::max(needed_length, 1.0 / (subsets * directors))
         } else {
             // Arcs together cover each host equally often.
@@ -111,7 +112,7 @@
         let is_calm = zone.baseline_loss < CALM_LOSS_RATIO && previous > MIN_REQUESTS_PER_CONNECTION;
         zone.calm_rounds = if is_calm { (zone.calm_rounds + 1) % CALM_ROUNDS } else { 0 };
         let may_grow = is_calm && zone.calm_rounds == 0;
-        zone.requests_per_connection = if self.refuses_connections(zone) {
+        zone.requests_per_connection = if self.hosts_refuse_connections(zone) {
             MAX_REQUESTS_PER_CONNECTION
         } else if may_grow {
             previous / 2.0
@@ -130,7 +131,7 @@
 
     /// Whether losses are common in a zone while hosts have capacity to spare. A director that has just
     /// started has reports of a few hosts only, and those are the ones that fail.
-    fn refuses_connections(&self, zone: &Zone) -> bool {
+    fn hosts_refuse_connections(&self, zone: &Zone) -> bool {
         let loss_is_common = (COMMON_LOSS_RATIO..1.0).contains(&zone.baseline_loss);
         let has_spare_capacity = self.utilization > 0.0 && self.utilization < SATURATED_UTILIZATION;
         if !loss_is_common || !has_spare_capacity {
@@ -192,16 +193,16 @@
             ready_hosts,
             hosts_per_proxy,
             has_all_hosts: proxies == 0.0 || idle_timeout.0 == 0 || needs_most_hosts,
-            connections_are_short: zone.requests_per_connection > MIN_REQUESTS_PER_CONNECTION,
+            limits_connections: zone.requests_per_connection > MIN_REQUESTS_PER_CONNECTION,
         }
     }
 
-    /// Adds the subsets that a zone lacks for its proxies. Once connections are short and subsets are large,
-    /// the zone has finer subsets for good, and its proxies are assigned again.
+    /// Adds the subsets that a zone lacks for its proxies. Once connections are limited and subsets are
+    /// large, the zone has finer subsets for good, and its proxies are assigned again.
     fn add_subsets(&mut self, name: &ZoneId, zone: &mut Zone, demand: &SubsetDemand) {
         let subsets = self.subset_count(demand, PROXIES_PER_SUBSET);
         let subsets_are_large = demand.ready_hosts / subsets > 2.0 * MIN_SUBSET_HOSTS;
-        if demand.connections_are_short && !zone.has_fine_subsets && subsets_are_large {
+        if demand.limits_connections && !zone.has_fine_subsets && subsets_are_large {
             zone.has_fine_subsets = true;
             self.reassign_proxies(name);
         }
--- a/crates/wingfold-director/src/state/mod.rs
+++ b/crates/wingfold-director/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The records that a director keeps: plain data and questions about them, no decision.
+//! The records that a director keeps: plain data and queries on them. Nothing is decided here.
 use crate::interface::ZoneId;
 
 mod class_group;
@@ -19,5 +19,5 @@
 pub(crate) use zone::*;
 pub(crate) use zone_host_stats::*;
 
-/// What is kept for each zone, in the order of the settings: names decide nothing, not even who goes first.
+/// Values by zone, in the order of the settings: no result depends on the order of the zones' names.
 pub(crate) type ByZone<T> = indexmap::IndexMap<ZoneId, T>;
--- a/crates/wingfold-director/src/state/send_queue.rs
+++ b/crates/wingfold-director/src/state/send_queue.rs
@@ -1,186 +1,227 @@
-//! Accounting of the send queue that all messages of a director share: how many lines wait there, by the
+//! Accounting of the send queue that all messages of a director share: how many lines it holds, by the
 //! acknowledgements of proxies to the barriers that messages carry.
+//!
+//! A line is the unit in which the settings limit messages: a table entry, an admission level or a barrier.
 use crate::interface::{ProxyId, Timestamp};
 use crate::state::Proxy;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Lines that were ordered and that no proxy's answer shows to have left the channel: no less than what
-/// waits there, however slow it is, since messages leave it one after the other. Only marks that are given
-/// up may make it less.
+/// Lines that were sent and that no acknowledgement shows to have left the send queue. It holds no more than
+/// these, however slow it is, since messages leave it one after the other; only barriers that expire without
+/// an acknowledgement can make the count too small.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct SendQueue {
-    /// All of them, those of the present answer too.
+    /// All of these lines, those of the present evaluation included.
     #[serde(rename = "queued")]
     pub(crate) queued_lines: f64,
-    /// Those ordered since the last mark.
+    /// Those sent since the last barrier.
     #[serde(rename = "unmarked")]
     pub(crate) lines_since_barrier: f64,
-    /// Marks that some proxies have not answered, oldest first, and the number of the last.
+    /// Barriers that some proxies have not acknowledged, oldest first.
     #[serde(rename = "marks")]
     pub(crate) pending_barriers: VecDeque<PendingBarrier>,
+    /// Number of the last barrier.
     #[serde(rename = "number")]
     pub(crate) last_barrier: u64,
-    /// When a mark was last answered.
+    /// When a barrier was last acknowledged or expired.
     #[serde(rename = "heard_at")]
     pub(crate) last_acknowledged_at: Timestamp,
-    /// Lines a second that it sends, as far as answers show; 0: none has shown it.
+    /// Smoothed lines per second that leave the queue, as acknowledgements show it; 0 if none has yet.
     #[serde(rename = "pace")]
     pub(crate) drain_rate_per_s: f64,
-    /// Marks given up since the last answer.
+    /// Barriers that have expired since the last acknowledgement.
     #[serde(rename = "given_up")]
     pub(crate) expired_barriers: u32,
-    /// Lines of all answers of the module up to the last marked one, since the start.
+    /// Lines of all evaluations up to the last with a barrier, since the start.
     #[serde(rename = "total")]
     pub(crate) total_lines: f64,
-    /// When the present measurement of the pace began, and how many of all lines had left by then.
+    /// When the present measurement of the drain rate began.
     #[serde(rename = "measured_at")]
     pub(crate) measurement_started_at: Timestamp,
+    /// How many of `total_lines` had left the queue by then.
     #[serde(rename = "measured_from")]
     pub(crate) measurement_start_lines: f64,
-    /// Lines a second by the last measurement; 0: messages leave too soon for one.
+    /// Lines per second by the last measurement; 0 if messages leave the queue too soon for one.
     #[serde(rename = "measured_pace")]
     pub(crate) measured_drain_rate_per_s: f64,
 }
 
-/// One answer's messages, each with a mark that its proxy answers once it has applied it.
+/// The messages of one evaluation, each with a barrier that its proxy acknowledges once it has applied it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct PendingBarrier {
+    /// Its number.
     pub(crate) number: u64,
+    /// When it was sent.
     #[serde(rename = "at")]
     pub(crate) sent_at: Timestamp,
-    /// Lines of the answers between the mark before and this one, and all that waited with its own.
+    /// Lines of the evaluations between the barrier before and this one.
     #[serde(rename = "before")]
     pub(crate) lines_before: f64,
+    /// All lines that the send queue held when it was sent, those of its own messages included.
     #[serde(rename = "queued")]
     pub(crate) queued_lines: f64,
-    /// Lines of all answers of the module up to this one, since the start.
+    /// Lines of all evaluations up to this one, since the start.
     #[serde(rename = "total")]
     pub(crate) total_lines: f64,
-    /// Lines of its own messages, by proxies that have not answered.
+    /// Lines of its own messages, by proxies that have not acknowledged it.
     #[serde(rename = "lines")]
     pub(crate) unacknowledged: BTreeMap<ProxyId, f64>,
 }
 
-/// How long nothing was heard of the oldest mark.
+/// How long the oldest barrier has waited for acknowledgements.
 pub(crate) struct AcknowledgementSilence {
+    /// Seconds since it was sent, or since the last acknowledgement of any barrier.
     pub(crate) silent_s: f64,
-    /// Time that its lines take to leave, at the pace last measured.
+    /// Seconds that its lines take to leave the queue, at the drain rate last measured.
     pub(crate) drain_s: f64,
-    /// Proxies answered until now, and one that can still answer is there.
+    /// Whether proxies have acknowledged barriers until now, and some proxy can still acknowledge one.
     pub(crate) acknowledgement_expected: bool,
 }
 
 impl PendingBarrier {
-    /// Lines that it speaks of and that are not known to have left.
+    /// Lines that it stands for and that are not known to have left the queue.
     pub(crate) fn outstanding_lines(&self) -> f64 {
         self.lines_before + self.unacknowledged.values().sum::<f64>()
     }
 
-    /// Whether a proxy that has not answered still has the stream that the mark went to.
+    /// Lines of its messages that were sent after the one to a proxy: those of one evaluation are sent in
+    /// the order of their proxies.
+    fn lines_behind(&self, proxy: ProxyId) -> f64 {
+        self.unacknowledged.range(proxy..).skip(1).map(|(_, lines)| lines).sum()
+    }
+
+    /// Removes the lines that have left the queue once a proxy has acknowledged it, and returns their
+    /// number.
+    fn remove_acknowledged(&mut self, proxy: ProxyId) -> f64 {
+        let lines_before = std::mem::take(&mut self.lines_before);
+        lines_before + self.unacknowledged.remove(&proxy).unwrap_or(0.0)
+    }
+
+    /// Whether a proxy that has not acknowledged it still has the stream that it was sent to.
     fn can_be_acknowledged(&self, proxies: &BTreeMap<ProxyId, Proxy>) -> bool {
-        let same_stream = |id| proxies.get(id).is_some_and(|proxy| proxy.connected_at <= self.sent_at);
-        self.unacknowledged.keys().any(same_stream)
+        let has_same_stream = |id| proxies.get(id).is_some_and(|proxy| proxy.connected_at <= self.sent_at);
+        self.unacknowledged.keys().any(has_same_stream)
     }
 }
 
 impl SendQueue {
-    /// Books one answer's messages, counted as they were ordered; with `marked` each of them carries a mark
-    /// of this answer's own.
-    pub(crate) fn record_sent(&mut self, now: Timestamp, messages: BTreeMap<ProxyId, f64>, marked: bool) {
-        if marked {
-            let before = std::mem::take(&mut self.lines_since_barrier);
-            self.total_lines += before + messages.values().sum::<f64>();
-            let (number, queued, total) = (self.last_barrier, self.queued_lines, self.total_lines);
-            self.pending_barriers.push_back(PendingBarrier {
-                number,
-                sent_at: now,
-                lines_before: before,
-                queued_lines: queued,
-                total_lines: total,
-                unacknowledged: messages,
-            });
-        } else {
-            self.lines_since_barrier += messages.values().sum::<f64>();
+    /// Records the messages of one evaluation by their lines. With `has_barrier` each of them carries the
+    /// last barrier.
+    pub(crate) fn record_sent(
+        &mut self,
+        now: Timestamp,
+        messages: BTreeMap<ProxyId, f64>,
+        has_barrier: bool,
+    ) {
+        let lines = messages.values().sum::<f64>();
+        if !has_barrier {
+            self.lines_since_barrier += lines;
+            return;
         }
+        let lines_before = std::mem::take(&mut self.lines_since_barrier);
+        self.total_lines += lines_before + lines;
+        self.pending_barriers.push_back(PendingBarrier {
+            number: self.last_barrier,
+            sent_at: now,
+            lines_before,
+            queued_lines: self.queued_lines,
+            total_lines: self.total_lines,
+            unacknowledged: messages,
+        });
     }
 
-    /// A proxy has applied a mark: its message has left the channel, and all of earlier answers went before
-    /// it. Gives what waited when it was ordered, up to its own message. A measurement of the pace takes at
-    /// least `span` seconds.
+    /// Records that a proxy has acknowledged a barrier: its message has left the queue, and so have all
+    /// messages of earlier evaluations. Returns how many lines were queued when the message was sent, up to
+    /// its own end; `None` if the barrier is not pending. A measurement of the drain rate takes at least
+    /// `min_measurement_s`.
     pub(crate) fn acknowledge(
         &mut self,
         now: Timestamp,
         proxy: ProxyId,
         number: u64,
-        span: f64,
+        min_measurement_s: f64,
     ) -> Option<f64> {
-        let at = self.pending_barriers.iter().position(|mark| mark.number == number)?;
-        let mut left: f64 = self.pending_barriers.drain(..at).map(|mark| mark.outstanding_lines()).sum();
-        let mark = &mut self.pending_barriers[0];
-        // Messages of one answer go in the order of their proxies.
-        let behind: f64 = mark.unacknowledged.range(proxy..).skip(1).map(|(_, lines)| lines).sum();
-        let (waited, ordered_at, reached) =
-            (mark.queued_lines - behind, mark.sent_at, mark.total_lines - behind);
-        left += std::mem::take(&mut mark.lines_before) + mark.unacknowledged.remove(&proxy).unwrap_or(0.0);
-        if mark.unacknowledged.is_empty() {
+        let index = self.pending_barriers.iter().position(|barrier| barrier.number == number)?;
+        let earlier = self.pending_barriers.drain(..index);
+        let mut drained_lines: f64 = earlier.map(|barrier| barrier.outstanding_lines()).sum();
+        let barrier = self.pending_barriers.front_mut()?;
+        let lines_behind = barrier.lines_behind(proxy);
+        let queued_lines = barrier.queued_lines - lines_behind;
+        let total_drained_lines = barrier.total_lines - lines_behind;
+        let sent_at = barrier.sent_at;
+        drained_lines += barrier.remove_acknowledged(proxy);
+        if barrier.unacknowledged.is_empty() {
             self.pending_barriers.pop_front();
         }
-        self.remove_drained(left, now);
+        self.remove_drained(drained_lines, now);
         self.expired_barriers = 0;
-        self.measure_drain_rate(now, ordered_at, reached, span);
-        Some(waited)
+        self.measure_drain_rate(now, sent_at, total_drained_lines, min_measurement_s);
+        Some(queued_lines)
     }
 
-    /// Measures the pace from answer to answer, as long as the channel is never empty: of all lines
-    /// `reached` have left.
-    fn measure_drain_rate(&mut self, now: Timestamp, ordered_at: Timestamp, reached: f64, span: f64) {
-        let secs = now.since(self.measurement_started_at);
-        let never_empty = ordered_at <= self.measurement_started_at;
-        // A proxy may answer late, after others that were sent more.
-        if reached <= self.measurement_start_lines || never_empty && secs <= span {
+    /// Measures the drain rate between two acknowledgements, as long as the queue is never empty. `sent_at`
+    /// is when the message just acknowledged was sent, `drained_lines` how many of all lines have left the
+    /// queue.
+    fn measure_drain_rate(
+        &mut self,
+        now: Timestamp,
+        sent_at: Timestamp,
+        drained_lines: f64,
+        min_measurement_s: f64,
+    ) {
+        let elapsed_s = now.since(self.measurement_started_at);
+        let was_never_empty = sent_at <= self.measurement_started_at;
+        let is_too_short = was_never_empty && elapsed_s <= min_measurement_s;
+        // A proxy may acknowledge late, after others that were sent more.
+        if drained_lines <= self.measurement_start_lines || is_too_short {
             return;
         }
         self.measured_drain_rate_per_s =
-            if never_empty { (reached - self.measurement_start_lines) / secs } else { 0.0 };
-        (self.measurement_started_at, self.measurement_start_lines) = (now, reached);
+            if was_never_empty { (drained_lines - self.measurement_start_lines) / elapsed_s } else { 0.0 };
+        self.measurement_started_at = now;
+        self.measurement_start_lines = drained_lines;
     }
 
-    /// How long nothing was heard of the oldest mark, if there is one. Where no pace is measured the
-    /// `usual` one counts.
+    /// How long the oldest barrier has waited, if there is one. Where no drain rate is measured the nominal
+    /// one counts.
     pub(crate) fn acknowledgement_silence(
         &self,
         now: Timestamp,
         proxies: &BTreeMap<ProxyId, Proxy>,
-        usual: f64,
+        nominal_rate_per_s: f64,
     ) -> Option<AcknowledgementSilence> {
-        let mark = self.pending_barriers.front()?;
-        let pace = if self.measured_drain_rate_per_s > 0.0 {
-            usual.min(self.measured_drain_rate_per_s)
+        let oldest = self.pending_barriers.front()?;
+        let drain_rate_per_s = if self.measured_drain_rate_per_s > 0.0 {
+            nominal_rate_per_s.min(self.measured_drain_rate_per_s)
         } else {
-            usual
+            nominal_rate_per_s
         };
-        let answers_come = self.last_acknowledged_at > Timestamp(0) && self.expired_barriers == 0;
+        let proxies_acknowledge = self.last_acknowledged_at > Timestamp(0) && self.expired_barriers == 0;
+        let can_be_acknowledged =
+            || self.pending_barriers.iter().any(|barrier| barrier.can_be_acknowledged(proxies));
         Some(AcknowledgementSilence {
-            silent_s: now.since(self.last_acknowledged_at.max(mark.sent_at)),
-            drain_s: mark.outstanding_lines() / pace,
-            acknowledgement_expected: answers_come
-                && self.pending_barriers.iter().any(|mark| mark.can_be_acknowledged(proxies)),
+            silent_s: now.since(self.last_acknowledged_at.max(oldest.sent_at)),
+            drain_s: oldest.outstanding_lines() / drain_rate_per_s,
+            acknowledgement_expected: proxies_acknowledge && can_be_acknowledged(),
         })
     }
 
-    /// Counts the oldest mark's lines as gone, unanswered. The last measurement counts for less each time:
-    /// answers may never come again.
+    /// Counts the lines of the oldest barrier as drained without an acknowledgement. The drain rate last
+    /// measured counts for less each time, as acknowledgements may never come again.
     pub(crate) fn expire_oldest_barrier(&mut self, now: Timestamp) {
-        let left = self.pending_barriers.pop_front().map_or(0.0, |mark| mark.outstanding_lines());
-        self.remove_drained(left, now);
+        let oldest = self.pending_barriers.pop_front();
+        let expired_lines = oldest.map_or(0.0, |barrier| barrier.outstanding_lines());
+        self.remove_drained(expired_lines, now);
         self.expired_barriers = self.expired_barriers.saturating_add(1);
         self.measured_drain_rate_per_s *= 2.0;
     }
 
+    /// Removes lines that have left the queue.
     fn remove_drained(&mut self, lines: f64, now: Timestamp) {
-        (self.queued_lines, self.last_acknowledged_at) = ((self.queued_lines - lines).max(0.0), now);
+        self.queued_lines = (self.queued_lines - lines).max(0.0);
+        self.last_acknowledged_at = now;
     }
 }
