--- a/crates/wingfold-director/src/state/zone.rs
+++ b/crates/wingfold-director/src/state/zone.rs
@@ -33,9 +33,9 @@
     /// Requests that a connection should carry before it closes idle: the more, the smaller the subsets.
     #[serde(rename = "uses")]
     pub(crate) requests_per_connection: f64,
-    /// The last assignment of hosts to subsets: requests per connection, requests per second, time.
+    /// The last assignment of hosts to subsets.
     #[serde(rename = "laid")]
-    pub(crate) last_assignment: Option<(f64, f64, Timestamp)>,
+    pub(crate) last_assignment: Option<SubsetAssignment>,
     /// The proxies were assigned to finer subsets, since connections ran short.
     #[serde(rename = "fine")]
     pub(crate) has_fine_subsets: bool,
@@ -53,6 +53,30 @@
     pub(crate) memo: ZoneMemo,
 }
 
+/// An assignment of a zone's hosts to its subsets.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, f64, Timestamp)", into = "(f64, f64, Timestamp)")]
+pub(crate) struct SubsetAssignment {
+    /// Requests that a connection should carry, by which the subsets were sized.
+    pub(crate) requests_per_connection: f64,
+    /// Requests per second of the zone's proxies at that time.
+    pub(crate) load_per_s: f64,
+    /// When the hosts were assigned.
+    pub(crate) assigned_at: Timestamp,
+}
+
+impl From<(f64, f64, Timestamp)> for SubsetAssignment {
+    fn from((requests_per_connection, load_per_s, assigned_at): (f64, f64, Timestamp)) -> Self {
+        SubsetAssignment { requests_per_connection, load_per_s, assigned_at }
+    }
+}
+
+impl From<SubsetAssignment> for (f64, f64, Timestamp) {
+    fn from(last: SubsetAssignment) -> Self {
+        (last.requests_per_connection, last.load_per_s, last.assigned_at)
+    }
+}
+
 /// How many hosts a zone counts with, each by its locality weight.
 pub(crate) struct LocalityWeightedHosts {
     /// The hosts that are ready.
