--- a/crates/wingfold-capture/src/case.rs
+++ b/crates/wingfold-capture/src/case.rs
@@ -3,7 +3,7 @@
 use crate::reader::Entry;
 use crate::replay::{Mode, Replayer};
 use std::time::Duration;
-use wingfold_director::inspect::Standing;
+use wingfold_director::inspect::HostStatus;
 use wingfold_director::interface::{HostId, Timestamp, ZoneId};
 use wingfold_director::Director;
 use wingfold_settings::hcl::{self, Block, Faults};
@@ -207,12 +207,12 @@
     };
     let tables = |zone: &ZoneId| {
         let bound =
-            |table: &wingfold_director::inspect::TableView| table.zone == *zone && !table.lines.is_empty();
+            |table: &wingfold_director::inspect::TableView| table.zone == *zone && !table.entries.is_empty();
         director.table_views().into_iter().filter(bound).collect::<Vec<_>>()
     };
     let share = |host: &str, table: &wingfold_director::inspect::TableView| {
-        let all: f64 = table.lines.iter().map(|line| line.1).sum();
-        table.lines.iter().find(|line| *line.0 .0 == *host).map_or(0.0, |line| line.1) / all.max(1e-300)
+        let all: f64 = table.entries.iter().map(|line| line.1).sum();
+        table.entries.iter().find(|line| *line.0 .0 == *host).map_or(0.0, |line| line.1) / all.max(1e-300)
     };
     let asked = match must {
         Must::Out { zone, .. }
@@ -243,14 +243,14 @@
                 }
             }
             Must::Standing { host, is, .. } => {
-                let view = director.path_view(&zone, &HostId(host.as_str().into()));
-                let found = match view.map(|view| view.standing) {
+                let view = director.host_view(&zone, &HostId(host.as_str().into()));
+                let found = match view.map(|view| view.status) {
                     None => "unknown",
-                    Some(Standing::Leading) => "leading",
-                    Some(Standing::Halved(_)) => "halved",
-                    Some(Standing::Out(_)) => "out",
-                    Some(Standing::Trial(_)) => "trial",
-                    Some(Standing::Leaving) => "leaving",
+                    Some(HostStatus::Leading) => "leading",
+                    Some(HostStatus::WeightHalved(_)) => "halved",
+                    Some(HostStatus::Ejected(_)) => "out",
+                    Some(HostStatus::Probation(_)) => "trial",
+                    Some(HostStatus::NotReady) => "leaving",
                 };
                 if found != *is {
                     return Err(format!("{host} is {found} in {name}, not {is}"));
@@ -261,7 +261,8 @@
                     return Err(format!("there is no class `{class}`"));
                 };
                 let views = director.zone_views();
-                let level = views.iter().find(|view| view.zone == zone).map_or(1.0, |view| view.levels[at]);
+                let level =
+                    views.iter().find(|view| view.zone == zone).map_or(1.0, |view| view.admission_levels[at]);
                 if level < *least || level > *most {
                     return Err(format!("{class} is at level {level} in {name}, not {least} to {most}"));
                 }
--- a/crates/wingfold-capture/src/mirror.rs
+++ b/crates/wingfold-capture/src/mirror.rs
@@ -31,7 +31,9 @@
     /// What a director holds now.
     pub fn of(director: &Director) -> Mirror {
         let mut mirror = Mirror::default();
-        for TableView { table, classes, lines, levels, proxies, .. } in director.table_views() {
+        for TableView { table, classes, entries: lines, admission_levels: levels, proxies, .. } in
+            director.table_views()
+        {
             let levels = levels.into_iter().map(|(class, level)| (1 << class.0, level)).collect();
             mirror.tables.insert(table, Table { lines: lines.into_iter().collect(), levels });
             let mask = classes.0;
--- a/crates/wingfold-capture/src/why.rs
+++ b/crates/wingfold-capture/src/why.rs
@@ -4,7 +4,7 @@
 use crate::replay::Replayer;
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
-use wingfold_director::inspect::{FleetView, PathView, Standing, ZoneView};
+use wingfold_director::inspect::{FleetView, HostStatus, HostView, ZoneView};
 use wingfold_director::interface::{Action, Event, HostId, Micros, ProxyId, TableId, Timestamp, ZoneId};
 use wingfold_director::Director;
 
@@ -36,7 +36,7 @@
     /// Its time.
     pub at: Timestamp,
     /// How the zone treated the host before and after; `None` before: it was not known.
-    pub standing: Option<(Option<Standing>, Standing)>,
+    pub standing: Option<(Option<HostStatus>, HostStatus)>,
     /// Its part of the weight of the zone's tables before and after, in the mean over tables.
     pub share: (f64, f64),
     /// What had been heard of it lately, oldest first: time and event.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct HostWhy {
     /// The module's view.
-    pub view: PathView,
+    pub view: HostView,
     /// Its part of the weight of each table.
     pub shares: Vec<(TableId, f64)>,
     /// What moved it, oldest first.
@@ -78,7 +78,7 @@
 /// What a host had when last looked at.
 #[derive(Clone, Debug, Default)]
 struct Seen {
-    standing: Option<Standing>,
+    standing: Option<HostStatus>,
     share: f64,
     moves: VecDeque<Move>,
 }
@@ -118,11 +118,11 @@
         });
         let noted: Vec<String> = noted.collect();
         for (zone, host) in self.watched(director) {
-            let Some(view) = director.path_view(&zone, &host) else { continue };
+            let Some(view) = director.host_view(&zone, &host) else { continue };
             let share = mean_share(director, &zone, &host);
             let first = !self.seen.contains_key(&(zone.clone(), host.clone()));
             let seen = self.seen.entry((zone.clone(), host.clone())).or_default();
-            let (was, is) = (seen.standing, view.standing);
+            let (was, is) = (seen.standing, view.status);
             let turned = was.is_none_or(|was| kind(was) != kind(is));
             // Shares of the others' moves are small; what halves or doubles a host's is a move of its own.
             let moved = (share - seen.share).abs() > 0.2 * share.max(seen.share).max(0.01);
@@ -187,9 +187,9 @@
         let tables = tables.unwrap_or_default();
         let mut hosts = Vec::new();
         for (zone, host) in self.watched(director) {
-            let Some(mut view) = director.path_view(&zone, &host) else { continue };
+            let Some(mut view) = director.host_view(&zone, &host) else { continue };
             if self.question.proxy.is_some() {
-                view.weights.retain(|(table, _)| tables.contains(table));
+                view.table_weights.retain(|(table, _)| tables.contains(table));
             }
             let shares = shares(director, &zone, &host);
             let shares = shares.filter(|(table, _)| tables.is_empty() || tables.contains(table)).collect();
@@ -213,13 +213,13 @@
     }
 }
 
-fn kind(standing: Standing) -> (u8, u32) {
+fn kind(standing: HostStatus) -> (u8, u32) {
     match standing {
-        Standing::Leading => (0, 0),
-        Standing::Halved(step) => (1, step),
-        Standing::Out(until) => (2, until.0 as u32),
-        Standing::Trial(_) => (3, 0),
-        Standing::Leaving => (4, 0),
+        HostStatus::Leading => (0, 0),
+        HostStatus::WeightHalved(step) => (1, step),
+        HostStatus::Ejected(until) => (2, until.0 as u32),
+        HostStatus::Probation(_) => (3, 0),
+        HostStatus::NotReady => (4, 0),
     }
 }
 
@@ -228,8 +228,8 @@
     let tables = director.table_views().into_iter().filter(|table| table.zone == *zone).collect::<Vec<_>>();
     let host = host.clone();
     tables.into_iter().map(move |table| {
-        let all: f64 = table.lines.iter().map(|line| line.1).sum();
-        let own = table.lines.iter().find(|line| line.0 == host).map_or(0.0, |line| line.1);
+        let all: f64 = table.entries.iter().map(|line| line.1).sum();
+        let own = table.entries.iter().find(|line| line.0 == host).map_or(0.0, |line| line.1);
         (table.table, own / all.max(1e-300))
     })
 }
--- a/crates/wingfold-director/benches/ladder/memory.rs
+++ b/crates/wingfold-director/benches/ladder/memory.rs
@@ -81,7 +81,13 @@
             let now = Timestamp(start.0 + u64::from(second) * 1_000_000);
             director.handle(now, &[Event::TimerFired(0)], &mut actions);
         }
-        let [hosts, paths, lines, proxies, _] = director.record_counts().map(|count| count as f64);
-        Held { bytes: of_director(&director) as f64, hosts, paths, lines, proxies }
+        let counts = director.record_counts();
+        Held {
+            bytes: of_director(&director) as f64,
+            hosts: counts.hosts as f64,
+            paths: counts.zone_host_stats as f64,
+            lines: counts.table_entries as f64,
+            proxies: counts.proxies as f64,
+        }
     }
 }
--- a/crates/wingfold-director/benches/ladder/output.rs
+++ b/crates/wingfold-director/benches/ladder/output.rs
@@ -4,6 +4,7 @@
 use crate::memory::RecordBytes;
 use crate::scenario::{Lengths, Outcome};
 use serde::Serialize;
+use wingfold_director::inspect::RecordCounts;
 
 /// A ladder: sizes that differ in one dimension, or in all of them together.
 #[derive(Debug, Serialize)]
@@ -140,10 +141,20 @@
         for cell in cells {
             print!("| {} ", cell.map_or("-".into(), |value| format!("{value:.2}")));
         }
-        println!("| {:.2} | {:?} |", outcome.allocated_after_start as f64 / 1e6, outcome.records);
+        println!(
+            "| {:.2} | {} |",
+            outcome.allocated_after_start as f64 / 1e6,
+            record_counts(&outcome.records)
+        );
     }
 }
 
+/// The counts in one cell: hosts, statistics of hosts, table entries, proxies, times of messages.
+fn record_counts(counts: &RecordCounts) -> String {
+    let RecordCounts { hosts, zone_host_stats, table_entries, proxies, send_times } = counts;
+    format!("[{hosts}, {zone_host_stats}, {table_entries}, {proxies}, {send_times}]")
+}
+
 /// Bytes a second by peer, for each phase of each outcome.
 fn print_traffic(report: &Report) {
     println!("\n## Bytes a second by peer\n");
--- a/crates/wingfold-director/benches/ladder/scenario.rs
+++ b/crates/wingfold-director/benches/ladder/scenario.rs
@@ -5,6 +5,7 @@
 use crate::memory;
 use crate::sizes::{Size, CONFIGURED_A_DAY, REPLACED_A_DAY, TARGET};
 use serde::Serialize;
+use wingfold_director::inspect::RecordCounts;
 use wingfold_director::interface::{Endpoint, EndpointListKind, Event, Readiness};
 
 /// Seconds in a day.
@@ -95,8 +96,8 @@
     /// Bytes that the director holds after the start and at the end.
     pub allocated_after_start: usize,
     pub allocated_at_end: usize,
-    /// Hosts, paths, lines, proxies and messages kept after the start.
-    pub records: [usize; 5],
+    /// Records that the director holds after the start.
+    pub records: RecordCounts,
     /// Bytes of a checkpoint after the start.
     pub checkpoint_bytes: usize,
 }
--- a/crates/wingfold-director/src/inspect.rs
+++ b/crates/wingfold-director/src/inspect.rs
@@ -1,147 +1,209 @@
-//! What a director holds, for eyes from outside: `wingfold why`, checks and figures. Nothing here decides
-//! or changes anything; what is worked out is worked out by the functions that decide.
+//! Read-only views of a director's state, for `wingfold why`, metrics and checks. Nothing here decides or
+//! changes anything; derived values come from the functions that decide.
+//!
+//! Views are printed as JSON: their fields keep the names that they had there first.
 use crate::director::Director;
 use crate::interface::{ClassId, ClassMask, HostId, ProxyId, Readiness, TableId, Timestamp, ZoneId};
-use crate::state::{HealthState, Zone};
+use crate::state::{HealthState, Host, Zone, ZoneHostStats};
 use serde::Serialize;
 
-/// How a zone's tables treat a host.
+/// A host answered recently if it did so within this many report periods.
+const RECENT_REPORT_PERIODS: f64 = 6.0;
+
+/// Recent answers, in decaying counts, from which on a host counts as reachable.
+const MIN_RECENT_SUCCESSES: f64 = 0.5;
+
+/// How the tables of a zone treat a host.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
-    /// In the leading group, at listed weight.
+pub enum HostStatus {
+    /// It is in the leading group and has its full weight.
     Leading,
-    /// A laggard: its weight is halved so many times.
-    Halved(u32),
-    /// Taken out, until the time given at least.
-    Out(Timestamp),
-    /// On trial at an eighth, until the time given or until it has answered.
-    Trial(Timestamp),
-    /// Drains, or is gone: in no table.
-    Leaving,
+    /// The ranking has halved its weight so many times.
+    #[serde(rename = "halved")]
+    WeightHalved(u32),
+    /// It is ejected, until this time at least.
+    #[serde(rename = "out")]
+    Ejected(Timestamp),
+    /// It is in probation with an eighth of its weight, until this time or until it has answered.
+    #[serde(rename = "trial")]
+    Probation(Timestamp),
+    /// It is draining or removed, and in no table.
+    #[serde(rename = "leaving")]
+    NotReady,
 }
 
-/// All that a zone knows of a host, and what becomes of it.
+/// A host as one zone sees it, and how the zone's tables treat it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct PathView {
+pub struct HostView {
     /// The host.
     pub host: HostId,
-    /// Whose view it is.
+    /// The zone that sees it so.
     pub zone: ZoneId,
-    /// Where the host stands.
-    pub home: ZoneId,
-    /// Its kind.
-    pub kind: String,
-    /// What the list says.
+    /// The zone that the host is in.
+    #[serde(rename = "home")]
+    pub host_zone: ZoneId,
+    /// The type of its machine.
+    #[serde(rename = "kind")]
+    pub machine_type: String,
+    /// Its state on the endpoint list.
     pub readiness: Readiness,
-    /// The list calls it gone, which is advice only here.
-    pub doubted: bool,
-    /// Listed weight.
-    pub listed: f64,
-    /// How the zone's tables treat it.
-    pub standing: Standing,
-    /// Score: latency in ms plus 100 ms for each percent of loss.
+    /// Whether the list has removed it where removals are only advisory.
+    #[serde(rename = "doubted")]
+    pub removal_suspected: bool,
+    /// Its weight on the list.
+    #[serde(rename = "listed")]
+    pub listed_weight: f64,
+    /// How the tables of the zone treat it.
+    #[serde(rename = "standing")]
+    pub status: HostStatus,
+    /// Its score: latency in ms plus 100 ms for each percent of loss.
     pub score: Option<f64>,
-    /// The score that the leading group is measured by.
-    pub lead: Option<f64>,
-    /// Smoothed mean time of its good answers, in ms.
+    /// The score that the zone's leading group is measured by.
+    #[serde(rename = "lead")]
+    pub leading_score: Option<f64>,
+    /// Smoothed mean latency of its successful attempts, in ms.
     pub latency_ms: Option<f64>,
-    /// Smoothed share of its tries that were lost.
-    pub loss: f64,
-    /// Rounds in a row that speak for the next step.
-    pub confirmed: u32,
-    /// Tries of this zone lost in a row.
-    pub lost_in_row: f64,
-    /// Tries of all zones in a row that were lost or came late.
-    pub useless_in_row: f64,
-    /// Tries that should have come since it was last heard of.
-    pub missed: f64,
-    /// Busy share of its cores as last told, and when.
-    pub busy: Option<(f64, Timestamp)>,
-    /// Its last start.
-    pub started: Option<Timestamp>,
-    /// The share of its capacity that it surely has by now.
-    pub warmth: f64,
-    /// It may still be cold.
-    pub cold: bool,
-    /// The part of its weight that it has here by its place: 1 in its own zone.
-    pub near: f64,
+    /// Smoothed share of failed attempts, as a ratio.
+    #[serde(rename = "loss")]
+    pub loss_ratio: f64,
+    /// Consecutive rounds that confirm its next change of weight.
+    #[serde(rename = "confirmed")]
+    pub confirming_rounds: u32,
+    /// Consecutive attempts of this zone that failed.
+    #[serde(rename = "lost_in_row")]
+    pub consecutive_failures: f64,
+    /// Consecutive attempts of all zones that failed or came too late.
+    #[serde(rename = "useless_in_row")]
+    pub consecutive_useless: f64,
+    /// Attempts that should have come since the zone last reported on it.
+    #[serde(rename = "missed")]
+    pub missed_attempts: f64,
+    /// Busy share of its cores as last reported, as a ratio, and when that was.
+    #[serde(rename = "busy")]
+    pub utilization: Option<(f64, Timestamp)>,
+    /// When it last started; `None`: too long ago to matter.
+    #[serde(rename = "started")]
+    pub started_at: Option<Timestamp>,
+    /// The share of its capacity that it certainly has by now, as a ratio.
+    #[serde(rename = "warmth")]
+    pub slow_start_factor: f64,
+    /// Whether it may still be warming up.
+    #[serde(rename = "cold")]
+    pub is_warming_up: bool,
+    /// The factor on its weight for its zone: 1 in the zone itself.
+    #[serde(rename = "near")]
+    pub locality_weight: f64,
     /// Its weight in each of the zone's tables that hold it.
-    pub weights: Vec<(TableId, f64)>,
+    #[serde(rename = "weights")]
+    pub table_weights: Vec<(TableId, f64)>,
 }
 
-/// A zone as an owner of tables.
+/// A zone whose proxies this director serves.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ZoneView {
     /// The zone.
     pub zone: ZoneId,
-    /// The loss that is usual among its hosts.
-    pub usual_loss: f64,
+    /// The usual loss of its hosts, as a ratio.
+    #[serde(rename = "usual_loss")]
+    pub baseline_loss: f64,
     /// The score that its leading group is measured by.
-    pub lead: Option<f64>,
-    /// When its ranking last moved.
-    pub moved_at: Option<Timestamp>,
-    /// Joined proxies.
+    #[serde(rename = "lead")]
+    pub leading_score: Option<f64>,
+    /// When its ranking last changed.
+    #[serde(rename = "moved_at")]
+    pub ranking_changed_at: Option<Timestamp>,
+    /// How many of its proxies are connected.
     pub proxies: usize,
-    /// Share of each class that its tables let in (or the rate, where levels are rates).
-    pub levels: Vec<f64>,
+    /// The admission level of each class, in the unit of
+    /// [`AdmissionMode`](crate::interface::AdmissionMode).
+    #[serde(rename = "levels")]
+    pub admission_levels: Vec<f64>,
 }
 
-/// One table as it was ordered.
+/// A table as it was last ordered.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TableView {
     /// Its number.
     pub table: TableId,
-    /// Whose it is.
+    /// The zone whose proxies use it.
     pub zone: ZoneId,
-    /// The classes that go by it.
+    /// The classes that it is for.
     pub classes: ClassMask,
-    /// Its lines.
-    pub lines: Vec<(HostId, f64)>,
-    /// Its levels.
-    pub levels: Vec<(ClassId, f64)>,
-    /// Joined proxies that were bound to it.
+    /// Its entries: hosts and their weights.
+    #[serde(rename = "lines")]
+    pub entries: Vec<(HostId, f64)>,
+    /// Its admission levels.
+    #[serde(rename = "levels")]
+    pub admission_levels: Vec<(ClassId, f64)>,
+    /// The connected proxies that are assigned to it.
     pub proxies: Vec<ProxyId>,
 }
 
-/// How many hosts a zone treats how.
+/// How many hosts have which status in a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Tally {
-    /// At listed weight.
+pub struct HostCounts {
+    /// Hosts at full weight.
     pub leading: usize,
-    /// At half of it.
-    pub halved: usize,
-    /// At a quarter or less.
-    pub quartered: usize,
-    /// Taken out.
-    pub out: usize,
-    /// On trial.
-    pub trial: usize,
-    /// That may still be cold, whatever else they are.
-    pub cold: usize,
-    /// That drain, or are gone and still known.
-    pub draining: usize,
+    /// Hosts at half their weight.
+    #[serde(rename = "halved")]
+    pub weight_halved: usize,
+    /// Hosts at a quarter of their weight or less.
+    #[serde(rename = "quartered")]
+    pub weight_quartered: usize,
+    /// Ejected hosts.
+    #[serde(rename = "out")]
+    pub ejected: usize,
+    /// Hosts in probation.
+    #[serde(rename = "trial")]
+    pub in_probation: usize,
+    /// Ready hosts that may still be warming up, whatever else they are.
+    #[serde(rename = "cold")]
+    pub warming_up: usize,
+    /// Hosts that are draining, or removed and not evicted yet.
+    #[serde(rename = "draining")]
+    pub not_ready: usize,
 }
 
-/// What concerns the whole fleet.
+/// The fleet as a whole.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FleetView {
-    /// Time of the last call.
+    /// The time of the last call.
     pub now: Timestamp,
-    /// Median loss and latency of the hosts in the last round.
-    pub loss: f64,
-    /// In ms.
-    pub latency_ms: Option<f64>,
-    /// Busy share of the cores, or what waits say of it.
-    pub load: f64,
-    /// Share of the work that is let in.
-    pub admitted: f64,
-    /// Lines that wait in the channel, as the module takes it.
-    pub queued: f64,
-    /// Hosts known.
+    /// The median loss of the hosts in the last round, as a ratio.
+    #[serde(rename = "loss")]
+    pub median_loss: f64,
+    /// The median latency of the hosts in the last round, in ms.
+    #[serde(rename = "latency_ms")]
+    pub median_latency_ms: Option<f64>,
+    /// Busy share of the cores as a ratio, or its estimate from queues.
+    #[serde(rename = "load")]
+    pub utilization: f64,
+    /// The admitted share of the load, as a ratio.
+    #[serde(rename = "admitted")]
+    pub admission_ratio: f64,
+    /// Lines that the director takes to be in its send queue.
+    #[serde(rename = "queued")]
+    pub queued_lines: f64,
+    /// Known hosts.
+    pub hosts: usize,
+    /// Connected proxies.
+    pub proxies: usize,
+}
+
+/// How many records a director holds, by kind.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
+pub struct RecordCounts {
+    /// Known hosts.
     pub hosts: usize,
-    /// Joined proxies.
+    /// Statistics of a host as a zone sees it, over all zones.
+    pub zone_host_stats: usize,
+    /// Entries of all tables.
+    pub table_entries: usize,
+    /// Connected proxies.
     pub proxies: usize,
+    /// Times of recent messages to connected proxies.
+    pub send_times: usize,
 }
 
 impl Director {
@@ -149,156 +211,176 @@
     pub fn fleet_view(&self) -> FleetView {
         FleetView {
             now: self.now,
-            loss: self.median_loss,
-            latency_ms: self.median_latency_ms,
-            load: self.utilization,
-            admitted: self.admission_ratio,
-            queued: self.send_queue.queued_lines,
+            median_loss: self.median_loss,
+            median_latency_ms: self.median_latency_ms,
+            utilization: self.utilization,
+            admission_ratio: self.admission_ratio,
+            queued_lines: self.send_queue.queued_lines,
             hosts: self.hosts.len(),
             proxies: self.proxies.len(),
         }
     }
 
-    /// Every zone.
+    /// All zones.
     pub fn zone_views(&self) -> Vec<ZoneView> {
-        let classes = || 0..self.settings.classes.len();
-        let view = |(name, zone): (&ZoneId, &Zone)| ZoneView {
+        self.zones.iter().map(|(name, zone)| self.zone_view(name, zone)).collect()
+    }
+
+    fn zone_view(&self, name: &ZoneId, zone: &Zone) -> ZoneView {
+        let classes = 0..self.settings.classes.len();
+        let admission_level = |class| self.admission_level(name, class, self.admitted_quota(class));
+        ZoneView {
             zone: name.clone(),
-            usual_loss: zone.baseline_loss,
-            lead: Director::leading_score(self.scored_hosts(zone)),
-            moved_at: zone.ranking_changed_at,
+            baseline_loss: zone.baseline_loss,
+            leading_score: Director::leading_score(self.scored_hosts(zone)),
+            ranking_changed_at: zone.ranking_changed_at,
             proxies: self.proxies_in_zone(name).count(),
-            levels: classes()
-                .map(|class| self.admission_level(name, class, self.admitted_quota(class)))
-                .collect(),
-        };
-        self.zones.iter().map(view).collect()
+            admission_levels: classes.map(admission_level).collect(),
+        }
     }
 
-    /// How many hosts a zone treats how.
-    pub fn tally(&self, zone: &ZoneId) -> Tally {
-        let mut tally = Tally::default();
-        let Some(owner) = self.zones.get(zone) else { return tally };
+    /// How many hosts have which status in a zone; all counts of an unknown zone are 0.
+    pub fn host_counts(&self, zone: &ZoneId) -> HostCounts {
+        let mut counts = HostCounts::default();
+        let Some(owner) = self.zones.get(zone) else { return counts };
         for (id, host) in &self.hosts {
-            if !host.is_ready() {
-                tally.draining += 1;
-                continue;
+            if host.is_ready() {
+                counts.warming_up += usize::from(self.age_in_warm_ups(host) < 1.0);
             }
-            tally.cold += usize::from(self.age_in_warm_ups(host) < 1.0);
-            let count = match owner.host_stats.get(id).map(|path| (path.health, path.weight_halvings)) {
-                None | Some((HealthState::Healthy, 0)) => &mut tally.leading,
-                Some((HealthState::Healthy, 1)) => &mut tally.halved,
-                Some((HealthState::Healthy, _)) => &mut tally.quartered,
-                Some((HealthState::Ejected(_), _)) => &mut tally.out,
-                Some((HealthState::Probation(_), _)) => &mut tally.trial,
-            };
-            *count += 1;
+            *counts.of_status(host_status(host, owner.host_stats.get(id))) += 1;
         }
-        tally
+        counts
     }
 
-    /// Nothing that proxies of other zones try at a zone's hosts comes back, of half of them at least: a
-    /// sign of a cut.
-    pub fn beyond(&self, zone: &ZoneId) -> bool {
+    /// Whether other zones cannot reach the hosts of a zone: none of their attempts there succeeds any more,
+    /// and at least half of the hosts fail. This is a sign that the zone is cut off.
+    pub fn is_unreachable_from_other_zones(&self, zone: &ZoneId) -> bool {
         let hosts: Vec<&HostId> =
-            self.ready_hosts().filter(|(_, h)| h.endpoint.zone == *zone).map(|(id, _)| id).collect();
-        let (mut lost, mut most) = (0, 0);
-        for (name, owner) in self.zones.iter().filter(|(name, _)| *name != zone) {
+            self.ready_hosts().filter(|(_, host)| host.endpoint.zone == *zone).map(|(id, _)| id).collect();
+        let (mut failing, mut expected) = (0, 0);
+        for (name, other) in self.zones.iter().filter(|(name, _)| *name != zone) {
             if self.proxies_in_zone(name).next().is_none() {
                 continue;
             }
-            most = hosts.len();
-            for path in hosts.iter().filter_map(|id| owner.host_stats.get(*id)) {
-                let recent = self.now.since(path.decayed_at) <= 6.0 * self.settings.report_period.secs();
-                if path.health == HealthState::Healthy
-                    && path.consecutive_failures == 0.0
-                    && path.recent_successes >= 0.5
-                    && recent
-                {
+            expected = hosts.len();
+            for stats in hosts.iter().filter_map(|id| other.host_stats.get(*id)) {
+                if self.has_recent_success(stats) {
                     return false;
                 }
-                lost += usize::from(
-                    matches!(path.health, HealthState::Ejected(_)) || path.consecutive_failures >= 1.0,
-                );
+                let is_ejected = matches!(stats.health, HealthState::Ejected(_));
+                failing += usize::from(is_ejected || stats.consecutive_failures >= 1.0);
             }
         }
-        most > 0 && 2 * lost >= most.max(1)
+        expected > 0 && 2 * failing >= expected
     }
 
-    /// How many zones it knows: those of its settings, and those that a proxy came from.
+    fn has_recent_success(&self, stats: &ZoneHostStats) -> bool {
+        let window_s = RECENT_REPORT_PERIODS * self.settings.report_period.secs();
+        stats.health == HealthState::Healthy
+            && stats.consecutive_failures == 0.0
+            && stats.recent_successes >= MIN_RECENT_SUCCESSES
+            && self.now.since(stats.decayed_at) <= window_s
+    }
+
+    /// How many zones the director knows: those of its settings, and those that a proxy has named.
     pub fn zone_count(&self) -> usize {
         self.zones.len()
     }
 
-    /// Every host known, by name.
+    /// All known hosts, ordered by name.
     pub fn hosts(&self) -> impl Iterator<Item = &HostId> {
         self.hosts.keys()
     }
 
-    /// What a zone knows of a host; `None` if there is no such zone or host.
-    pub fn path_view(&self, zone: &ZoneId, host: &HostId) -> Option<PathView> {
+    /// A host as a zone sees it; `None` if the zone or the host is not known.
+    pub fn host_view(&self, zone: &ZoneId, host: &HostId) -> Option<HostView> {
         let (owner, known) = (self.zones.get(zone)?, self.hosts.get(host)?);
-        let path = owner.host_stats.get(host).cloned().unwrap_or_default();
-        let standing = match path.health {
-            _ if !known.is_ready() => Standing::Leaving,
-            HealthState::Ejected(until) => Standing::Out(until),
-            HealthState::Probation(until) => Standing::Trial(until),
-            HealthState::Healthy if path.weight_halvings > 0 => Standing::Halved(path.weight_halvings),
-            HealthState::Healthy => Standing::Leading,
-        };
-        let tables = owner.subsets.iter().flat_map(|slot| &slot.tables);
+        let known_stats = owner.host_stats.get(host);
+        let stats = known_stats.cloned().unwrap_or_default();
+        let tables = owner.subsets.iter().flat_map(|subset| &subset.tables);
         let weights = tables.filter_map(|table| Some((table.id, *table.entries.get(host)?)));
-        Some(PathView {
+        Some(HostView {
             host: host.clone(),
             zone: zone.clone(),
-            home: known.endpoint.zone.clone(),
-            kind: known.endpoint.machine_type.clone(),
+            host_zone: known.endpoint.zone.clone(),
+            machine_type: known.endpoint.machine_type.clone(),
             readiness: known.endpoint.readiness,
-            doubted: known.removal_suspected,
-            listed: known.weight,
-            standing,
-            score: path.score,
-            lead: Director::leading_score(self.scored_hosts(owner)),
-            latency_ms: path.latency_ms,
-            loss: path.loss_ratio,
-            confirmed: path.confirming_rounds,
-            lost_in_row: path.consecutive_failures,
-            useless_in_row: known.consecutive_useless,
-            missed: path.missed_attempts_by(owner.attempts_seen.0),
-            busy: known.utilization,
-            started: known.endpoint.started_at,
-            warmth: self.slow_start_factor(known),
-            cold: self.age_in_warm_ups(known) < 1.0,
-            near: owner.locality_weight(known.endpoint.zone == *zone),
-            weights: weights.collect(),
+            removal_suspected: known.removal_suspected,
+            listed_weight: known.weight,
+            status: host_status(known, known_stats),
+            score: stats.score,
+            leading_score: Director::leading_score(self.scored_hosts(owner)),
+            latency_ms: stats.latency_ms,
+            loss_ratio: stats.loss_ratio,
+            confirming_rounds: stats.confirming_rounds,
+            consecutive_failures: stats.consecutive_failures,
+            consecutive_useless: known.consecutive_useless,
+            missed_attempts: stats.missed_attempts_by(owner.attempts_seen.0),
+            utilization: known.utilization,
+            started_at: known.endpoint.started_at,
+            slow_start_factor: self.slow_start_factor(known),
+            is_warming_up: self.age_in_warm_ups(known) < 1.0,
+            locality_weight: owner.locality_weight(known.endpoint.zone == *zone),
+            table_weights: weights.collect(),
         })
     }
 
-    /// Every table.
+    /// All tables, by zone and subset.
     pub fn table_views(&self) -> Vec<TableView> {
+        self.zones.iter().flat_map(|(name, zone)| self.table_views_of(name, zone)).collect()
+    }
+
+    fn table_views_of(&self, name: &ZoneId, zone: &Zone) -> Vec<TableView> {
         let mut views = Vec::new();
-        for (name, zone) in &self.zones {
-            for (at, slot) in zone.subsets.iter().enumerate() {
-                let bound = self.proxies_in_zone(name).filter(|(_, p)| p.subset == Some(at));
-                let proxies: Vec<ProxyId> = bound.map(|(id, _)| *id).collect();
-                views.extend(slot.tables.iter().zip(&self.class_groups).map(|(table, group)| TableView {
+        for (position, subset) in zone.subsets.iter().enumerate() {
+            let assigned = self.proxies_in_zone(name).filter(|(_, proxy)| proxy.subset == Some(position));
+            let proxies: Vec<ProxyId> = assigned.map(|(id, _)| *id).collect();
+            for (table, group) in subset.tables.iter().zip(&self.class_groups) {
+                let levels = table.admission_levels.iter();
+                views.push(TableView {
                     table: table.id,
                     zone: name.clone(),
                     classes: ClassMask(group.classes),
-                    lines: table.entries.iter().map(|(id, weight)| (id.clone(), *weight)).collect(),
-                    levels: table.admission_levels.iter().map(|(class, level)| (*class, *level)).collect(),
+                    entries: table.entries.iter().map(|(id, weight)| (id.clone(), *weight)).collect(),
+                    admission_levels: levels.map(|(class, level)| (*class, *level)).collect(),
                     proxies: proxies.clone(),
-                }));
+                });
             }
         }
         views
     }
 
-    /// The zone of a joined proxy, and its tables; `None` if it is not joined.
+    /// The zone of a connected proxy, and its tables; `None` if it is not connected.
     pub fn proxy_view(&self, proxy: ProxyId) -> Option<(ZoneId, Vec<TableId>)> {
         let known = self.proxies.get(&proxy)?;
-        let slot = known.subset.and_then(|slot| self.zones.get(&known.zone)?.subsets.get(slot));
-        let tables = slot.map(|slot| slot.tables.iter().map(|table| table.id).collect());
+        let subset = known.subset.and_then(|position| self.zones.get(&known.zone)?.subsets.get(position));
+        let tables = subset.map(|subset| subset.tables.iter().map(|table| table.id).collect());
         Some((known.zone.clone(), tables.unwrap_or_default()))
     }
 }
+
+impl HostCounts {
+    fn of_status(&mut self, status: HostStatus) -> &mut usize {
+        match status {
+            HostStatus::Leading => &mut self.leading,
+            HostStatus::WeightHalved(1) => &mut self.weight_halved,
+            HostStatus::WeightHalved(_) => &mut self.weight_quartered,
+            HostStatus::Ejected(_) => &mut self.ejected,
+            HostStatus::Probation(_) => &mut self.in_probation,
+            HostStatus::NotReady => &mut self.not_ready,
+        }
+    }
+}
+
+/// The status of a host in a zone with these statistics of it, if it has any yet.
+fn host_status(host: &Host, stats: Option<&ZoneHostStats>) -> HostStatus {
+    let (health, halvings) =
+        stats.map_or((HealthState::Healthy, 0), |stats| (stats.health, stats.weight_halvings));
+    match health {
+        _ if !host.is_ready() => HostStatus::NotReady,
+        HealthState::Ejected(until) => HostStatus::Ejected(until),
+        HealthState::Probation(until) => HostStatus::Probation(until),
+        HealthState::Healthy if halvings > 0 => HostStatus::WeightHalved(halvings),
+        HealthState::Healthy => HostStatus::Leading,
+    }
+}
--- a/crates/wingfold-director/src/queries.rs
+++ b/crates/wingfold-director/src/queries.rs
@@ -1,6 +1,7 @@
 //! Sums and selections over the records of a director. Nothing is decided here.
 use crate::director::Director;
 use crate::incremental::join_by_host;
+use crate::inspect::RecordCounts;
 use crate::interface::{HostId, Micros, ProxyId, Timestamp, ZoneId};
 use crate::state::{AttemptStats, ByZone, FreshHostStats, HealthState, Host, Proxy, Table, Zone};
 use std::collections::BTreeMap;
@@ -91,16 +92,16 @@
         work
     }
 
-    /// How many records are kept, by kind: hosts, paths, lines, proxies, messages sent.
-    pub fn record_counts(&self) -> [usize; 5] {
-        let tables = self.zones.values().flat_map(|zone| &zone.subsets).flat_map(|slot| &slot.tables);
-        [
-            self.hosts.len(),
-            self.zones.values().map(|zone| zone.host_stats.len()).sum(),
-            tables.map(|table| table.entries.len()).sum(),
-            self.proxies.len(),
-            self.proxies.values().map(|proxy| proxy.send_times.len()).sum(),
-        ]
+    /// How many records the director holds, by kind.
+    pub fn record_counts(&self) -> RecordCounts {
+        let tables = self.zones.values().flat_map(|zone| &zone.subsets).flat_map(|subset| &subset.tables);
+        RecordCounts {
+            hosts: self.hosts.len(),
+            zone_host_stats: self.zones.values().map(|zone| zone.host_stats.len()).sum(),
+            table_entries: tables.map(|table| table.entries.len()).sum(),
+            proxies: self.proxies.len(),
+            send_times: self.proxies.values().map(|proxy| proxy.send_times.len()).sum(),
+        }
     }
 
     /// One number for all tables (their lines and levels, bit for bit) and for who is bound to which.
--- a/crates/wingfold-director/tests/channel.rs
+++ b/crates/wingfold-director/tests/channel.rs
@@ -97,7 +97,7 @@
             self.waiting.push_back((lines, id, marks.clone(), self.now));
             self.sent.entry(id).or_default().push(self.now);
         }
-        let (waits, counted) = (self.lines(), self.director.fleet_view().queued);
+        let (waits, counted) = (self.lines(), self.director.fleet_view().queued_lines);
         assert!(
             waits <= counted + 1e-6,
             "{waits:.0} lines wait at {:.2}, {counted:.0} are counted",
@@ -277,9 +277,9 @@
     channel.lost = 1.0;
     channel.call(&(0..40).map(join).collect::<Vec<_>>());
     channel.call(events);
-    let (begun, counted) = (channel.now, channel.director.fleet_view().queued);
+    let (begun, counted) = (channel.now, channel.director.fleet_view().queued_lines);
     assert!(counted > 300.0, "{counted} lines are counted");
-    while channel.director.fleet_view().queued >= counted {
+    while channel.director.fleet_view().queued_lines >= counted {
         assert!(channel.now < 60.0, "{counted} lines are still counted");
         channel.pass(600.0);
         channel.call(&[Event::TimerFired(0)]);
--- a/crates/wingfold-director/tests/long.rs
+++ b/crates/wingfold-director/tests/long.rs
@@ -1,6 +1,7 @@
 //! What a director keeps over a long day, and of parties that fall silent.
 mod common;
 use common::*;
+use wingfold_director::inspect::RecordCounts;
 use wingfold_director::interface::*;
 
 fn listed(name: &str, readiness: Readiness, started: f64) -> Endpoint {
@@ -12,7 +13,7 @@
     // Guards against: records of every host ever listed, which grow for as long as the director runs.
     let mut world = World::running(settings(), 8);
     world.play(70.0, 10, |_, _| FINE);
-    let mut most = [0; 5];
+    let mut most = RecordCounts::default();
     let mut forgotten = 0;
     for round in 0..2000u32 {
         let (new, old) = (format!("n{round}"), format!("n{}", round.saturating_sub(4)));
@@ -31,16 +32,22 @@
         world.actions.clear();
         if round >= 100 {
             let records = world.director.record_counts();
-            (0..5).for_each(|at| most[at] = most[at].max(records[at]));
+            most = RecordCounts {
+                hosts: most.hosts.max(records.hosts),
+                zone_host_stats: most.zone_host_stats.max(records.zone_host_stats),
+                table_entries: most.table_entries.max(records.table_entries),
+                proxies: most.proxies.max(records.proxies),
+                send_times: most.send_times.max(records.send_times),
+            };
         }
     }
-    let [hosts, paths, lines, proxies, sent] = most;
+    let RecordCounts { hosts, zone_host_stats, table_entries, proxies, send_times } = most;
     assert!(forgotten >= 1900, "{forgotten} hosts were let go of");
     // 8 that stay, 5 that are listed for a while, and those of the last minute.
     assert!(hosts <= 8 + 5 + 64, "{hosts} hosts");
-    assert!(paths <= 2 * hosts, "{paths} paths");
-    assert!(lines <= 8 * hosts, "{lines} lines");
-    assert!(proxies <= 4 && sent <= 100, "{proxies} proxies, {sent} times of messages");
+    assert!(zone_host_stats <= 2 * hosts, "{zone_host_stats} statistics of hosts");
+    assert!(table_entries <= 8 * hosts, "{table_entries} entries");
+    assert!(proxies <= 4 && send_times <= 100, "{proxies} proxies, {send_times} times of messages");
 }
 
 #[test]
--- a/crates/wingfold-figures/src/meter.rs
+++ b/crates/wingfold-figures/src/meter.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
-use wingfold_director::inspect::Tally;
+use wingfold_director::inspect::HostCounts;
 use wingfold_director::interface::{AdmissionMode, Event, Micros, ProxyId, Timestamp, ZoneId};
 use wingfold_director::Director;
 
@@ -301,7 +301,7 @@
         self.looks = Timestamp(now.0 + LOOK.0);
         for view in director.zone_views() {
             if let Some(at) = self.place(&view.zone) {
-                self.places[at].levels = view.levels;
+                self.places[at].levels = view.admission_levels;
             }
         }
         for place in &mut self.places {
@@ -314,7 +314,7 @@
             let streams_broken = most > 1 && joined * 2 < most || most == 1 && joined == 0;
             let rate: f64 = place.joined.values().sum();
             let due = (joined > 0).then_some(rate);
-            let hosts_beyond = director.beyond(&place.name);
+            let hosts_beyond = director.is_unreachable_from_other_zones(&place.name);
             let recent = |at: Option<Timestamp>| {
                 at.is_some_and(|at| now.since(at) < 3.5 * director.settings().report_period.secs())
             };
@@ -370,8 +370,8 @@
         add(Figure::DirectorStart, &[], gauge(self.began.secs()));
         add(Figure::DirectorUp, &[], gauge(now.since(self.began)));
         let fleet = director.fleet_view();
-        add(Figure::Admitted, &[], gauge(fleet.admitted));
-        add(Figure::Load, &[], gauge(fleet.load));
+        add(Figure::Admitted, &[], gauge(fleet.admission_ratio));
+        add(Figure::Load, &[], gauge(fleet.utilization));
         add(Figure::ChannelDepth, &[], gauge(self.depth));
         add(Figure::ChannelMost, &[], gauge(std::mem::take(&mut self.most)));
         add(Figure::ListAge, &[], gauge(now.since(self.list_at)));
@@ -398,8 +398,15 @@
         let speaks = |state: State| state == State::Heard;
         for (at, place) in self.places.iter_mut().enumerate() {
             let zone = &place.name.0;
-            let Tally { leading, halved, quartered, out, trial, cold, draining } =
-                director.tally(&place.name);
+            let HostCounts {
+                leading,
+                weight_halved: halved,
+                weight_quartered: quartered,
+                ejected: out,
+                in_probation: trial,
+                warming_up: cold,
+                not_ready: draining,
+            } = director.host_counts(&place.name);
             for (figure, count) in [
                 (Figure::HostsLeading, leading),
                 (Figure::HostsHalved, halved),
--- a/crates/wingfold-tier/src/tier.rs
+++ b/crates/wingfold-tier/src/tier.rs
@@ -7,7 +7,7 @@
 use crate::seal::Seals;
 use crate::wire::{self, part, Head, Kind, Writer};
 use std::collections::BTreeMap;
-use wingfold_director::inspect::Standing as HostStanding;
+use wingfold_director::inspect::HostStatus as HostStanding;
 use wingfold_director::interface::{HostId, Micros, PeerAdvice, Timestamp, ZoneId};
 use wingfold_director::Director;
 
@@ -276,23 +276,23 @@
         for (at, zone) in zones.iter().enumerate().filter(|(at, zone)| *at < 256 && served.contains(zone)) {
             for (short, host) in self.names.iter().filter_map(|(short, host)| Some((*short, host.as_ref()?)))
             {
-                let Some(view) = director.path_view(zone, host) else { continue };
-                let (stands, step) = match view.standing {
+                let Some(view) = director.host_view(zone, host) else { continue };
+                let (stands, step) = match view.status {
                     HostStanding::Leading => (Stands::In, 0),
-                    HostStanding::Halved(step) => (Stands::In, step.min(3) as u8),
-                    HostStanding::Out(_) => (Stands::Out, 0),
-                    HostStanding::Trial(_) => (Stands::Trial, 0),
-                    HostStanding::Leaving => continue,
+                    HostStanding::WeightHalved(step) => (Stands::In, step.min(3) as u8),
+                    HostStanding::Ejected(_) => (Stands::Out, 0),
+                    HostStanding::Probation(_) => (Stands::Trial, 0),
+                    HostStanding::NotReady => continue,
                 };
-                if (stands, step, view.cold) == (Stands::In, 0, false) {
+                if (stands, step, view.is_warming_up) == (Stands::In, 0, false) {
                     continue;
                 }
                 let word = Word {
                     stands,
                     step,
-                    cold: view.cold,
-                    tries: view.lost_in_row.max(view.useless_in_row).min(255.0) as u8,
-                    loss: (view.loss.clamp(0.0, 1.0) * 255.0) as u8,
+                    cold: view.is_warming_up,
+                    tries: view.consecutive_failures.max(view.consecutive_useless).min(255.0) as u8,
+                    loss: (view.loss_ratio.clamp(0.0, 1.0) * 255.0) as u8,
                     latency_ms: view.latency_ms.unwrap_or(0.0).clamp(0.0, 65_535.0) as u16,
                 };
                 all.insert((at as u8, short), word);
--- a/crates/wingfold/src/why.rs
+++ b/crates/wingfold/src/why.rs
@@ -10,7 +10,7 @@
 use wingfold_capture::replay::{Mode, Replayer};
 use wingfold_capture::why::{Answer, HostWhy, Move, Onlooker, Question};
 use wingfold_capture::{entries, Head};
-use wingfold_director::inspect::Standing;
+use wingfold_director::inspect::HostStatus;
 use wingfold_director::interface::{HostId, Micros, ProxyId, Readiness, Timestamp, ZoneId};
 
 /// Why did the tables hold what they held? Without `--host`, a line for each host; with it, its whole story.
@@ -153,32 +153,33 @@
         say::time(answer.at),
         fleet.hosts,
         fleet.proxies,
-        100.0 * fleet.admitted,
-        100.0 * fleet.loss,
-        fleet.latency_ms.map_or("not known".into(), |ms| format!("{ms:.0} ms")),
-        fleet.load,
-        fleet.queued
+        100.0 * fleet.admission_ratio,
+        100.0 * fleet.median_loss,
+        fleet.median_latency_ms.map_or("not known".into(), |ms| format!("{ms:.0} ms")),
+        fleet.utilization,
+        fleet.queued_lines
     );
     for zone in &answer.zones {
-        let levels = zone.levels.iter().enumerate().filter(|(at, _)| class.is_none_or(|class| class == *at));
+        let levels =
+            zone.admission_levels.iter().enumerate().filter(|(at, _)| class.is_none_or(|class| class == *at));
         let levels: Vec<String> =
             levels.map(|(at, level)| format!("{} {level}", say::class(head, at))).collect();
         println!(
             "\nzone {}: {} proxies, usual loss {:.1} %, the leading group is measured by {}; levels: {}",
             zone.zone.0,
             zone.proxies,
-            100.0 * zone.usual_loss,
-            zone.lead.map_or("no score yet".into(), |lead| format!("score {lead:.0}")),
+            100.0 * zone.baseline_loss,
+            zone.leading_score.map_or("no score yet".into(), |lead| format!("score {lead:.0}")),
             levels.join(", ")
         );
         let may = |host: &&HostWhy| {
             let class = class.and_then(|at| head.settings.classes.get(at));
             class.is_none_or(|class| {
                 let view = &host.view;
-                (!class.own_zone_only || view.home == view.zone)
-                    && (class.allowed_zones.is_empty() || class.allowed_zones.contains(&view.home))
+                (!class.own_zone_only || view.host_zone == view.zone)
+                    && (class.allowed_zones.is_empty() || class.allowed_zones.contains(&view.host_zone))
                     && (class.allowed_machine_types.is_empty()
-                        || class.allowed_machine_types.contains(&view.kind))
+                        || class.allowed_machine_types.contains(&view.machine_type))
             })
         };
         for host in answer.hosts.iter().filter(|host| host.view.zone == zone.zone).filter(may) {
@@ -191,13 +192,15 @@
 }
 
 /// How a zone treats a host, in words.
-fn standing(standing: Standing) -> String {
+fn standing(standing: HostStatus) -> String {
     match standing {
-        Standing::Leading => "in the leading group".into(),
-        Standing::Halved(step) => format!("a laggard at 1/{} of its weight", 1u32 << step.min(31)),
-        Standing::Out(until) => format!("out until {} at least", say::time(until)),
-        Standing::Trial(until) => format!("on trial at an eighth, until it answers or {}", say::time(until)),
-        Standing::Leaving => "leaving: it drains or is gone".into(),
+        HostStatus::Leading => "in the leading group".into(),
+        HostStatus::WeightHalved(step) => format!("a laggard at 1/{} of its weight", 1u32 << step.min(31)),
+        HostStatus::Ejected(until) => format!("out until {} at least", say::time(until)),
+        HostStatus::Probation(until) => {
+            format!("on trial at an eighth, until it answers or {}", say::time(until))
+        }
+        HostStatus::NotReady => "leaving: it drains or is gone".into(),
     }
 }
 
@@ -215,22 +218,28 @@
 fn line(host: &HostWhy) -> String {
     let view = &host.view;
     let score = view.score.map_or("no score".into(), |score| format!("score {score:.0}"));
-    let cold =
-        if view.cold { format!(", cold: at most {:.0} %", 100.0 * view.warmth) } else { String::new() };
-    format!("{}; {score}, {}{cold}", share(host), standing(view.standing))
+    let cold = if view.is_warming_up {
+        format!(", cold: at most {:.0} %", 100.0 * view.slow_start_factor)
+    } else {
+        String::new()
+    };
+    format!("{}; {score}, {}{cold}", share(host), standing(view.status))
 }
 
 fn story(head: &Head, host: &HostWhy) {
     let view = &host.view;
-    println!("  {} of {} ({}), as zone {} sees it:", view.host.0, view.home.0, view.kind, view.zone.0);
-    println!("    now: {}, {}", standing(view.standing), share(host));
+    println!(
+        "  {} of {} ({}), as zone {} sees it:",
+        view.host.0, view.host_zone.0, view.machine_type, view.zone.0
+    );
+    println!("    now: {}, {}", standing(view.status), share(host));
     if view.readiness != Readiness::Ready {
         println!(
             "    the list says it is {}",
             if view.readiness == Readiness::Removed { "gone" } else { "draining" }
         );
     }
-    if view.doubted {
+    if view.removal_suspected {
         println!("    the list calls it gone, which is advice here: it stays until its answers fail");
     }
     let known = |value: Option<f64>| value.map_or("not known".into(), |value| format!("{value:.0}"));
@@ -238,36 +247,36 @@
         "    score {} = {} ms latency + 100 ms for each of {:.1} % loss; the leading group is measured by {}",
         known(view.score),
         known(view.latency_ms),
-        100.0 * view.loss,
-        known(view.lead)
+        100.0 * view.loss_ratio,
+        known(view.leading_score)
     );
     println!(
         "    {:.0} tries of this zone lost in a row, {:.0} of all zones useless in a row, {:.1} tries missed since it was last \
          heard of, {} rounds speak for its next step",
-        view.lost_in_row, view.useless_in_row, view.missed, view.confirmed
+        view.consecutive_failures, view.consecutive_useless, view.missed_attempts, view.confirming_rounds
     );
-    if let Some((busy, at)) = view.busy {
+    if let Some((busy, at)) = view.utilization {
         println!("    its cores were {:.0} % busy, told at {}", 100.0 * busy, say::time(at));
     }
-    let mut parts = vec![format!("listed {}", view.listed)];
-    if view.near < 1.0 {
-        parts.push(format!("x {:.3} for its distance", view.near));
+    let mut parts = vec![format!("listed {}", view.listed_weight)];
+    if view.locality_weight < 1.0 {
+        parts.push(format!("x {:.3} for its distance", view.locality_weight));
     }
-    match view.standing {
-        Standing::Halved(step) => parts.push(format!("x 1/{} as a laggard", 1u32 << step.min(31))),
-        Standing::Trial(_) => parts.push("x 1/8 on trial".into()),
-        Standing::Out(_) | Standing::Leaving => parts.push("x 0".into()),
-        Standing::Leading => {}
+    match view.status {
+        HostStatus::WeightHalved(step) => parts.push(format!("x 1/{} as a laggard", 1u32 << step.min(31))),
+        HostStatus::Probation(_) => parts.push("x 1/8 on trial".into()),
+        HostStatus::Ejected(_) | HostStatus::NotReady => parts.push("x 0".into()),
+        HostStatus::Leading => {}
     }
-    if view.cold {
-        let started = view.started.map_or(String::new(), |at| format!(", started {}", say::time(at)));
+    if view.is_warming_up {
+        let started = view.started_at.map_or(String::new(), |at| format!(", started {}", say::time(at)));
         parts.push(format!(
             "at most {:.0} % while cold{started}, and what a cold host is spared",
-            100.0 * view.warmth
+            100.0 * view.slow_start_factor
         ));
     }
     println!("    weight: {}", parts.join(" "));
-    for (table, weight) in &view.weights {
+    for (table, weight) in &view.table_weights {
         let share = host.shares.iter().find(|(of, _)| of == table).map_or(0.0, |(_, share)| *share);
         println!("      table {}: {weight} ({:.2} % of it)", table.0, 100.0 * share);
     }
