--- a/crates/wingfold-director/benches/ladder/fleet.rs
+++ b/crates/wingfold-director/benches/ladder/fleet.rs
@@ -8,10 +8,10 @@
     Timestamp, ZoneId,
 };
 
-/// Turns of a director in a second of virtual time.
-pub const TURNS_PER_S: u32 = 4;
-/// Tries in one line of sums.
-const TRIES: u64 = 5;
+/// Calls of a director per second of virtual time.
+pub const CALLS_PER_S: u32 = 4;
+/// Attempts in one load report.
+const ATTEMPTS_PER_REPORT: u64 = 5;
 
 /// Racks, or switches, that the hosts of a zone share.
 const RACKS_PER_ZONE: usize = 3;
@@ -20,27 +20,27 @@
 pub struct Fleet {
     size: Size,
     hosts: Vec<Endpoint>,
-    names_given: u32,
-    down: BTreeSet<usize>,
-    affected: BTreeSet<HostId>,
-    /// Hosts that half of the sums are about, as proxies meet failing hosts again and again.
+    hosts_created: u32,
+    failing: BTreeSet<usize>,
+    failed_hosts: BTreeSet<HostId>,
+    /// Hosts that half of the load reports are about, as proxies retry failing hosts.
     focus: Vec<usize>,
-    sums_told: usize,
-    usage_told: u32,
+    reports_sent: usize,
+    usage_sent: u32,
 }
 
 impl Fleet {
-    /// A fleet whose hosts have all been up for long.
+    /// A fleet whose hosts are all warm.
     pub fn new(size: Size) -> Self {
         let mut fleet = Fleet {
             size,
             hosts: Vec::new(),
-            names_given: 0,
-            down: BTreeSet::new(),
-            affected: BTreeSet::new(),
+            hosts_created: 0,
+            failing: BTreeSet::new(),
+            failed_hosts: BTreeSet::new(),
             focus: Vec::new(),
-            sums_told: 0,
-            usage_told: 0,
+            reports_sent: 0,
+            usage_sent: 0,
         };
         for index in 0..size.hosts {
             let entry = fleet.new_host(index, None);
@@ -54,26 +54,26 @@
         self.hosts.len()
     }
 
-    /// The whole list.
-    pub fn whole_list(&self) -> Event {
+    /// The complete endpoint list, as cached before a restart.
+    pub fn cached_list(&self) -> Event {
         Event::EndpointList { kind: EndpointListKind::Cached, endpoints: self.hosts.clone() }
     }
 
-    /// Every proxy joins.
-    pub fn joins(&self) -> Vec<Event> {
-        let join = |proxy| Event::ProxyConnected {
+    /// Every proxy connects.
+    pub fn connections(&self) -> Vec<Event> {
+        let connect = |proxy| Event::ProxyConnected {
             proxy: ProxyId(proxy),
             zone: self.zone_of_proxy(proxy),
             requests_per_s: REQUESTS_PER_PROXY,
         };
-        (0..self.size.proxies).map(join).collect()
+        (0..self.size.proxies).map(connect).collect()
     }
 
-    /// One turn's share of the sums of tries and of the usage of proxies.
+    /// The load reports and the usage that arrive before one call.
     pub fn reports(&mut self) -> Vec<Event> {
-        let sums = (self.size.sums_per_s / TURNS_PER_S).max(1);
-        let usage = (self.size.proxies * self.size.classes).div_ceil(TURNS_PER_S);
-        let mut events: Vec<Event> = (0..sums).map(|_| self.next_sums()).collect();
+        let reports = (self.size.reports_per_s / CALLS_PER_S).max(1);
+        let usage = (self.size.proxies * self.size.classes).div_ceil(CALLS_PER_S);
+        let mut events: Vec<Event> = (0..reports).map(|_| self.next_load_report()).collect();
         events.extend((0..usage).map(|_| self.next_usage()));
         events
     }
@@ -92,14 +92,14 @@
         vec![entry.clone()]
     }
 
-    /// Every host of the first `zones` zones fails, and proxies meet them again and again.
-    pub fn lose_zones(&mut self, zones: u32) {
-        self.lose_together(self.hosts_of(zones));
+    /// Every host of the first `zones` zones fails, and half of the load reports are about them.
+    pub fn fail_zones(&mut self, zones: u32) {
+        self.fail_and_focus(self.hosts_of(zones));
     }
 
-    /// A third of the first zone's hosts fails, and proxies meet them again and again.
-    pub fn lose_rack(&mut self) {
-        self.lose_together(self.hosts_of(1).into_iter().step_by(RACKS_PER_ZONE).collect());
+    /// A third of the first zone's hosts fails, and half of the load reports are about them.
+    pub fn fail_rack(&mut self) {
+        self.fail_and_focus(self.hosts_of(1).into_iter().step_by(RACKS_PER_ZONE).collect());
     }
 
     fn hosts_of(&self, zones: u32) -> Vec<usize> {
@@ -108,47 +108,47 @@
         hosts.map(|(index, _)| index).collect()
     }
 
-    fn lose_together(&mut self, indices: Vec<usize>) {
-        self.lose(indices.iter().copied().collect());
+    fn fail_and_focus(&mut self, indices: Vec<usize>) {
+        self.fail(indices.iter().copied().collect());
         self.focus = indices;
     }
 
-    /// One host fails; sums are about it as often as about any other.
-    pub fn lose_host(&mut self, index: usize) {
-        self.lose(BTreeSet::from([index]));
+    /// One host fails; it is reported as often as any other.
+    pub fn fail_host(&mut self, index: usize) {
+        self.fail(BTreeSet::from([index]));
     }
 
-    fn lose(&mut self, indices: BTreeSet<usize>) {
-        self.affected = indices.iter().map(|index| self.hosts[*index].host.clone()).collect();
-        self.down = indices;
+    fn fail(&mut self, indices: BTreeSet<usize>) {
+        self.failed_hosts = indices.iter().map(|index| self.hosts[*index].host.clone()).collect();
+        self.failing = indices;
     }
 
     /// The hosts that failed last.
-    pub fn affected(&self) -> &BTreeSet<HostId> {
-        &self.affected
+    pub fn failed_hosts(&self) -> &BTreeSet<HostId> {
+        &self.failed_hosts
     }
 
-    /// A phase is over: which hosts failed in it is of no interest any more.
-    pub fn forget_failed(&mut self) {
-        self.affected.clear();
+    /// Clears the failed hosts at the end of a phase.
+    pub fn clear_failed_hosts(&mut self) {
+        self.failed_hosts.clear();
     }
 
-    /// The hosts that are down answer again, as if nothing had happened to them.
+    /// The failing hosts answer again, without a restart.
     pub fn recover(&mut self) {
         self.focus.clear();
-        self.down.clear();
+        self.failing.clear();
     }
 
-    /// The list drops the hosts that are down.
-    pub fn list_without_lost(&self) -> Vec<Endpoint> {
+    /// The list entries that remove the failing hosts.
+    pub fn remove_failed(&self) -> Vec<Endpoint> {
         let gone = |index: &usize| Endpoint { readiness: Readiness::Removed, ..self.hosts[*index].clone() };
-        self.down.iter().map(gone).collect()
+        self.failing.iter().map(gone).collect()
     }
 
-    /// The hosts that are down are back, started just now.
-    pub fn restart_lost(&mut self, now: Timestamp) -> Vec<Endpoint> {
+    /// The failing hosts restart now; returns their list entries.
+    pub fn restart_failed(&mut self, now: Timestamp) -> Vec<Endpoint> {
         self.focus.clear();
-        let back = std::mem::take(&mut self.down);
+        let back = std::mem::take(&mut self.failing);
         back.into_iter().map(|index| self.restarted(index, now)).collect()
     }
 
@@ -158,11 +158,11 @@
     }
 
     fn new_host(&mut self, index: u32, started: Option<Timestamp>) -> Endpoint {
-        let name = format!("s-{:08x}", self.names_given.wrapping_mul(0x9E37_79B1));
-        self.names_given += 1;
+        let name = format!("s-{:08x}", self.hosts_created.wrapping_mul(0x9E37_79B1));
+        self.hosts_created += 1;
         Endpoint {
             host: HostId(Arc::from(name)),
-            machine_type: sizes::kind(index / self.size.zones % sizes::KINDS),
+            machine_type: sizes::machine_type(index / self.size.zones % sizes::MACHINE_TYPES),
             zone: sizes::zone(index % self.size.zones),
             readiness: Readiness::Ready,
             weight: 1.0,
@@ -174,41 +174,41 @@
         sizes::zone(if self.size.zone_local { 0 } else { proxy % self.size.zones })
     }
 
-    /// The next pair of a zone with proxies and a host: each pair has its turn.
-    fn next_sums(&mut self) -> Event {
-        let turn = self.sums_told;
-        self.sums_told += 1;
+    /// A report on the next pair of a zone with proxies and a host, in turn.
+    fn next_load_report(&mut self) -> Event {
+        let turn = self.reports_sent;
+        self.reports_sent += 1;
         let zones = if self.size.zone_local { 1 } else { self.size.zones.min(self.size.proxies) as usize };
         let (zone, round) = (turn % zones, turn / zones);
-        let focused = !self.focus.is_empty() && round.is_multiple_of(2);
-        let index = match focused {
+        let is_focused = !self.focus.is_empty() && round.is_multiple_of(2);
+        let index = match is_focused {
             true => self.focus[round / 2 % self.focus.len()],
             false => (round + zone * self.hosts.len() / zones) % self.hosts.len(),
         };
-        self.sums(sizes::zone(zone as u32), index)
+        self.load_report(sizes::zone(zone as u32), index)
     }
 
-    fn sums(&self, zone: ZoneId, index: usize) -> Event {
-        let down = self.down.contains(&index);
-        let lost = if down { TRIES } else { 0 };
-        let mean = if down { 0.0 } else { 0.1 };
+    fn load_report(&self, zone: ZoneId, index: usize) -> Event {
+        let failing = self.failing.contains(&index);
+        let failed = if failing { ATTEMPTS_PER_REPORT } else { 0 };
+        let mean = if failing { 0.0 } else { 0.1 };
         let load = HostLoad { in_flight: Some(7.0), utilization: Some(0.4), ..HostLoad::default() };
-        let load = if down || self.size.probes { HostLoad::default() } else { load };
-        let sums = AttemptCounts { total: TRIES, failed: lost, period: Micros::from_secs(1.0) };
+        let load = if failing || self.size.health_checks { HostLoad::default() } else { load };
+        let counts = AttemptCounts { total: ATTEMPTS_PER_REPORT, failed, period: Micros::from_secs(1.0) };
         Event::LoadReport {
             zone,
             host: self.hosts[index].host.clone(),
-            attempts: sums,
+            attempts: counts,
             mean_latency: Micros::from_secs(mean),
             load,
         }
     }
 
     fn next_usage(&mut self) -> Event {
-        let turn = self.usage_told;
-        self.usage_told += 1;
+        let turn = self.usage_sent;
+        self.usage_sent += 1;
         let (proxy, class) = (turn / self.size.classes % self.size.proxies, turn % self.size.classes);
-        let sums = AttemptCounts { total: 2, failed: 0, period: Micros::from_secs(1.0) };
-        Event::Usage { proxy: ProxyId(proxy), class: ClassId(class as usize), requests: sums }
+        let counts = AttemptCounts { total: 2, failed: 0, period: Micros::from_secs(1.0) };
+        Event::Usage { proxy: ProxyId(proxy), class: ClassId(class as usize), requests: counts }
     }
 }
--- a/crates/wingfold-director/benches/ladder/main.rs
+++ b/crates/wingfold-director/benches/ladder/main.rs
@@ -1,4 +1,4 @@
-//! What one director costs as the fleet grows: processor time, the worst turn, memory, and bytes by peer.
+//! What one director costs as the fleet grows: processor time, the most expensive call, memory, and bytes by peer.
 //!
 //! Run with `cargo bench -p wingfold-director --bench ladder`. Time is virtual and events come from a fixed fleet, so
 //! only processor time differs from run to run. Options after `--`:
@@ -141,7 +141,7 @@
 
 /// One dimension grows while the others stay at a quarter of the target.
 fn single_dimensions(options: &Options) -> Vec<Ladder> {
-    let base = Size { sums_per_s: TARGET.sums_per_s, ..Size::step(4) };
+    let base = Size { reports_per_s: TARGET.reports_per_s, ..Size::step(4) };
     let ladder = |dimension: &'static str, values: &[u32], set: fn(&mut Size, u32)| {
         let outcome = |value: &u32| {
             let mut size = base;
@@ -156,9 +156,9 @@
         ladder("zones", &[2, 4, 8, 15, 30], |size, value| size.zones = value),
         ladder("classes", &[2, 8, 32, 64], |size, value| size.classes = value),
         ladder("groups of classes", &[1, 2, 4], |size, value| {
-            (size.classes, size.groups) = (4, value);
+            (size.classes, size.class_groups) = (4, value);
         }),
-        ladder("sums a second", &[50, 200, 800], |size, value| size.sums_per_s = value),
+        ladder("sums a second", &[50, 200, 800], |size, value| size.reports_per_s = value),
     ]
 }
 
@@ -170,9 +170,9 @@
         // A tenth of the directors, so that the proxies of the whole tier stay as many.
         variant("480 proxies", Size { proxies: 480, directors: TARGET.directors / 10, ..TARGET }),
         variant("48 proxies of one zone", Size { zone_local: true, ..TARGET }),
-        variant("crossing zones priced", Size { crossing_priced: true, ..TARGET }),
-        variant("2700 sums a second", Size { sums_per_s: TARGET.hosts, ..TARGET }),
-        variant("one zone, load by probes", Size { proxies: 2, zones: 1, probes: true, ..TARGET }),
+        variant("crossing zones priced", Size { has_cross_zone_price: true, ..TARGET }),
+        variant("2700 sums a second", Size { reports_per_s: TARGET.hosts, ..TARGET }),
+        variant("one zone, load by probes", Size { proxies: 2, zones: 1, health_checks: true, ..TARGET }),
     ]
 }
 
--- a/crates/wingfold-director/benches/ladder/measure.rs
+++ b/crates/wingfold-director/benches/ladder/measure.rs
@@ -1,8 +1,8 @@
 //! Processor time of this thread, allocated memory, and the phases that a director is driven through.
 
-use crate::fleet::{Fleet, TURNS_PER_S};
+use crate::fleet::{Fleet, CALLS_PER_S};
 use crate::sizes::Size;
-use crate::traffic::{self, Streams, Traffic};
+use crate::traffic::{self, ProxyTables, Traffic};
 use peak_alloc::PeakAlloc;
 use rustix::time::{clock_gettime, ClockId};
 use serde::Serialize;
@@ -17,7 +17,7 @@
 const SEED: u64 = 7;
 /// Time from an order until a proxy has applied it.
 const APPLIED_AFTER_S: f64 = 0.3;
-/// Virtual time at which a director starts: late enough that hosts have long been up.
+/// Virtual time at which a director starts: late enough for hosts to be warm.
 const START: Timestamp = Timestamp(1_000_000_000);
 
 /// Bytes allocated at present.
@@ -38,16 +38,17 @@
     pub name: &'static str,
     /// Its length in virtual time.
     pub virtual_s: f64,
-    /// Processor time of the module.
+    /// Processor time of the director.
     pub cpu_s: f64,
-    /// Processor time of the most expensive turn.
-    pub worst_turn_ms: f64,
-    /// Events taken in, and actions ordered.
+    /// Processor time of the most expensive call.
+    #[serde(rename = "worst_turn_ms")]
+    pub worst_call_ms: f64,
+    /// Events handled, and actions ordered.
     pub events: usize,
     pub actions: usize,
     /// Messages and bytes that follow.
     pub traffic: Traffic,
-    /// Weight of the hosts that fail in this phase after each turn, in all tables together, as a share of what it was.
+    /// Weight of the hosts that fail in this phase after each call, in all tables together, as a share of what it was.
     pub failed_weight: Vec<f64>,
 }
 
@@ -57,7 +58,7 @@
             name,
             virtual_s: 0.0,
             cpu_s: 0.0,
-            worst_turn_ms: 0.0,
+            worst_call_ms: 0.0,
             events: 0,
             actions: 0,
             traffic: Traffic::default(),
@@ -67,16 +68,16 @@
 
     /// Seconds until the failed hosts hold no more than a share of their weight.
     pub fn failed_below(&self, share: f64) -> Option<f64> {
-        let turn = self.failed_weight.iter().position(|weight| *weight <= share)?;
-        Some((turn + 1) as f64 / f64::from(TURNS_PER_S))
+        let call = self.failed_weight.iter().position(|weight| *weight <= share)?;
+        Some((call + 1) as f64 / f64::from(CALLS_PER_S))
     }
 
     /// Seconds until the hosts that had failed hold a share of their weight again, after they held least.
     pub fn recovered_to(&self, share: f64) -> Option<f64> {
         let least = self.failed_weight.iter().copied().fold(f64::INFINITY, f64::min);
         let lowest = self.failed_weight.iter().position(|weight| *weight <= least)?;
-        let turn = self.failed_weight.iter().skip(lowest).position(|weight| *weight >= share)?;
-        Some((lowest + turn + 1) as f64 / f64::from(TURNS_PER_S))
+        let call = self.failed_weight.iter().skip(lowest).position(|weight| *weight >= share)?;
+        Some((lowest + call + 1) as f64 / f64::from(CALLS_PER_S))
     }
 
     /// Share of a core.
@@ -94,9 +95,9 @@
 /// Whether proxies report in a phase.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reports {
-    /// Sums, usage and answers to marks arrive.
+    /// Load reports, usage and acknowledgements arrive.
     Arrive,
-    /// Only timers and answers to marks do.
+    /// Only timers and acknowledgements do.
     None,
 }
 
@@ -107,25 +108,25 @@
     /// The fleet.
     pub fleet: Fleet,
     now: Timestamp,
-    streams: Streams,
-    answers: Vec<Event>,
+    proxy_tables: ProxyTables,
+    acknowledgements: Vec<Event>,
     actions: Vec<Action>,
 }
 
 impl Driver {
-    /// A director that has heard nothing yet.
+    /// A director that has handled no events yet.
     pub fn new(size: Size) -> Self {
         Driver {
             director: Director::new(size.settings(), SEED),
             fleet: Fleet::new(size),
             now: START,
-            streams: Streams::default(),
-            answers: Vec::new(),
+            proxy_tables: ProxyTables::default(),
+            acknowledgements: Vec::new(),
             actions: Vec::new(),
         }
     }
 
-    /// Plays `seconds` of virtual time; `script` says what happens besides the reports before each turn.
+    /// Plays `seconds` of virtual time; `script` gives the events besides the reports before each call.
     pub fn play(
         &mut self,
         name: &'static str,
@@ -135,43 +136,45 @@
     ) -> Phase {
         let mut phase = Phase::new(name);
         let mut weight_before = None;
-        for turn in 0..seconds * TURNS_PER_S {
-            let mut events = std::mem::take(&mut self.answers);
+        for call in 0..seconds * CALLS_PER_S {
+            let mut events = std::mem::take(&mut self.acknowledgements);
             events.push(Event::TimerFired(0));
-            events.extend(script(&mut self.fleet, turn, self.now));
+            events.extend(script(&mut self.fleet, call, self.now));
             if reports == Reports::Arrive {
                 events.extend(self.fleet.reports());
             }
-            let failed = self.fleet.affected();
-            let before = *weight_before.get_or_insert_with(|| self.streams.weight_of(failed));
-            self.turn(&events, &mut phase);
+            let failed = self.fleet.failed_hosts();
+            let before = *weight_before.get_or_insert_with(|| self.proxy_tables.weight_of(failed));
+            self.call(&events, &mut phase);
             if before > 0.0 {
-                phase.failed_weight.push(self.streams.weight_of(self.fleet.affected()) / before);
+                phase.failed_weight.push(self.proxy_tables.weight_of(self.fleet.failed_hosts()) / before);
             }
         }
-        self.fleet.forget_failed();
+        self.fleet.clear_failed_hosts();
         phase
     }
 
-    fn turn(&mut self, events: &[Event], phase: &mut Phase) {
+    fn call(&mut self, events: &[Event], phase: &mut Phase) {
         self.actions.clear();
-        let begun = thread_cpu_s();
+        let started_s = thread_cpu_s();
         self.director.handle(self.now, events, &mut self.actions);
-        let took = thread_cpu_s() - begun;
-        phase.cpu_s += took;
-        phase.worst_turn_ms = phase.worst_turn_ms.max(took * 1e3);
-        phase.virtual_s += 1.0 / f64::from(TURNS_PER_S);
+        let elapsed_s = thread_cpu_s() - started_s;
+        phase.cpu_s += elapsed_s;
+        phase.worst_call_ms = phase.worst_call_ms.max(elapsed_s * 1e3);
+        phase.virtual_s += 1.0 / f64::from(CALLS_PER_S);
         phase.events += events.len();
         phase.actions += self.actions.len();
         traffic::count_events(events, &mut phase.traffic);
-        if let Some((mark, reached)) = self.streams.take(&self.actions, &mut phase.traffic) {
-            let applied = |proxy: ProxyId| Event::Acknowledged {
+        if let Some((barrier, recipients)) =
+            self.proxy_tables.apply_actions(&self.actions, &mut phase.traffic)
+        {
+            let acknowledge = |proxy: ProxyId| Event::Acknowledged {
                 proxy,
-                barrier: mark,
+                barrier,
                 elapsed: Micros::from_secs(APPLIED_AFTER_S),
             };
-            self.answers.extend(reached.into_iter().map(applied));
+            self.acknowledgements.extend(recipients.into_iter().map(acknowledge));
         }
-        self.now = Timestamp(self.now.0 + 1_000_000 / u64::from(TURNS_PER_S));
+        self.now = Timestamp(self.now.0 + 1_000_000 / u64::from(CALLS_PER_S));
     }
 }
--- a/crates/wingfold-director/benches/ladder/output.rs
+++ b/crates/wingfold-director/benches/ladder/output.rs
@@ -39,21 +39,21 @@
 /// Every figure that has a law.
 const FIGURES: [(&str, Figure); 22] = [
     ("start, share of a core", |outcome| Some(outcome.phase("start")?.core())),
-    ("start, worst turn ms", |outcome| Some(outcome.phase("start")?.worst_turn_ms)),
+    ("start, worst turn ms", |outcome| Some(outcome.phase("start")?.worst_call_ms)),
     ("reports, share of a core", |outcome| Some(outcome.phase("reports")?.core())),
-    ("reports, worst turn ms", |outcome| Some(outcome.phase("reports")?.worst_turn_ms)),
+    ("reports, worst turn ms", |outcome| Some(outcome.phase("reports")?.worst_call_ms)),
     ("rest, share of a core", |outcome| Some(outcome.phase("rest")?.core())),
-    ("rest, worst turn ms", |outcome| Some(outcome.phase("rest")?.worst_turn_ms)),
+    ("rest, worst turn ms", |outcome| Some(outcome.phase("rest")?.worst_call_ms)),
     ("one machine replaced, cpu ms", |outcome| Some(outcome.cost_of_one("replaced")? * 1e3)),
-    ("replaced, worst turn ms", |outcome| Some(outcome.phase("replaced")?.worst_turn_ms)),
+    ("replaced, worst turn ms", |outcome| Some(outcome.phase("replaced")?.worst_call_ms)),
     ("one configuration change, cpu ms", |outcome| Some(outcome.cost_of_one("configured")? * 1e3)),
     ("a day's churn, share of a core", Outcome::churn_core),
     ("zone lost, share of a core", |outcome| Some(outcome.phase("zone lost")?.core())),
-    ("zone lost, worst turn ms", |outcome| Some(outcome.phase("zone lost")?.worst_turn_ms)),
+    ("zone lost, worst turn ms", |outcome| Some(outcome.phase("zone lost")?.worst_call_ms)),
     ("region cut, share of a core", |outcome| Some(outcome.phase("region cut")?.core())),
-    ("region cut, worst turn ms", |outcome| Some(outcome.phase("region cut")?.worst_turn_ms)),
+    ("region cut, worst turn ms", |outcome| Some(outcome.phase("region cut")?.worst_call_ms)),
     ("release, share of a core", |outcome| Some(outcome.phase("release")?.core())),
-    ("release, worst turn ms", |outcome| Some(outcome.phase("release")?.worst_turn_ms)),
+    ("release, worst turn ms", |outcome| Some(outcome.phase("release")?.worst_call_ms)),
     ("memory after the start, bytes", |outcome| Some(outcome.allocated_after_start as f64)),
     ("checkpoint, bytes", |outcome| Some(outcome.checkpoint_bytes as f64)),
     ("start, bytes sent a second", |outcome| Some(outcome.phase("start")?.bytes_per_s().1)),
@@ -98,8 +98,8 @@
         print_failed(self);
         if let Some(records) = self.records {
             println!("\n## Bytes of a record\n\n| host | path | line | proxy |\n| --- | --- | --- | --- |");
-            let RecordBytes { host, path, line, proxy, .. } = records;
-            println!("| {host:.0} | {path:.0} | {line:.0} | {proxy:.0} |");
+            let RecordBytes { host, zone_host_stats, table_entry, proxy, .. } = records;
+            println!("| {host:.0} | {zone_host_stats:.0} | {table_entry:.0} | {proxy:.0} |");
         }
     }
 
@@ -132,7 +132,7 @@
         print!("| {} | {} x {} x {} ", outcome.label, size.proxies, size.hosts, size.zones);
         for name in PHASES {
             match outcome.phase(name) {
-                Some(phase) => print!("| {:.2} / {:.1} ", phase.core() * 100.0, phase.worst_turn_ms),
+                Some(phase) => print!("| {:.2} / {:.1} ", phase.core() * 100.0, phase.worst_call_ms),
                 None => print!("| - "),
             }
         }
@@ -168,13 +168,13 @@
                 "| {} | {} | {:.0} | {:.0} | {:.0} | {:.0} | {:.0} | {:.0} | {:.0} |",
                 outcome.label,
                 phase.name,
-                per_s(traffic.sums.bytes),
+                per_s(traffic.load_reports.bytes),
                 per_s(traffic.usage.bytes),
-                per_s(traffic.answers.bytes),
-                per_s(traffic.entries.bytes),
-                per_s(traffic.orders.bytes),
-                per_s(traffic.order_lines),
-                per_s(traffic.probes.bytes)
+                per_s(traffic.acknowledgements.bytes),
+                per_s(traffic.list_entries.bytes),
+                per_s(traffic.updates.bytes),
+                per_s(traffic.update_lines),
+                per_s(traffic.health_checks.bytes)
             );
         }
     }
--- a/crates/wingfold-director/benches/ladder/scenario.rs
+++ b/crates/wingfold-director/benches/ladder/scenario.rs
@@ -1,6 +1,6 @@
-//! What a director of one size is put through, phase by phase.
+//! The phases that a director of one size goes through.
 
-use crate::fleet::{Fleet, TURNS_PER_S};
+use crate::fleet::{Fleet, CALLS_PER_S};
 use crate::measure::{Driver, Phase, Reports};
 use crate::memory;
 use crate::sizes::{Size, CONFIGURED_A_DAY, REPLACED_A_DAY, TARGET};
@@ -12,7 +12,7 @@
 const DAY_S: f64 = 86_400.0;
 /// Regions of the target.
 const REGIONS: u32 = 8;
-/// Single changes that are played to learn what one costs, one a second.
+/// Single changes of a phase, one per second, by which the cost of one is measured.
 const SINGLE_CHANGES: u32 = 4;
 /// A host that no single change is about.
 const UNTOUCHED_HOST: usize = 2 * SINGLE_CHANGES as usize;
@@ -52,7 +52,7 @@
         region_cut: 30,
         release: 24,
     };
-    /// Every phase, for a look.
+    /// Every phase, shortened.
     pub const QUICK: Lengths = Lengths {
         start: 6,
         settle: 2,
@@ -80,7 +80,7 @@
         release: 0,
         ..Lengths::FULL
     };
-    /// The same, for a look.
+    /// The same, shortened.
     pub const STEADY_QUICK: Lengths = Lengths { start: 4, settle: 1, reports: 2, rest: 2, ..Lengths::STEADY };
 }
 
@@ -123,7 +123,7 @@
     }
 }
 
-/// Puts a director of this size through all phases that have a length.
+/// Runs a director of this size through all phases that have a length.
 pub fn run(label: &str, size: Size, lengths: Lengths) -> Outcome {
     let mut driver = Driver::new(size);
     let mut phases = vec![start(&mut driver, lengths.start)];
@@ -159,12 +159,12 @@
     }
 }
 
-/// The list and all proxies come in the first turn.
+/// The list arrives and all proxies connect before the first call.
 fn start(driver: &mut Driver, seconds: u32) -> Phase {
-    driver.play("start", seconds, Reports::Arrive, |fleet, turn, _| {
-        let joins = || std::iter::once(fleet.whole_list()).chain(fleet.joins()).collect();
-        if turn == 0 {
-            joins()
+    driver.play("start", seconds, Reports::Arrive, |fleet, call, _| {
+        let connections = || std::iter::once(fleet.cached_list()).chain(fleet.connections()).collect();
+        if call == 0 {
+            connections()
         } else {
             Vec::new()
         }
@@ -183,7 +183,7 @@
     driver.play("rest", seconds, Reports::None, |_, _, _| Vec::new())
 }
 
-/// Hosts that have just started become warm.
+/// Hosts that have just started warm up.
 fn recovery(driver: &mut Driver, seconds: u32) -> Phase {
     driver.play("recovery", seconds, Reports::Arrive, |_, _, _| Vec::new())
 }
@@ -191,33 +191,33 @@
 /// Single machines are replaced; the rest of the phase is what follows.
 fn replaced(driver: &mut Driver, seconds: u32) -> Phase {
     let mut drained: Vec<(u32, Endpoint)> = Vec::new();
-    driver.play("replaced", seconds, Reports::Arrive, |fleet, turn, now| {
+    driver.play("replaced", seconds, Reports::Arrive, |fleet, call, now| {
         let mut entries = Vec::new();
-        if turn % TURNS_PER_S == 0 && turn / TURNS_PER_S < SINGLE_CHANGES {
-            entries.extend(fleet.replace((turn / TURNS_PER_S) as usize, now));
-            drained.push((turn, entries[0].clone()));
+        if call % CALLS_PER_S == 0 && call / CALLS_PER_S < SINGLE_CHANGES {
+            entries.extend(fleet.replace((call / CALLS_PER_S) as usize, now));
+            drained.push((call, entries[0].clone()));
         }
-        entries.extend(gone(&mut drained, turn));
-        changes(entries)
+        entries.extend(removed_after_drain(&mut drained, call));
+        list_changes(entries)
     })
 }
 
 /// The listed weight of single hosts changes.
 fn configured(driver: &mut Driver, seconds: u32) -> Phase {
-    driver.play("configured", seconds, Reports::Arrive, |fleet, turn, _| {
-        match turn % TURNS_PER_S == 0 && turn / TURNS_PER_S < SINGLE_CHANGES {
-            true => changes(fleet.reconfigure((SINGLE_CHANGES + turn / TURNS_PER_S) as usize)),
+    driver.play("configured", seconds, Reports::Arrive, |fleet, call, _| {
+        match call % CALLS_PER_S == 0 && call / CALLS_PER_S < SINGLE_CHANGES {
+            true => list_changes(fleet.reconfigure((SINGLE_CHANGES + call / CALLS_PER_S) as usize)),
             false => Vec::new(),
         }
     })
 }
 
-/// One host fails without a word of the list, and is back after two thirds of the phase.
+/// One host fails and stays on the list, and recovers after two thirds of the phase.
 fn host_lost(driver: &mut Driver, seconds: u32) -> Phase {
-    let back = 2 * seconds * TURNS_PER_S / 3;
-    driver.play("host lost", seconds, Reports::Arrive, |fleet, turn, _| {
-        match turn {
-            0 => fleet.lose_host(UNTOUCHED_HOST),
+    let back = 2 * seconds * CALLS_PER_S / 3;
+    driver.play("host lost", seconds, Reports::Arrive, |fleet, call, _| {
+        match call {
+            0 => fleet.fail_host(UNTOUCHED_HOST),
             at if at == back => fleet.recover(),
             _ => {}
         }
@@ -225,13 +225,13 @@
     })
 }
 
-/// One region of eight cannot be reached, which the list does not tell, and can be again after half of the phase.
+/// One region of eight is unreachable but listed until half of the phase is over.
 fn region_cut(driver: &mut Driver, seconds: u32) -> Phase {
     let zones = driver.director.settings().zones.len() as u32;
-    let back = seconds * TURNS_PER_S / 2;
-    driver.play("region cut", seconds, Reports::Arrive, |fleet, turn, _| {
-        match turn {
-            0 => fleet.lose_zones(zones.div_ceil(REGIONS)),
+    let back = seconds * CALLS_PER_S / 2;
+    driver.play("region cut", seconds, Reports::Arrive, |fleet, call, _| {
+        match call {
+            0 => fleet.fail_zones(zones.div_ceil(REGIONS)),
             at if at == back => fleet.recover(),
             _ => {}
         }
@@ -241,24 +241,24 @@
 
 /// A rack is lost; see [`lost_and_listed`].
 fn rack_lost(driver: &mut Driver, seconds: u32) -> Phase {
-    lost_and_listed(driver, "rack lost", seconds, Fleet::lose_rack)
+    lost_and_listed(driver, "rack lost", seconds, Fleet::fail_rack)
 }
 
 /// A zone is lost; see [`lost_and_listed`].
 fn zone_lost(driver: &mut Driver, seconds: u32) -> Phase {
-    lost_and_listed(driver, "zone lost", seconds, |fleet| fleet.lose_zones(1))
+    lost_and_listed(driver, "zone lost", seconds, |fleet| fleet.fail_zones(1))
 }
 
-/// Hosts are lost, the list drops them after a third of the phase, and they are back, cold, after two thirds.
-fn lost_and_listed(driver: &mut Driver, name: &'static str, seconds: u32, lose: fn(&mut Fleet)) -> Phase {
-    let third = (seconds * TURNS_PER_S / 3).max(1);
-    driver.play(name, seconds, Reports::Arrive, |fleet, turn, now| {
-        if turn == 0 {
-            lose(fleet);
+/// Hosts fail, are removed from the list after a third of the phase, and restart after two thirds.
+fn lost_and_listed(driver: &mut Driver, name: &'static str, seconds: u32, fail: fn(&mut Fleet)) -> Phase {
+    let third = (seconds * CALLS_PER_S / 3).max(1);
+    driver.play(name, seconds, Reports::Arrive, |fleet, call, now| {
+        if call == 0 {
+            fail(fleet);
         }
-        match turn {
-            at if at == third => changes(fleet.list_without_lost()),
-            at if at == 2 * third => changes(fleet.restart_lost(now)),
+        match call {
+            at if at == third => list_changes(fleet.remove_failed()),
+            at if at == 2 * third => list_changes(fleet.restart_failed(now)),
             _ => Vec::new(),
         }
     })
@@ -269,30 +269,31 @@
     let hosts = driver.fleet.len();
     let waves = (2 * seconds / 3).max(1) as usize;
     let mut drained: Vec<(u32, Endpoint)> = Vec::new();
-    driver.play("release", seconds, Reports::Arrive, |fleet, turn, now| {
+    driver.play("release", seconds, Reports::Arrive, |fleet, call, now| {
         let mut entries = Vec::new();
-        let wave = (turn / TURNS_PER_S) as usize;
-        if turn % TURNS_PER_S == 0 && wave < waves {
+        let wave = (call / CALLS_PER_S) as usize;
+        if call % CALLS_PER_S == 0 && wave < waves {
             for index in (hosts / 2 * wave / waves)..(hosts / 2 * (wave + 1) / waves) {
                 let both = fleet.replace(2 * index, now);
-                drained.push((turn, both[0].clone()));
+                drained.push((call, both[0].clone()));
                 entries.extend(both);
             }
         }
-        entries.extend(gone(&mut drained, turn));
-        changes(entries)
+        entries.extend(removed_after_drain(&mut drained, call));
+        list_changes(entries)
     })
 }
 
-/// The hosts whose draining is over: the list drops them.
-fn gone(drained: &mut Vec<(u32, Endpoint)>, turn: u32) -> Vec<Endpoint> {
-    let over = drained.iter().take_while(|(since, _)| turn >= since + DRAINED_AFTER_S * TURNS_PER_S).count();
-    let gone = |(_, entry): (u32, Endpoint)| Endpoint { readiness: Readiness::Removed, ..entry };
-    drained.drain(..over).map(gone).collect()
+/// The list entries that remove the hosts whose draining is over.
+fn removed_after_drain(drained: &mut Vec<(u32, Endpoint)>, call: u32) -> Vec<Endpoint> {
+    let over = drained.iter().take_while(|(since, _)| call >= since + DRAINED_AFTER_S * CALLS_PER_S).count();
+    let removed_after_drain =
+        |(_, entry): (u32, Endpoint)| Endpoint { readiness: Readiness::Removed, ..entry };
+    drained.drain(..over).map(removed_after_drain).collect()
 }
 
 /// The event for changed entries; none for no change.
-fn changes(entries: Vec<Endpoint>) -> Vec<Event> {
+fn list_changes(entries: Vec<Endpoint>) -> Vec<Event> {
     match entries.is_empty() {
         true => Vec::new(),
         false => vec![Event::EndpointList { kind: EndpointListKind::Changes, endpoints: entries }],
--- a/crates/wingfold-director/benches/ladder/sizes.rs
+++ b/crates/wingfold-director/benches/ladder/sizes.rs
@@ -4,35 +4,35 @@
 use std::sync::Arc;
 use wingfold_director::interface::{Class, LoadReportSource, Micros, RepeatSafety, Settings, ZoneId};
 
-/// The target: hosts, zones, directors, and the proxies that one director steers.
+/// The target: hosts, zones, directors, and the proxies of one director.
 pub const TARGET: Size = Size {
     proxies: 48,
     hosts: 2700,
     zones: 30,
     directors: 480,
     classes: 2,
-    groups: 1,
-    sums_per_s: 200,
+    class_groups: 1,
+    reports_per_s: 200,
     zone_local: false,
-    probes: false,
-    crossing_priced: false,
+    health_checks: false,
+    has_cross_zone_price: false,
 };
-/// Requests a second at one proxy: 72,000 over 480 directors of 48 proxies.
+/// Requests per second at one proxy: 72,000 over 480 directors of 48 proxies.
 pub const REQUESTS_PER_PROXY: f64 = 72_000.0 / (480.0 * 48.0);
 /// Machines replaced, and configuration changes, in a day at the target.
 pub const REPLACED_A_DAY: f64 = 330.0;
 pub const CONFIGURED_A_DAY: f64 = 630.0;
 /// The steps of the ladder, as denominators: a step of 16 is a sixteenth of the target.
 pub const STEPS: [u32; 5] = [16, 8, 4, 2, 1];
-/// Price of a request that crosses zones, as a share of its worth, where it has one.
-pub const CROSSING_PRICE: f64 = 0.1;
-/// Time from a host's start until it is warm.
-pub const COLD: Micros = Micros(16_000_000);
+/// Price of a request that crosses zones, as a ratio of its value, where it has one.
+pub const CROSS_ZONE_PRICE: f64 = 0.1;
+/// Time from a host's start until it has its full capacity.
+pub const WARM_UP: Micros = Micros(16_000_000);
 
 /// What one director is measured against.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Size {
-    /// Proxies that join the director.
+    /// Proxies that connect to the director.
     pub proxies: u32,
     /// Hosts on the list.
     pub hosts: u32,
@@ -42,16 +42,20 @@
     pub directors: u32,
     /// Classes of requests.
     pub classes: u32,
-    /// Groups of classes that may use different hosts; each has tables of its own.
-    pub groups: u32,
-    /// Lines of sums that the director hears in a second.
-    pub sums_per_s: u32,
+    /// Groups of classes that may use different hosts; each has its own tables.
+    #[serde(rename = "groups")]
+    pub class_groups: u32,
+    /// Load reports that the director gets in a second.
+    #[serde(rename = "sums_per_s")]
+    pub reports_per_s: u32,
     /// All proxies of the director are in one zone.
     pub zone_local: bool,
-    /// Load is told by probes only.
-    pub probes: bool,
-    /// Requests that cross zones have a price, so that hosts of other zones weigh less.
-    pub crossing_priced: bool,
+    /// Hosts report their load with health checks only.
+    #[serde(rename = "probes")]
+    pub health_checks: bool,
+    /// Requests that cross zones have a price, so that hosts of other zones have less weight.
+    #[serde(rename = "crossing_priced")]
+    pub has_cross_zone_price: bool,
 }
 
 impl Size {
@@ -63,7 +67,7 @@
             hosts: part(TARGET.hosts),
             zones: part(TARGET.zones),
             directors: part(TARGET.directors),
-            sums_per_s: part(TARGET.sums_per_s),
+            reports_per_s: part(TARGET.reports_per_s),
             ..TARGET
         }
     }
@@ -85,17 +89,17 @@
             max_push_delay: Micros::from_secs(0.6),
             max_time_without_entry: Micros::from_secs(3.0),
             report_period: Micros::from_secs(1.0),
-            max_report_lines_per_s: f64::from(self.sums_per_s),
+            max_report_lines_per_s: f64::from(self.reports_per_s),
             proxy_ejection_threshold: 3,
-            health_checks_allowed: self.probes,
-            load_report_source: if self.probes {
+            health_checks_allowed: self.health_checks,
+            load_report_source: if self.health_checks {
                 LoadReportSource::WithHealthChecks
             } else {
                 LoadReportSource::WithAttemptCounts
             },
-            cross_zone_price: if self.crossing_priced { CROSSING_PRICE } else { 0.0 },
+            cross_zone_price: if self.has_cross_zone_price { CROSS_ZONE_PRICE } else { 0.0 },
             initial_capacity_ratio: 0.2,
-            warm_up: COLD,
+            warm_up: WARM_UP,
             drain_grace: Micros::from_secs(3.0),
             overload_factor: 3.0,
             overload_duration: Micros::from_secs(2.0),
@@ -105,10 +109,13 @@
         }
     }
 
-    /// Class `number`; classes of different groups may not use the same kinds of hosts.
+    /// Class `number`; classes of different groups may not use the same machine types.
     fn class(&self, number: u32) -> Class {
-        let group = number % self.groups;
-        let kinds = (0..KINDS).filter(|other| self.groups > 1 && *other != group).map(kind).collect();
+        let group = number % self.class_groups;
+        let kinds = (0..MACHINE_TYPES)
+            .filter(|other| self.class_groups > 1 && *other != group)
+            .map(machine_type)
+            .collect();
         Class {
             latency_objective: Micros::from_secs(1.0),
             deadline: Micros::from_secs(3.0),
@@ -121,11 +128,11 @@
     }
 }
 
-/// Kinds of machines in the fleet.
-pub const KINDS: u32 = 4;
+/// Machine types in the fleet.
+pub const MACHINE_TYPES: u32 = 4;
 
-/// The name of a kind of machine.
-pub fn kind(number: u32) -> String {
+/// The name of a machine type.
+pub fn machine_type(number: u32) -> String {
     format!("m{number}")
 }
 
--- a/crates/wingfold-director/benches/ladder/traffic.rs
+++ b/crates/wingfold-director/benches/ladder/traffic.rs
@@ -1,7 +1,7 @@
 //! Bytes that follow from a director's events and actions, as the protocol's JSON messages would carry them.
 //!
-//! Proxies, collectors and directors exchange a four-byte length and one JSON object. List entries and probes are
-//! HTTP; of those only the bodies and the request of a probe are counted.
+//! Proxies, collectors and directors exchange a four-byte length and one JSON object. List entries and health checks
+//! are HTTP; of those only the bodies and the request of a health check are counted.
 
 use crate::sizes::class_name;
 use serde::Serialize;
@@ -12,11 +12,11 @@
 
 /// Length in front of each message.
 const FRAME: usize = 4;
-/// Request of a probe, and the head of its answer.
-const PROBE_REQUEST: usize = "GET /status/load HTTP/1.1\r\nhost: 10.1.0.18:8443\r\n\r\n".len();
-const PROBE_ANSWER: usize = "HTTP/1.1 200 OK\r\ncontent-length: 38\r\n\r\n".len() + 38;
+/// The request of a health check, and its answer.
+const CHECK_REQUEST: usize = "GET /status/load HTTP/1.1\r\nhost: 10.1.0.18:8443\r\n\r\n".len();
+const CHECK_ANSWER: usize = "HTTP/1.1 200 OK\r\ncontent-length: 38\r\n\r\n".len() + 38;
 
-/// Messages and bytes of one sort.
+/// Messages and bytes of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Count {
     /// Messages.
@@ -39,190 +39,212 @@
     }
 }
 
-/// What was exchanged with each sort of peer.
+/// What was exchanged with each kind of peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Traffic {
-    /// Sums from collectors.
-    pub sums: Count,
+    /// Load reports from collectors.
+    #[serde(rename = "sums")]
+    pub load_reports: Count,
     /// Usage from proxies.
     pub usage: Count,
-    /// Answers to marks from proxies.
-    pub answers: Count,
-    /// Entries from discovery.
-    pub entries: Count,
-    /// Orders to proxies.
-    pub orders: Count,
-    /// Lines in those orders.
-    pub order_lines: usize,
-    /// Probes of hosts, with their answers.
-    pub probes: Count,
+    /// Acknowledgements from proxies.
+    #[serde(rename = "answers")]
+    pub acknowledgements: Count,
+    /// Entries of endpoint lists from discovery.
+    #[serde(rename = "entries")]
+    pub list_entries: Count,
+    /// Updates to proxies.
+    #[serde(rename = "orders")]
+    pub updates: Count,
+    /// Lines in those updates.
+    #[serde(rename = "order_lines")]
+    pub update_lines: usize,
+    /// Health checks of hosts, with their answers.
+    #[serde(rename = "probes")]
+    pub health_checks: Count,
 }
 
 impl Traffic {
     /// Bytes that come to the director.
     pub fn bytes_in(&self) -> usize {
-        self.sums.bytes + self.usage.bytes + self.answers.bytes + self.entries.bytes
+        self.load_reports.bytes + self.usage.bytes + self.acknowledgements.bytes + self.list_entries.bytes
     }
 
-    /// Bytes that the director sends, and probes with their answers.
+    /// Bytes that the director sends, and health checks with their answers.
     pub fn bytes_out(&self) -> usize {
-        self.orders.bytes + self.probes.bytes
+        self.updates.bytes + self.health_checks.bytes
     }
 }
 
 impl AddAssign for Traffic {
     fn add_assign(&mut self, other: Traffic) {
-        self.sums += other.sums;
+        self.load_reports += other.load_reports;
         self.usage += other.usage;
-        self.answers += other.answers;
-        self.entries += other.entries;
-        self.orders += other.orders;
-        self.order_lines += other.order_lines;
-        self.probes += other.probes;
+        self.acknowledgements += other.acknowledgements;
+        self.list_entries += other.list_entries;
+        self.updates += other.updates;
+        self.update_lines += other.update_lines;
+        self.health_checks += other.health_checks;
     }
 }
 
 /// The tables as ordered and the proxies that hold them.
 #[derive(Default)]
-pub struct Streams {
+pub struct ProxyTables {
     tables: BTreeMap<TableId, BTreeMap<HostId, f64>>,
-    bound: BTreeMap<ProxyId, BTreeSet<TableId>>,
+    assigned: BTreeMap<ProxyId, BTreeSet<TableId>>,
 }
 
 /// What one answer of the director does to one table.
 #[derive(Default)]
 struct TableChange {
-    lines: BTreeMap<HostId, f64>,
+    entries: BTreeMap<HostId, f64>,
     levels: usize,
     cleared: bool,
 }
 
 /// One answer of the director, taken apart.
 #[derive(Default)]
-struct Answer {
+struct Changes {
     tables: BTreeMap<TableId, TableChange>,
-    fresh: BTreeSet<(ProxyId, TableId)>,
-    mark: Option<u64>,
+    newly_assigned: BTreeSet<(ProxyId, TableId)>,
+    barrier: Option<u64>,
 }
 
-impl Streams {
-    /// Counts the messages that carry one answer's actions; returns its mark and the proxies that got a message.
-    pub fn take(&mut self, actions: &[Action], traffic: &mut Traffic) -> Option<(u64, Vec<ProxyId>)> {
-        let mut answer = Answer::default();
+impl ProxyTables {
+    /// Counts the messages that carry the actions of one call. Returns its barrier and the proxies that got a message.
+    pub fn apply_actions(
+        &mut self,
+        actions: &[Action],
+        traffic: &mut Traffic,
+    ) -> Option<(u64, Vec<ProxyId>)> {
+        let mut changes = Changes::default();
         for action in actions {
-            self.apply(action, &mut answer, traffic);
+            self.apply(action, &mut changes, traffic);
         }
-        if answer.tables.is_empty() && answer.fresh.is_empty() {
+        if changes.tables.is_empty() && changes.newly_assigned.is_empty() {
             return None;
         }
-        let mut reached = Vec::new();
-        for (proxy, tables) in &self.bound {
-            if let Some((bytes, lines)) = self.message(*proxy, tables, &answer) {
-                traffic.orders.add(bytes);
-                traffic.order_lines += lines;
-                reached.push(*proxy);
+        let mut recipients = Vec::new();
+        for (proxy, tables) in &self.assigned {
+            if let Some((bytes, entries)) = self.message(*proxy, tables, &changes) {
+                traffic.updates.add(bytes);
+                traffic.update_lines += entries;
+                recipients.push(*proxy);
             }
         }
-        answer.mark.map(|mark| (mark, reached))
+        changes.barrier.map(|barrier| (barrier, recipients))
     }
 
-    /// The weight that all tables give some hosts.
+    /// The weight of some hosts in all tables.
     pub fn weight_of(&self, hosts: &BTreeSet<HostId>) -> f64 {
-        let lines = self.tables.values().flat_map(|table| hosts.iter().filter_map(|host| table.get(host)));
-        lines.sum()
+        let entries = self.tables.values().flat_map(|table| hosts.iter().filter_map(|host| table.get(host)));
+        entries.sum()
     }
 
-    fn apply(&mut self, action: &Action, answer: &mut Answer, traffic: &mut Traffic) {
+    fn apply(&mut self, action: &Action, changes: &mut Changes, traffic: &mut Traffic) {
         match action {
             Action::SetEntry { table, host, weight } => {
-                let lines = self.tables.entry(*table).or_default();
+                let entries = self.tables.entry(*table).or_default();
                 match *weight > 0.0 {
-                    true => lines.insert(host.clone(), *weight),
-                    false => lines.remove(host),
+                    true => entries.insert(host.clone(), *weight),
+                    false => entries.remove(host),
                 };
-                answer.tables.entry(*table).or_default().lines.insert(host.clone(), *weight);
+                changes.tables.entry(*table).or_default().entries.insert(host.clone(), *weight);
             }
             Action::ClearTable(table) => {
                 self.tables.remove(table);
-                *answer.tables.entry(*table).or_default() =
+                *changes.tables.entry(*table).or_default() =
                     TableChange { cleared: true, ..Default::default() };
             }
             Action::SetAdmission { table: Some(table), .. } => {
-                answer.tables.entry(*table).or_default().levels += 1
+                changes.tables.entry(*table).or_default().levels += 1
             }
             Action::AssignTable { proxy, table, .. } => {
-                self.bound.entry(*proxy).or_default().insert(*table);
-                answer.fresh.insert((*proxy, *table));
+                self.assigned.entry(*proxy).or_default().insert(*table);
+                changes.newly_assigned.insert((*proxy, *table));
             }
-            Action::Barrier { number, .. } => answer.mark = Some(*number),
-            Action::CheckHealth(_) => traffic.probes.add(PROBE_REQUEST + PROBE_ANSWER),
+            Action::Barrier { number, .. } => changes.barrier = Some(*number),
+            Action::CheckHealth(_) => traffic.health_checks.add(CHECK_REQUEST + CHECK_ANSWER),
             _ => {}
         }
     }
 
-    /// Bytes and lines of one proxy's message; nothing where the answer does not concern it.
-    fn message(&self, proxy: ProxyId, tables: &BTreeSet<TableId>, answer: &Answer) -> Option<(usize, usize)> {
-        let (mut bytes, mut lines) = (0, 0);
+    /// Bytes and lines of one proxy's message; `None` if the changes do not concern it.
+    fn message(
+        &self,
+        proxy: ProxyId,
+        tables: &BTreeSet<TableId>,
+        changes: &Changes,
+    ) -> Option<(usize, usize)> {
+        let (mut bytes, mut entries) = (0, 0);
         for table in tables {
-            let change = answer.tables.get(table);
-            let whole =
-                answer.fresh.contains(&(proxy, *table)) || change.is_some_and(|change| change.cleared);
-            let content = if whole { self.tables.get(table) } else { change.map(|change| &change.lines) };
+            let change = changes.tables.get(table);
+            let complete = changes.newly_assigned.contains(&(proxy, *table))
+                || change.is_some_and(|change| change.cleared);
+            let content =
+                if complete { self.tables.get(table) } else { change.map(|change| &change.entries) };
             let Some(content) = content else { continue };
             let levels = change.map_or(0, |change| change.levels);
-            bytes += FRAME + part_bytes(whole, content, levels > 0, answer.mark);
-            lines += content.len() + levels + usize::from(whole);
+            bytes += FRAME + update_bytes(complete, content, levels > 0, changes.barrier);
+            entries += content.len() + levels + usize::from(complete);
         }
-        (bytes > 0).then_some((bytes, lines))
+        (bytes > 0).then_some((bytes, entries))
     }
 }
 
-/// Bytes of one part of a proxy's orders.
-fn part_bytes(whole: bool, lines: &BTreeMap<HostId, f64>, levelled: bool, mark: Option<u64>) -> usize {
+/// Bytes of the update of one table.
+fn update_bytes(
+    complete: bool,
+    entries: &BTreeMap<HostId, f64>,
+    has_admission: bool,
+    barrier: Option<u64>,
+) -> usize {
     let mut part = json!({"type": "CONFIG", "lines": []});
-    if whole {
+    if complete {
         part["whole"] = json!(true);
     }
-    if levelled {
+    if has_admission {
         part["level"] = json!(0.95);
         part["retry"] = json!(1);
     }
-    if let Some(mark) = mark {
-        part["ticket"] = json!(mark);
+    if let Some(barrier) = barrier {
+        part["ticket"] = json!(barrier);
     }
-    let commas = lines.len().saturating_sub(1);
+    let commas = entries.len().saturating_sub(1);
     json_bytes(&part)
         + commas
-        + lines.iter().map(|(host, weight)| json_bytes(&(&host.0, weight))).sum::<usize>()
+        + entries.iter().map(|(host, weight)| json_bytes(&(&host.0, weight))).sum::<usize>()
 }
 
 /// Counts what events cost on the wire.
 pub fn count_events(events: &[Event], traffic: &mut Traffic) {
     for event in events {
         match event {
-            Event::LoadReport { zone, host, attempts: sums, mean_latency: mean, load } => {
+            Event::LoadReport { zone, host, attempts, mean_latency: mean, load } => {
                 let mut message = json!({
-                    "type": "LOAD", "site": zone.0, "target": host.0, "count": sums.total, "fail": sums.failed,
-                    "mean": mean.secs() * 1e3, "over": sums.period.secs() * 1e3,
+                    "type": "LOAD", "site": zone.0, "target": host.0, "count": attempts.total, "fail": attempts.failed,
+                    "mean": mean.secs() * 1e3, "over": attempts.period.secs() * 1e3,
                 });
                 if let (Some(in_hand), Some(busy)) = (load.in_flight, load.utilization) {
                     message["util"] = json!({"inflight": in_hand, "util": busy});
                 }
-                traffic.sums.add(FRAME + json_bytes(&message));
+                traffic.load_reports.add(FRAME + json_bytes(&message));
             }
-            Event::Usage { proxy, class, requests: sums } => {
+            Event::Usage { proxy, class, requests } => {
                 let message = json!({
-                    "type": "RATE", "id": proxy.0, "lane": class_name(class.0), "count": sums.total,
-                    "fail": sums.failed, "over": sums.period.secs() * 1e3,
+                    "type": "RATE", "id": proxy.0, "lane": class_name(class.0), "count": requests.total,
+                    "fail": requests.failed, "over": requests.period.secs() * 1e3,
                 });
                 traffic.usage.add(FRAME + json_bytes(&message));
             }
-            Event::Acknowledged { proxy, barrier: mark, elapsed: took } => {
-                let message = json!({"type": "ACK", "id": proxy.0, "seq": mark, "ms": took.secs() * 1e3});
-                traffic.answers.add(FRAME + json_bytes(&message));
+            Event::Acknowledged { proxy, barrier, elapsed } => {
+                let message =
+                    json!({"type": "ACK", "id": proxy.0, "seq": barrier, "ms": elapsed.secs() * 1e3});
+                traffic.acknowledgements.add(FRAME + json_bytes(&message));
             }
-            Event::EndpointList { endpoints: entries, .. } => {
-                entries.iter().for_each(|entry| traffic.entries.add(entry_bytes(entry)))
+            Event::EndpointList { endpoints, .. } => {
+                endpoints.iter().for_each(|entry| traffic.list_entries.add(entry_bytes(entry)))
             }
             _ => {}
         }
--- a/crates/wingfold-director/tests/common/mod.rs
+++ b/crates/wingfold-director/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small world around one director: it keeps what was ordered and plays back sums.
+//! A harness around one director: it records the actions and reports load as simulated hosts would cause it.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -6,13 +6,13 @@
 use wingfold_director::interface::*;
 use wingfold_director::Director;
 
-/// Seconds as a length of time.
-pub fn length(secs: f64) -> Micros {
+/// A duration in seconds.
+pub fn seconds(secs: f64) -> Micros {
     Micros::from_secs(secs)
 }
 
-/// Seconds as a point in time.
-pub fn at(secs: f64) -> Timestamp {
+/// The point in time so many seconds after the start of the clock.
+pub fn at_seconds(secs: f64) -> Timestamp {
     Timestamp::from_secs(secs)
 }
 
@@ -24,19 +24,19 @@
     ZoneId(Arc::from(name))
 }
 
-pub fn class(effect: RepeatSafety, aim_s: f64, worth: f64) -> Class {
+pub fn class(repeat_safety: RepeatSafety, latency_objective_s: f64, priority_weight: f64) -> Class {
     Class {
-        latency_objective: length(aim_s),
-        deadline: length(3.0 * aim_s),
-        priority_weight: worth,
-        repeat_safety: effect,
+        latency_objective: seconds(latency_objective_s),
+        deadline: seconds(3.0 * latency_objective_s),
+        priority_weight,
+        repeat_safety,
         own_zone_only: false,
         allowed_zones: Vec::new(),
         allowed_machine_types: Vec::new(),
     }
 }
 
-/// Two zones, two classes, roomy channel, list pushed, levels as shares.
+/// Two zones, two classes, a fast send queue, a pushed endpoint list, admission levels as shares.
 pub fn settings() -> Settings {
     Settings {
         directors: 1,
@@ -46,96 +46,103 @@
         send_rate_lines_per_s: 10_000.0,
         message_overhead_lines: 4.0,
         max_queued_lines: 10_000.0,
-        message_window: length(10.0),
-        mean_push_delay: length(0.2),
-        max_push_delay: length(0.6),
-        max_time_without_entry: length(3.0),
-        report_period: length(1.0),
+        message_window: seconds(10.0),
+        mean_push_delay: seconds(0.2),
+        max_push_delay: seconds(0.6),
+        max_time_without_entry: seconds(3.0),
+        report_period: seconds(1.0),
         max_report_lines_per_s: 1000.0,
         proxy_ejection_threshold: 3,
         initial_capacity_ratio: 0.2,
-        warm_up: length(16.0),
-        drain_grace: length(3.0),
+        warm_up: seconds(16.0),
+        drain_grace: seconds(3.0),
         overload_factor: 3.0,
-        overload_duration: length(2.0),
-        poll_within: length(10.0),
+        overload_duration: seconds(2.0),
+        poll_within: seconds(10.0),
         ..Settings::default()
     }
 }
 
-pub fn entry(name: &str, zone_name: &str, readiness: Readiness, started: Option<f64>) -> Endpoint {
+pub fn endpoint(name: &str, zone_name: &str, readiness: Readiness, started: Option<f64>) -> Endpoint {
     Endpoint {
         host: host(name),
         machine_type: "box".into(),
         zone: zone(zone_name),
         readiness,
         weight: 1.0,
-        started_at: started.map(at),
+        started_at: started.map(at_seconds),
     }
 }
 
-/// Hosts `h0`, `h1`, ... dealt to the two zones in turn, all long up.
-pub fn fleet(count: usize) -> Vec<Endpoint> {
-    let place = |at: usize| if at.is_multiple_of(2) { "east" } else { "west" };
-    (0..count).map(|n| entry(&format!("h{n}"), place(n), Readiness::Ready, None)).collect()
+/// Hosts `h0`, `h1`, ... in the two zones alternately, all ready and warm.
+pub fn ready_endpoints(count: usize) -> Vec<Endpoint> {
+    let zone_name = |at: usize| if at.is_multiple_of(2) { "east" } else { "west" };
+    (0..count).map(|n| endpoint(&format!("h{n}"), zone_name(n), Readiness::Ready, None)).collect()
 }
 
-/// What a host does in the world: latency in ms and share of tries lost.
+/// How a simulated host answers: its mean latency, and the share of its attempts that fail.
 #[derive(Clone, Copy)]
-pub struct Manner {
-    pub ms: f64,
-    pub loss: f64,
+pub struct HostBehaviour {
+    pub latency_ms: f64,
+    pub loss_ratio: f64,
 }
 
-pub struct World {
+/// One director, its clock, and the tables that proxies would hold by its actions.
+pub struct Harness {
     pub now: f64,
     pub director: Director,
     pub tables: BTreeMap<TableId, BTreeMap<HostId, f64>>,
-    pub levels: BTreeMap<(TableId, u64), (f64, Retry)>,
-    pub binds: Vec<(ProxyId, TableId, ClassMask)>,
+    pub admission: BTreeMap<(TableId, u64), (f64, Retry)>,
+    pub assignments: Vec<(ProxyId, TableId, ClassMask)>,
     pub actions: Vec<(f64, Action)>,
-    /// Marks that the proxies bound when they were set answer with the next events, unless no word comes.
-    pub marks: Vec<u64>,
-    pub wordless: bool,
+    /// Barriers that all assigned proxies acknowledge with the next events.
+    pub barriers: Vec<u64>,
+    /// Barriers are not acknowledged.
+    pub drops_acknowledgements: bool,
 }
 
-impl World {
+impl Harness {
     pub fn new(settings: Settings) -> Self {
-        World {
+        Harness {
             now: 0.0,
             director: Director::new(settings, 7),
             tables: BTreeMap::new(),
-            levels: BTreeMap::new(),
-            binds: Vec::new(),
+            admission: BTreeMap::new(),
+            assignments: Vec::new(),
             actions: Vec::new(),
-            marks: Vec::new(),
-            wordless: false,
+            barriers: Vec::new(),
+            drops_acknowledgements: false,
         }
     }
 
-    /// A director with `count` hosts and one bound proxy in each zone.
-    pub fn running(settings: Settings, count: usize) -> Self {
-        let mut world = World::new(settings);
-        world.send(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: fleet(count) }]);
-        world.send(&[
+    /// A director with `count` hosts and one assigned proxy in each zone.
+    pub fn with_proxies(settings: Settings, count: usize) -> Self {
+        let mut harness = Harness::new(settings);
+        harness.send(&[Event::EndpointList {
+            kind: EndpointListKind::Cached,
+            endpoints: ready_endpoints(count),
+        }]);
+        harness.send(&[
             Event::ProxyConnected { proxy: ProxyId(0), zone: zone("east"), requests_per_s: 50.0 },
             Event::ProxyConnected { proxy: ProxyId(1), zone: zone("west"), requests_per_s: 50.0 },
         ]);
-        world
+        harness
     }
 
-    /// Hands events over now; returns what was ordered.
+    /// Handles events at the current time and returns the actions.
     pub fn send(&mut self, events: &[Event]) -> Vec<Action> {
         let mut out = Vec::new();
-        let marks = std::mem::take(&mut self.marks);
-        let answers = marks.iter().flat_map(|mark| self.binds.iter().map(|bind| (bind.0, *mark)));
+        let barriers = std::mem::take(&mut self.barriers);
+        let answers = barriers
+            .iter()
+            .flat_map(|barrier| self.assignments.iter().map(|assignment| (assignment.0, *barrier)));
         let answers =
-            answers.map(|(proxy, mark)| Event::Acknowledged { proxy, barrier: mark, elapsed: length(0.25) });
+            answers.map(|(proxy, barrier)| Event::Acknowledged { proxy, barrier, elapsed: seconds(0.25) });
         let events: Vec<Event> = answers.chain(events.iter().cloned()).collect();
-        self.director.handle(at(self.now), &events, &mut out);
+        self.director.handle(at_seconds(self.now), &events, &mut out);
         for action in &out {
             match action {
-                Action::Barrier { number, .. } if !self.wordless => self.marks.push(*number),
+                Action::Barrier { number, .. } if !self.drops_acknowledgements => self.barriers.push(*number),
                 Action::SetEntry { table, host, weight } if *weight > 0.0 => {
                     self.tables.entry(*table).or_default().insert(host.clone(), *weight);
                 }
@@ -146,10 +153,10 @@
                     self.tables.remove(table);
                 }
                 Action::SetAdmission { table: Some(table), classes: mask, level, retry } => {
-                    self.levels.insert((*table, mask.0), (*level, *retry));
+                    self.admission.insert((*table, mask.0), (*level, *retry));
                 }
                 Action::AssignTable { proxy, table, classes: mask } => {
-                    self.binds.push((*proxy, *table, *mask))
+                    self.assignments.push((*proxy, *table, *mask))
                 }
                 _ => {}
             }
@@ -158,8 +165,8 @@
         out
     }
 
-    /// Lets time pass in quarter seconds without any event.
-    pub fn wait(&mut self, secs: f64) {
+    /// Advances the clock in steps of a quarter second, without reports.
+    pub fn advance(&mut self, secs: f64) {
         let end = self.now + secs;
         while self.now + 1e-9 < end {
             self.now += 0.25;
@@ -167,23 +174,28 @@
         }
     }
 
-    /// Lets time pass; each second both zones hear `tries` tries of each line they hold.
-    pub fn play(&mut self, secs: f64, tries: u64, manner: impl Fn(&str, &str) -> Manner) {
+    /// Advances the clock; each second both zones report `attempts` attempts at each host in their tables.
+    pub fn run_with_reports(
+        &mut self,
+        secs: f64,
+        attempts: u64,
+        behaviour: impl Fn(&str, &str) -> HostBehaviour,
+    ) {
         let end = self.now + secs;
         while self.now + 1e-9 < end {
-            self.wait(1.0);
+            self.advance(1.0);
             let mut events = Vec::new();
-            for place in ["east", "west"] {
-                for (id, _) in self.lines(place) {
-                    let does = manner(place, &id.0);
-                    let lost = (tries as f64 * does.loss).round() as u64;
-                    let sums = AttemptCounts { total: tries, failed: lost, period: length(1.0) };
-                    let mean = if lost == tries { 0.0 } else { does.ms / 1e3 };
+            for zone_name in ["east", "west"] {
+                for (id, _) in self.entries(zone_name) {
+                    let host_behaviour = behaviour(zone_name, &id.0);
+                    let failed = (attempts as f64 * host_behaviour.loss_ratio).round() as u64;
+                    let counts = AttemptCounts { total: attempts, failed, period: seconds(1.0) };
+                    let mean = if failed == attempts { 0.0 } else { host_behaviour.latency_ms / 1e3 };
                     events.push(Event::LoadReport {
-                        zone: zone(place),
+                        zone: zone(zone_name),
                         host: id,
-                        attempts: sums,
-                        mean_latency: length(mean),
+                        attempts: counts,
+                        mean_latency: seconds(mean),
                         load: HostLoad::default(),
                     });
                 }
@@ -192,32 +204,33 @@
         }
     }
 
-    /// The table that the proxy of a zone was put on (for the first class).
-    pub fn table(&self, place: &str) -> TableId {
-        let proxy = ProxyId(u32::from(place == "west"));
-        let mine = |b: &&(ProxyId, TableId, ClassMask)| b.0 == proxy && (b.2 .0 == 0 || b.2 .0 & 1 == 1);
-        self.binds.iter().rev().find(mine).expect("the proxy is bound").1
+    /// The table that the proxy of a zone is assigned to for the first class.
+    pub fn table_of_zone(&self, zone_name: &str) -> TableId {
+        let proxy = ProxyId(u32::from(zone_name == "west"));
+        let is_of_zone =
+            |b: &&(ProxyId, TableId, ClassMask)| b.0 == proxy && (b.2 .0 == 0 || b.2 .0 & 1 == 1);
+        self.assignments.iter().rev().find(is_of_zone).expect("the proxy is assigned").1
     }
 
-    pub fn lines(&self, place: &str) -> BTreeMap<HostId, f64> {
-        self.tables.get(&self.table(place)).cloned().unwrap_or_default()
+    pub fn entries(&self, zone_name: &str) -> BTreeMap<HostId, f64> {
+        self.tables.get(&self.table_of_zone(zone_name)).cloned().unwrap_or_default()
     }
 
-    pub fn weight(&self, place: &str, name: &str) -> f64 {
-        self.lines(place).get(&host(name)).copied().unwrap_or(0.0)
+    pub fn weight(&self, zone_name: &str, name: &str) -> f64 {
+        self.entries(zone_name).get(&host(name)).copied().unwrap_or(0.0)
     }
 }
 
-/// A line of sums with nothing lost.
-pub fn heard(place: &str, id: HostId, total: u64, secs: f64, load: HostLoad) -> Event {
+/// A load report without failures.
+pub fn load_report(zone_name: &str, id: HostId, total: u64, secs: f64, load: HostLoad) -> Event {
     Event::LoadReport {
-        zone: zone(place),
+        zone: zone(zone_name),
         host: id,
-        attempts: AttemptCounts { total, failed: 0, period: length(1.0) },
-        mean_latency: length(secs),
+        attempts: AttemptCounts { total, failed: 0, period: seconds(1.0) },
+        mean_latency: seconds(secs),
         load,
     }
 }
 
-pub const FINE: Manner = Manner { ms: 100.0, loss: 0.0 };
-pub const DEAD: Manner = Manner { ms: 0.0, loss: 1.0 };
+pub const HEALTHY: HostBehaviour = HostBehaviour { latency_ms: 100.0, loss_ratio: 0.0 };
+pub const FAILING: HostBehaviour = HostBehaviour { latency_ms: 0.0, loss_ratio: 1.0 };
--- a/crates/wingfold-director/tests/equivalence.rs
+++ b/crates/wingfold-director/tests/equivalence.rs
@@ -1,5 +1,4 @@
-//! What is kept from one call to the next changes no action: a director answers bit by bit as one that works everything
-//! out in full at each call.
+//! Cached results change no action: a director answers bit for bit like one that computes everything anew at each call.
 mod site;
 
 use proptest::prelude::*;
@@ -7,7 +6,7 @@
 use wingfold_director::interface::*;
 use wingfold_director::Director;
 
-/// A director, and another that forgets before each call what it had worked out.
+/// A director, and a reference that drops its cached results before each call.
 struct Pair {
     incremental: Director,
     reference: Director,
@@ -21,7 +20,7 @@
         }
     }
 
-    /// Gives what both answer.
+    /// The actions of both.
     fn handle(&mut self, now: u64, events: &[Event]) -> (Vec<Action>, Vec<Action>) {
         let (mut answer, mut expected) = (Vec::new(), Vec::new());
         self.incremental.handle(Timestamp(now), events, &mut answer);
@@ -41,9 +40,9 @@
         let mut site = Site::new(kind, seed);
         let mut pair = Pair::new(&site.settings, seed);
         for call in 0..calls {
-            let events = if call == 0 { site.begin(hosts, proxies) } else { site.events() };
-            let (answer, expected) = pair.handle(site.step(), &events);
-            // Debug shows floats shortest and exactly.
+            let events = if call == 0 { site.first_events(hosts, proxies) } else { site.events() };
+            let (answer, expected) = pair.handle(site.advance_clock(), &events);
+            // Debug output of floats is exact.
             prop_assert_eq!(format!("{answer:?}"), format!("{expected:?}"), "call {}", call);
             prop_assert_eq!(pair.incremental.digest(), pair.reference.digest());
             if call % 16 == 15 {
@@ -53,12 +52,12 @@
                     pair.incremental = Director::restore(&written).expect("it was written down just now");
                 }
             }
-            site.note(&answer);
+            site.record_actions(&answer);
         }
     }
 }
 
-/// What a director would answer at a time without any event; it stays as it is.
+/// The actions that a director would order at a time without any event; the director itself stays unchanged.
 fn answer_at(director: &Director, now: u64) -> String {
     let mut copy = director.clone();
     let mut out = Vec::new();
@@ -67,8 +66,8 @@
     format!("{out:?}")
 }
 
-/// The first time in a span at which time alone makes the director answer something, to the microsecond: `None` where it
-/// answers at once or not at all.
+/// The first time in a span at which the passing of time alone causes an action, to the microsecond. `None` if it does so
+/// at the start of the span already, or not at all.
 fn due_within(director: &Director, from: u64, to: u64) -> Option<u64> {
     let answers = |now: u64| answer_at(director, now) != "[]";
     if answers(from) || !answers(to) {
@@ -86,18 +85,18 @@
     #![proptest_config(ProptestConfig { cases: 96, max_shrink_iters: 100, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_depends_on_time_alone_happens_at_its_due_time_and_not_a_microsecond_later(
+    fn effects_of_time_alone_happen_at_their_due_time_to_the_microsecond(
         kind in 0..120u32, seed in any::<u64>(), hosts in 4..24usize, calls in 20..90usize,
     ) {
         let mut site = Site::new(kind, seed);
         let mut director = Director::new(site.settings.clone(), seed);
         for call in 0..calls {
-            let events = if call == 0 { site.begin(hosts, 6) } else { site.events() };
+            let events = if call == 0 { site.first_events(hosts, 6) } else { site.events() };
             let mut out = Vec::new();
-            director.handle(Timestamp(site.step()), &events, &mut out);
-            site.note(&out);
+            director.handle(Timestamp(site.advance_clock()), &events, &mut out);
+            site.record_actions(&out);
         }
-        // Quiet looks: what can settle has settled.
+        // Evaluations without events, until the state is steady.
         let mut now = site.now;
         for _ in 0..8 {
             now += 250_000;
@@ -117,17 +116,17 @@
 }
 
 #[test]
-fn the_due_times_of_a_stay_outside_a_trial_and_a_warming_host_are_found() {
-    // The test above is worth something only where time alone does have an effect.
+fn due_times_of_ejection_probation_and_slow_start_are_found() {
+    // The test above is meaningful only if time alone does have effects.
     let mut kinds_of_dues = [0; 3];
     for seed in 0..200 {
         let mut site = Site::new(1, seed);
         let mut director = Director::new(site.settings.clone(), seed);
         for call in 0..60 {
-            let events = if call == 0 { site.begin(12, 6) } else { site.events() };
+            let events = if call == 0 { site.first_events(12, 6) } else { site.events() };
             let mut out = Vec::new();
-            director.handle(Timestamp(site.step()), &events, &mut out);
-            site.note(&out);
+            director.handle(Timestamp(site.advance_clock()), &events, &mut out);
+            site.record_actions(&out);
         }
         let mut now = site.now;
         for _ in 0..4 {
@@ -146,22 +145,21 @@
 }
 
 #[test]
-fn changes_that_find_no_room_while_a_crowd_joins_are_not_taken_as_ordered() {
-    // Guards against: a table counted as settled because what was left of its changes, after those that could wait were put
-    // off, was nothing.
+fn changes_that_are_deferred_while_many_proxies_connect_are_not_recorded_as_sent() {
+    // Regression: a table was recorded as up to date although changes of low priority had been deferred.
     for kind in (0..60).step_by(2) {
         let mut site = Site::new(kind, u64::from(kind));
         let mut pair = Pair::new(&site.settings, 7);
-        let first = site.begin(40, 8);
+        let first = site.first_events(40, 8);
         let mut play = |site: &mut Site, now: u64, events: Vec<Event>| {
             let (answer, expected) = pair.handle(now, &events);
             assert_eq!(answer, expected, "kind {kind} at {now}");
-            site.note(&answer);
+            site.record_actions(&answer);
         };
         let now = site.now;
         play(&mut site, now, first);
         for look in 0..360 {
-            let (now, mut events) = site.quiet();
+            let (now, mut events) = site.acknowledgements_only();
             if look == 200 {
                 events.extend(site.crowd_and_new_weights(8..30));
             }
@@ -171,20 +169,20 @@
 }
 
 #[test]
-fn a_host_that_starts_anew_and_leaves_within_one_call_is_kept_as_it_is() {
-    // Guards against: what is kept of a host that leaves taken over from before its start.
+fn a_host_that_restarts_and_leaves_within_one_call_keeps_no_stale_records() {
+    // Regression: cached records of a host from before its restart were kept when it left.
     for kind in 0..20 {
         let mut site = Site::new(kind, 11);
         let mut pair = Pair::new(&site.settings, 7);
-        let first = site.begin(8, 6);
+        let first = site.first_events(8, 6);
         let mut play = |site: &mut Site, events: Vec<Event>| {
             let (answer, expected) = pair.handle(site.now, &events);
             assert_eq!(answer, expected, "kind {kind} at {}", site.now);
-            site.note(&answer);
+            site.record_actions(&answer);
         };
         play(&mut site, first);
         for look in 0..120 {
-            let (_, mut events) = site.quiet();
+            let (_, mut events) = site.acknowledgements_only();
             if look % 10 == 5 {
                 events.extend(site.start_and_leave(look));
             }
--- a/crates/wingfold-director/tests/site/mod.rs
+++ b/crates/wingfold-director/tests/site/mod.rs
@@ -1,6 +1,6 @@
-//! A random site around a director: hosts that drain, start cold, fall silent, lose or slow down, zones that are cut off,
-//! proxies that come and go, lists that fail or are whole, loads and usage, answers to marks that get lost, a clock that
-//! stands, ticks and jumps. All of it follows from one seed.
+//! A random site around a director: hosts that drain, warm up, stop answering, fail or slow down, unreachable zones,
+//! proxies that connect and disconnect, endpoint lists that fail or are complete, load and usage, lost acknowledgements,
+//! a clock that stands, ticks and jumps. All of it follows from one seed.
 #![allow(dead_code)]
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,47 +9,47 @@
 /// How a host answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Condition {
-    Fine,
+    Healthy,
     Slow,
     Lossy,
-    Dead,
+    Failing,
     Silent,
 }
 
 #[derive(Clone, Debug)]
 struct SiteHost {
-    entry: Endpoint,
+    endpoint: Endpoint,
     condition: Condition,
 }
 
-/// The site and its clock.
+/// The site, its clock and its random number generator.
 pub struct Site {
     pub settings: Settings,
     pub now: u64,
-    random: u64,
+    rng_state: u64,
     hosts: BTreeMap<u32, SiteHost>,
     next_host: u32,
-    joined: BTreeMap<u32, ZoneId>,
-    marks: Vec<u64>,
-    cut: Option<ZoneId>,
-    busy: f64,
+    connected: BTreeMap<u32, ZoneId>,
+    barriers: Vec<u64>,
+    cut_off_zone: Option<ZoneId>,
+    utilization: f64,
 }
 
 pub fn zone_id(n: usize) -> ZoneId {
     ZoneId(Arc::from(format!("z{n}")))
 }
 
-fn secs(secs: f64) -> Micros {
+fn seconds(secs: f64) -> Micros {
     Micros::from_secs(secs)
 }
 
-/// Settings of several deployments: levels as shares, as rates, ignored; one group of classes and three; whole tables and
-/// parts; lists pushed and asked for; probes; short channels.
+/// Settings of several deployments: all admission modes; one group of classes and three; complete tables and subsets;
+/// endpoint lists that are pushed and polled; health checks; slow send queues.
 pub fn deployment(kind: u32) -> Settings {
-    let class = |aim: f64, worth: f64| Class {
-        latency_objective: secs(aim),
-        deadline: secs(3.0 * aim),
-        priority_weight: worth,
+    let class = |aim: f64, priority_weight: f64| Class {
+        latency_objective: seconds(aim),
+        deadline: seconds(3.0 * aim),
+        priority_weight,
         repeat_safety: RepeatSafety::Idempotent,
         own_zone_only: false,
         allowed_zones: Vec::new(),
@@ -70,11 +70,11 @@
         message_overhead_lines: 4.0,
         max_queued_lines: [900.0, 8000.0][kind as usize % 2],
         max_messages_per_proxy: [0, 12][kind as usize / 3 % 2],
-        message_window: secs(10.0),
-        mean_push_delay: secs(0.2),
-        max_push_delay: secs(0.6),
-        max_time_without_entry: secs(3.0),
-        report_period: secs([0.5, 1.0, 2.0][kind as usize % 3]),
+        message_window: seconds(10.0),
+        mean_push_delay: seconds(0.2),
+        max_push_delay: seconds(0.6),
+        max_time_without_entry: seconds(3.0),
+        report_period: seconds([0.5, 1.0, 2.0][kind as usize % 3]),
         max_report_lines_per_s: 400.0,
         proxy_ejection_threshold: 3,
         health_checks_allowed: kind % 4 > 1,
@@ -82,13 +82,13 @@
             [kind as usize / 4 % 2],
         cross_zone_price: [0.0, 0.1][kind as usize / 2 % 2],
         initial_capacity_ratio: 0.2,
-        warm_up: secs(9.0),
-        drain_grace: secs(3.0),
+        warm_up: seconds(9.0),
+        drain_grace: seconds(3.0),
         overload_factor: 3.0,
-        overload_duration: secs(2.0),
-        poll_within: secs(10.0),
+        overload_duration: seconds(2.0),
+        poll_within: seconds(10.0),
         removal_is_advisory: kind % 3 == 1,
-        connection_idle_timeout: secs([0.0, 4.0, 15.0][kind as usize / 2 % 3]),
+        connection_idle_timeout: seconds([0.0, 4.0, 15.0][kind as usize / 2 % 3]),
         ..Settings::default()
     };
     if kind % 5 > 2 {
@@ -103,165 +103,166 @@
         Site {
             settings: deployment(kind),
             now: 1_000_000_000,
-            random: seed | 1,
+            rng_state: seed | 1,
             hosts: BTreeMap::new(),
             next_host: 0,
-            joined: BTreeMap::new(),
-            marks: Vec::new(),
-            cut: None,
-            busy: 0.5,
+            connected: BTreeMap::new(),
+            barriers: Vec::new(),
+            cut_off_zone: None,
+            utilization: 0.5,
         }
     }
 
-    fn chance(&mut self) -> f64 {
-        self.random = self.random.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(0x1405_7B7E_F767_814F);
-        (self.random >> 11) as f64 / (1u64 << 53) as f64
+    fn random_ratio(&mut self) -> f64 {
+        self.rng_state =
+            self.rng_state.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(0x1405_7B7E_F767_814F);
+        (self.rng_state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn below(&mut self, most: usize) -> usize {
-        (self.chance() * most as f64) as usize
+    fn random_below(&mut self, most: usize) -> usize {
+        (self.random_ratio() * most as f64) as usize
     }
 
     fn add_host(&mut self, started: Option<Timestamp>) -> u32 {
-        let (number, zone) = (self.next_host, self.below(self.settings.zones.len()));
+        let (number, zone) = (self.next_host, self.random_below(self.settings.zones.len()));
         self.next_host += 1;
-        // Numbers are mixed so that new hosts stand between old ones in the order of names.
+        // Numbers are mixed so that the names of new hosts sort between those of old ones.
         let name = format!("s-{:04x}", number.wrapping_mul(40_503) & 0xffff);
-        let entry = Endpoint {
+        let endpoint = Endpoint {
             host: HostId(Arc::from(name)),
-            machine_type: ["small", "large"][self.below(2)].into(),
+            machine_type: ["small", "large"][self.random_below(2)].into(),
             zone: zone_id(zone),
             readiness: Readiness::Ready,
-            weight: [1.0, 2.0, 3.0][self.below(3)],
+            weight: [1.0, 2.0, 3.0][self.random_below(3)],
             started_at: started,
         };
-        self.hosts.insert(number, SiteHost { entry, condition: Condition::Fine });
+        self.hosts.insert(number, SiteHost { endpoint, condition: Condition::Healthy });
         number
     }
 
     /// The events of the first call.
-    pub fn begin(&mut self, hosts: usize, proxies: u32) -> Vec<Event> {
+    pub fn first_events(&mut self, hosts: usize, proxies: u32) -> Vec<Event> {
         for _ in 0..hosts {
             self.add_host(None);
         }
         let mut events =
-            vec![Event::EndpointList { kind: EndpointListKind::Cached, endpoints: self.entries() }];
+            vec![Event::EndpointList { kind: EndpointListKind::Cached, endpoints: self.endpoints() }];
         for id in 0..proxies {
-            events.push(self.join(id));
+            events.push(self.connect(id));
         }
         events
     }
 
-    fn entries(&self) -> Vec<Endpoint> {
-        self.hosts.values().map(|host| host.entry.clone()).collect()
+    fn endpoints(&self) -> Vec<Endpoint> {
+        self.hosts.values().map(|host| host.endpoint.clone()).collect()
     }
 
-    fn join(&mut self, id: u32) -> Event {
-        let zone = zone_id(self.below(self.settings.zones.len()));
-        self.joined.insert(id, zone.clone());
-        let rate = 0.5 + 20.0 * self.chance().powi(3);
+    fn connect(&mut self, id: u32) -> Event {
+        let zone = zone_id(self.random_below(self.settings.zones.len()));
+        self.connected.insert(id, zone.clone());
+        let rate = 0.5 + 20.0 * self.random_ratio().powi(3);
         Event::ProxyConnected { proxy: ProxyId(id), zone, requests_per_s: rate }
     }
 
-    /// Lets the clock go on.
-    pub fn step(&mut self) -> u64 {
-        let step = match self.below(40) {
+    /// Advances the clock by a random step.
+    pub fn advance_clock(&mut self) -> u64 {
+        let advance_clock = match self.random_below(40) {
             0 => 0,
-            1..=3 => 1 + self.below(3) as u64,
-            4..=9 => self.below(250_000) as u64,
-            10 => 3_000_000 + self.below(70_000_000) as u64,
+            1..=3 => 1 + self.random_below(3) as u64,
+            4..=9 => self.random_below(250_000) as u64,
+            10 => 3_000_000 + self.random_below(70_000_000) as u64,
             _ => 250_000,
         };
-        self.now += step;
+        self.now += advance_clock;
         self.now
     }
 
-    /// What the director hears at this step.
+    /// The events of the next call.
     pub fn events(&mut self) -> Vec<Event> {
         let mut events = vec![Event::TimerFired(0)];
-        if self.chance() < 0.25 {
-            self.trouble();
+        if self.random_ratio() < 0.25 {
+            self.change_conditions();
         }
-        if self.chance() < 0.08 {
-            let event = self.list();
+        if self.random_ratio() < 0.08 {
+            let event = self.endpoint_list();
             events.push(event);
         }
-        if self.chance() < 0.05 {
-            let id = self.below(30) as u32;
-            let event = if self.joined.remove(&id).is_some() && self.chance() < 0.7 {
+        if self.random_ratio() < 0.05 {
+            let id = self.random_below(30) as u32;
+            let event = if self.connected.remove(&id).is_some() && self.random_ratio() < 0.7 {
                 Event::ProxyDisconnected(ProxyId(id))
             } else {
-                self.join(id)
+                self.connect(id)
             };
             events.push(event);
         }
-        if self.chance() < 0.02 {
-            // A crowd of proxies joins at once: short channels then hold back what is less urgent.
-            let first = self.below(20) as u32;
-            events.extend((first..first + 12).map(|id| self.join(id)));
+        if self.random_ratio() < 0.02 {
+            // Many proxies connect at once: slow send queues then defer changes of low priority.
+            let first = self.random_below(20) as u32;
+            events.extend((first..first + 12).map(|id| self.connect(id)));
         }
-        if self.chance() < 0.01 {
-            events.push([Event::EndpointListFailed, Event::DiscoveryMoved][self.below(2)].clone());
+        if self.random_ratio() < 0.01 {
+            events.push([Event::EndpointListFailed, Event::DiscoveryMoved][self.random_below(2)].clone());
         }
-        if self.chance() < 0.6 {
+        if self.random_ratio() < 0.6 {
             self.reports(&mut events);
         }
-        self.answers(&mut events);
+        self.acknowledgements(&mut events);
         events
     }
 
-    /// A quarter second without anything but answers to marks.
-    pub fn quiet(&mut self) -> (u64, Vec<Event>) {
+    /// Advances the clock by a quarter second; the events are acknowledgements only.
+    pub fn acknowledgements_only(&mut self) -> (u64, Vec<Event>) {
         self.now += 250_000;
         let mut events = Vec::new();
-        self.answers(&mut events);
+        self.acknowledgements(&mut events);
         (self.now, events)
     }
 
-    /// The list gives every host another weight, while a crowd of proxies joins.
+    /// The endpoint list changes the weight of every host while many proxies connect.
     pub fn crowd_and_new_weights(&mut self, proxies: std::ops::Range<u32>) -> Vec<Event> {
-        self.hosts.values_mut().for_each(|host| host.entry.weight *= 2.0);
+        self.hosts.values_mut().for_each(|host| host.endpoint.weight *= 2.0);
         let mut events =
-            vec![Event::EndpointList { kind: EndpointListKind::Changes, endpoints: self.entries() }];
-        events.extend(proxies.map(|id| self.join(id)));
+            vec![Event::EndpointList { kind: EndpointListKind::Changes, endpoints: self.endpoints() }];
+        events.extend(proxies.map(|id| self.connect(id)));
         events
     }
 
-    /// A host starts anew and drains, told one after the other in one call; another that drained before is back.
+    /// A host restarts and then leaves, both within one call; another host that was draining is ready again.
     pub fn start_and_leave(&mut self, draw: usize) -> Vec<Event> {
         let (now, numbers): (_, Vec<u32>) = (Timestamp(self.now), self.hosts.keys().copied().collect());
-        let mut told = |number: &u32, readiness: Readiness, started: Option<Timestamp>| {
-            let entry = &mut self.hosts.get_mut(number).expect("it was listed").entry;
-            (entry.readiness, entry.started_at) = (readiness, started.or(entry.started_at));
-            Event::EndpointList { kind: EndpointListKind::Changes, endpoints: vec![entry.clone()] }
+        let mut change = |number: &u32, readiness: Readiness, started: Option<Timestamp>| {
+            let endpoint = &mut self.hosts.get_mut(number).expect("it was listed").endpoint;
+            (endpoint.readiness, endpoint.started_at) = (readiness, started.or(endpoint.started_at));
+            Event::EndpointList { kind: EndpointListKind::Changes, endpoints: vec![endpoint.clone()] }
         };
         let (leaves, returns) = (&numbers[draw % numbers.len()], &numbers[(draw / 2) % numbers.len()]);
         vec![
-            told(leaves, Readiness::Ready, Some(now)),
-            told(leaves, [Readiness::Draining, Readiness::Removed][draw % 2], None),
-            told(returns, Readiness::Ready, Some(now)),
+            change(leaves, Readiness::Ready, Some(now)),
+            change(leaves, [Readiness::Draining, Readiness::Removed][draw % 2], None),
+            change(returns, Readiness::Ready, Some(now)),
         ]
     }
 
-    /// Something happens to hosts, a zone or the load.
-    fn trouble(&mut self) {
+    /// Changes the condition of hosts, the unreachable zone, or the load.
+    fn change_conditions(&mut self) {
         let zones = self.settings.zones.len();
-        match self.below(10) {
-            0 => self.cut = None,
-            1 => self.cut = Some(zone_id(self.below(zones))),
-            2 => self.busy = 0.2 + self.chance(),
+        match self.random_below(10) {
+            0 => self.cut_off_zone = None,
+            1 => self.cut_off_zone = Some(zone_id(self.random_below(zones))),
+            2 => self.utilization = 0.2 + self.random_ratio(),
             3..=5 => {
                 for host in self.hosts.values_mut() {
-                    host.condition = Condition::Fine;
+                    host.condition = Condition::Healthy;
                 }
             }
             _ => {
-                let share = self.chance().powi(2);
-                let all = [Condition::Slow, Condition::Lossy, Condition::Dead, Condition::Silent];
-                let condition = all[self.below(4)];
+                let share = self.random_ratio().powi(2);
+                let all = [Condition::Slow, Condition::Lossy, Condition::Failing, Condition::Silent];
+                let condition = all[self.random_below(4)];
                 let numbers: Vec<u32> = self.hosts.keys().copied().collect();
                 for number in numbers {
-                    if self.chance() < share {
+                    if self.random_ratio() < share {
                         self.hosts.entry(number).and_modify(|host| host.condition = condition);
                     }
                 }
@@ -269,113 +270,116 @@
         }
     }
 
-    /// News of the list: hosts drain, go, come back as new processes, or are new; or the whole list.
-    fn list(&mut self) -> Event {
+    /// An endpoint list: hosts that drain, are removed, restart or are new; or the complete list.
+    fn endpoint_list(&mut self) -> Event {
         let numbers: Vec<u32> = self.hosts.keys().copied().collect();
         let mut changed = Vec::new();
         for number in numbers {
-            if self.chance() > 0.12 {
+            if self.random_ratio() > 0.12 {
                 continue;
             }
-            let (now, draw) = (Timestamp(self.now), self.below(5));
+            let (now, draw) = (Timestamp(self.now), self.random_below(5));
             let Some(host) = self.hosts.get_mut(&number) else { continue };
             match draw {
-                0 => host.entry.readiness = Readiness::Draining,
-                1 => host.entry.readiness = Readiness::Removed,
-                2 => (host.entry.readiness, host.entry.started_at) = (Readiness::Ready, Some(now)),
-                3 => host.entry.weight *= 1.5,
+                0 => host.endpoint.readiness = Readiness::Draining,
+                1 => host.endpoint.readiness = Readiness::Removed,
+                2 => (host.endpoint.readiness, host.endpoint.started_at) = (Readiness::Ready, Some(now)),
+                3 => host.endpoint.weight *= 1.5,
                 _ => {}
             }
-            changed.push(host.entry.clone());
-            if self.chance() < 0.2 {
+            changed.push(host.endpoint.clone());
+            if self.random_ratio() < 0.2 {
                 self.hosts.remove(&number);
             }
         }
-        for _ in 0..self.below(4) {
-            let started = (self.chance() < 0.8).then_some(Timestamp(self.now));
+        for _ in 0..self.random_below(4) {
+            let started = (self.random_ratio() < 0.8).then_some(Timestamp(self.now));
             let number = self.add_host(started);
-            changed.push(self.hosts[&number].entry.clone());
+            changed.push(self.hosts[&number].endpoint.clone());
         }
-        if self.chance() < 0.2 {
-            return Event::EndpointList { kind: EndpointListKind::Complete, endpoints: self.entries() };
+        if self.random_ratio() < 0.2 {
+            return Event::EndpointList { kind: EndpointListKind::Complete, endpoints: self.endpoints() };
         }
         Event::EndpointList { kind: EndpointListKind::Changes, endpoints: changed }
     }
 
-    /// Sums of some hosts by zone, with loads, and usage of some proxies.
+    /// Load reports of some hosts by zone, and usage of some proxies.
     fn reports(&mut self, events: &mut Vec<Event>) {
         let hosts: Vec<SiteHost> = self.hosts.values().cloned().collect();
-        let part = self.chance();
+        let part = self.random_ratio();
         for zone in self.settings.zones.clone() {
-            // Collectors report apart from one another.
-            if self.chance() < 0.5 || !self.joined.values().any(|joined| *joined == zone) {
+            // Each zone reports independently.
+            if self.random_ratio() < 0.5 || !self.connected.values().any(|connected| *connected == zone) {
                 continue;
             }
             for host in &hosts {
-                if self.chance() > part || host.condition == Condition::Silent {
+                if self.random_ratio() > part || host.condition == Condition::Silent {
                     continue;
                 }
-                let crosses = host.entry.zone != zone;
-                let is_cut = crosses && [&zone, &host.entry.zone].map(Some).contains(&self.cut.as_ref());
-                events.push(self.sums(&zone, host, is_cut));
+                let crosses = host.endpoint.zone != zone;
+                let is_cut =
+                    crosses && [&zone, &host.endpoint.zone].map(Some).contains(&self.cut_off_zone.as_ref());
+                events.push(self.load_report(&zone, host, is_cut));
             }
         }
-        let proxies: Vec<u32> = self.joined.keys().copied().collect();
+        let proxies: Vec<u32> = self.connected.keys().copied().collect();
         for id in proxies {
-            if self.chance() < 0.3 {
-                let class = ClassId(self.below(self.settings.classes.len()));
-                let sums = AttemptCounts { total: self.below(30) as u64, failed: 0, period: secs(1.0) };
-                events.push(Event::Usage { proxy: ProxyId(id), class, requests: sums });
+            if self.random_ratio() < 0.3 {
+                let class = ClassId(self.random_below(self.settings.classes.len()));
+                let load_report =
+                    AttemptCounts { total: self.random_below(30) as u64, failed: 0, period: seconds(1.0) };
+                events.push(Event::Usage { proxy: ProxyId(id), class, requests: load_report });
             }
         }
     }
 
-    fn sums(&mut self, zone: &ZoneId, host: &SiteHost, is_cut: bool) -> Event {
-        let total = 1 + self.below(12) as u64;
-        let lost = match host.condition {
+    fn load_report(&mut self, zone: &ZoneId, host: &SiteHost, is_cut: bool) -> Event {
+        let total = 1 + self.random_below(12) as u64;
+        let failed = match host.condition {
             _ if is_cut => total,
-            Condition::Dead => total,
+            Condition::Failing => total,
             Condition::Lossy => total / 3,
             _ => 0,
         };
-        // Slow hosts answer after every aim.
+        // Slow hosts answer after every latency objective.
         let usual_ms = if host.condition == Condition::Slow { 1_200.0 } else { 90.0 };
-        let mean = secs((usual_ms + 60.0 * self.chance()) / 1e3);
-        let busy = (self.chance() < 0.5).then(|| self.busy * (0.8 + 0.4 * self.chance()));
-        let load = HostLoad { utilization: busy, ..HostLoad::default() };
-        let sums = AttemptCounts { total, failed: lost, period: secs(1.0) };
+        let mean = seconds((usual_ms + 60.0 * self.random_ratio()) / 1e3);
+        let utilization =
+            (self.random_ratio() < 0.5).then(|| self.utilization * (0.8 + 0.4 * self.random_ratio()));
+        let load = HostLoad { utilization, ..HostLoad::default() };
+        let load_report = AttemptCounts { total, failed, period: seconds(1.0) };
         Event::LoadReport {
             zone: zone.clone(),
-            host: host.entry.host.clone(),
-            attempts: sums,
+            host: host.endpoint.host.clone(),
+            attempts: load_report,
             mean_latency: mean,
             load,
         }
     }
 
-    /// Answers to marks, of which some get lost.
-    fn answers(&mut self, events: &mut Vec<Event>) {
-        let marks = std::mem::take(&mut self.marks);
-        for mark in marks {
-            let proxies: Vec<u32> = self.joined.keys().copied().collect();
+    /// Acknowledgements of barriers, some of which get lost.
+    fn acknowledgements(&mut self, events: &mut Vec<Event>) {
+        let barriers = std::mem::take(&mut self.barriers);
+        for barrier in barriers {
+            let proxies: Vec<u32> = self.connected.keys().copied().collect();
             for id in proxies {
-                if self.chance() < 0.8 {
+                if self.random_ratio() < 0.8 {
                     events.push(Event::Acknowledged {
                         proxy: ProxyId(id),
-                        barrier: mark,
-                        elapsed: secs(0.2 + self.chance()),
+                        barrier,
+                        elapsed: seconds(0.2 + self.random_ratio()),
                     });
                 }
             }
         }
     }
 
-    /// Takes note of what the director ordered.
-    pub fn note(&mut self, actions: &[Action]) {
+    /// Records the barriers among the director's actions.
+    pub fn record_actions(&mut self, actions: &[Action]) {
         let numbers = actions.iter().filter_map(|action| match action {
             Action::Barrier { number, .. } => Some(*number),
             _ => None,
         });
-        self.marks.extend(numbers);
+        self.barriers.extend(numbers);
     }
 }
--- a/crates/wingfold-director/tests/stored_names.rs
+++ b/crates/wingfold-director/tests/stored_names.rs
@@ -21,7 +21,7 @@
     settings.removal_is_advisory = true;
     settings.cross_zone_price = 0.1;
     settings.proxies = 24;
-    settings.connection_idle_timeout = length(4.0);
+    settings.connection_idle_timeout = seconds(4.0);
     settings.max_messages_per_proxy = 12;
     settings.classes[0].allowed_zones = vec![zone("east"), zone("west")];
     settings.classes[1].own_zone_only = true;
