--- a/crates/wingfold-director/src/queries.rs
+++ b/crates/wingfold-director/src/queries.rs
@@ -1,6 +1,7 @@
 //! Sums and selections over the records of a director. Nothing is decided here.
 use crate::director::Director;
 use crate::incremental::join_by_host;
+use crate::inspect::RecordCounts;
 use crate::interface::{HostId, Micros, ProxyId, Timestamp, ZoneId};
 use crate::state::{AttemptStats, ByZone, FreshHostStats, HealthState, Host, Proxy, ScoredHost, Table, Zone};
 use std::collections::BTreeMap;
@@ -106,16 +107,15 @@
         load
     }
 
-    /// How many records are kept, by kind: hosts, statistics of hosts in zones, table entries, proxies, send
-    /// times.
-    pub fn record_counts(&self) -> [usize; 5] {
-        [
-            self.hosts.len(),
-            self.zones.values().map(|zone| zone.host_stats.len()).sum(),
-            self.tables().map(|table| table.entries.len()).sum(),
-            self.proxies.len(),
-            self.proxies.values().map(|proxy| proxy.send_times.len()).sum(),
-        ]
+    /// How many records the director holds, by kind.
+    pub fn record_counts(&self) -> RecordCounts {
+        RecordCounts {
+            hosts: self.hosts.len(),
+            zone_host_stats: self.zones.values().map(|zone| zone.host_stats.len()).sum(),
+            table_entries: self.tables().map(|table| table.entries.len()).sum(),
+            proxies: self.proxies.len(),
+            send_times: self.proxies.values().map(|proxy| proxy.send_times.len()).sum(),
+        }
     }
 
     /// A digest of all tables (entries and admission levels, bit for bit) and of the assignments of proxies.
--- a/crates/wingfold-gossip/src/gossip.rs
+++ b/crates/wingfold-gossip/src/gossip.rs
@@ -8,7 +8,7 @@
 use crate::entries::{EntryKey, EntryStore, HealthState, HostReport, ReceivedEntry};
 use crate::membership::{MemberState, Membership, MembershipChange, OutgoingHeader, PERIOD};
 use std::collections::BTreeMap;
-use wingfold_director::inspect::{PathView, Standing};
+use wingfold_director::inspect::{HostStatus, HostView};
 use wingfold_director::interface::{HostId, Micros, PeerAdvice, Timestamp, ZoneId};
 use wingfold_director::Director;
 
@@ -344,7 +344,7 @@
                 continue;
             }
             for (hash, host) in &self.host_hashes {
-                let view = host.as_ref().and_then(|host| director.path_view(zone, host));
+                let view = host.as_ref().and_then(|host| director.host_view(zone, host));
                 if let Some(report) = view.as_ref().and_then(remarkable_report) {
                     reports.insert(EntryKey { zone: position as u8, host: *hash }, report);
                 }
@@ -372,20 +372,20 @@
 }
 
 /// The report on a host; `None` if there is nothing to say of it, or if it drains.
-fn remarkable_report(view: &PathView) -> Option<HostReport> {
-    let (health, halvings) = match view.standing {
-        Standing::Leading => (HealthState::Healthy, 0),
-        Standing::Halved(halvings) => (HealthState::Healthy, halvings),
-        Standing::Out(_) => (HealthState::Ejected, 0),
-        Standing::Trial(_) => (HealthState::Probation, 0),
-        Standing::Leaving => return None,
+fn remarkable_report(view: &HostView) -> Option<HostReport> {
+    let (health, halvings) = match view.status {
+        HostStatus::Leading => (HealthState::Healthy, 0),
+        HostStatus::WeightHalved(halvings) => (HealthState::Healthy, halvings),
+        HostStatus::Ejected(_) => (HealthState::Ejected, 0),
+        HostStatus::Probation(_) => (HealthState::Probation, 0),
+        HostStatus::NotReady => return None,
     };
     let report = HostReport {
         health,
         weight_halvings: halvings.min(MAX_WEIGHT_HALVINGS) as u8,
-        is_warming_up: view.cold,
-        attempts: view.lost_in_row.max(view.useless_in_row).min(f64::from(u8::MAX)) as u8,
-        loss: (view.loss.clamp(0.0, 1.0) * f64::from(u8::MAX)) as u8,
+        is_warming_up: view.is_warming_up,
+        attempts: view.consecutive_failures.max(view.consecutive_useless).min(f64::from(u8::MAX)) as u8,
+        loss: (view.loss_ratio.clamp(0.0, 1.0) * f64::from(u8::MAX)) as u8,
         latency_ms: view.latency_ms.unwrap_or(0.0).clamp(0.0, f64::from(u16::MAX)) as u16,
     };
     report.is_remarkable().then_some(report)
