--- a/crates/wingfold-director/src/policy/capacity.rs
+++ b/crates/wingfold-director/src/policy/capacity.rs
@@ -44,17 +44,20 @@
 
     /// The speed of each machine type that enough hosts have reported for.
     fn speed_estimates(&self) -> Vec<SpeedEstimate> {
-        let estimate = |(machine_type, utilizations): (&str, Vec<f64>)| {
-            if utilizations.len() < MIN_HOSTS_OF_TYPE {
-                return None;
-            }
-            let known = self.relative_speeds.get(machine_type).copied();
-            let utilization = median(utilizations.into_iter())
-                .filter(|utilization| *utilization >= MIN_MEANINGFUL_UTILIZATION)?;
-            let speed = known.unwrap_or(1.0) / utilization;
-            Some(SpeedEstimate { machine_type: machine_type.to_owned(), known, speed })
-        };
-        self.utilization_by_machine_type().into_iter().filter_map(estimate).collect()
+        let utilization_by_type = self.utilization_by_machine_type().into_iter();
+        utilization_by_type
+            .filter(|(_, utilizations)| utilizations.len() >= MIN_HOSTS_OF_TYPE)
+            .filter_map(|(machine_type, utilizations)| self.speed_estimate(machine_type, utilizations))
+            .collect()
+    }
+
+    /// The speed of a machine type by the utilization of its hosts, if that is high enough to tell.
+    fn speed_estimate(&self, machine_type: &str, utilizations: Vec<f64>) -> Option<SpeedEstimate> {
+        let utilization = median(utilizations.into_iter())?;
+        let is_meaningful = utilization >= MIN_MEANINGFUL_UTILIZATION;
+        let known = self.relative_speeds.get(machine_type).copied();
+        let speed = known.unwrap_or(1.0) / utilization;
+        is_meaningful.then(|| SpeedEstimate { machine_type: machine_type.to_owned(), known, speed })
     }
 
     /// Corrects the weights of a machine type's hosts, if its speed differs substantially from the known one.
--- a/crates/wingfold-director/src/policy/ranking.rs
+++ b/crates/wingfold-director/src/policy/ranking.rs
@@ -68,11 +68,11 @@
 
     /// Updates the median loss and latency of the fleet.
     fn update_medians(&mut self, fresh_hosts: &[FreshHostStats]) {
-        let counted =
-            || fresh_hosts.iter().map(|fresh| fresh.stats).filter(|s| s.attempts >= MIN_MEDIAN_ATTEMPTS);
-        let loss_ratios = counted().map(|stats| stats.failures / stats.attempts);
+        let all_stats = fresh_hosts.iter().map(|fresh| fresh.stats);
+        let counted = all_stats.filter(|stats| stats.attempts >= MIN_MEDIAN_ATTEMPTS);
+        let loss_ratios = counted.clone().map(|stats| stats.failures / stats.attempts);
         self.median_loss = median(loss_ratios).unwrap_or(0.0);
-        self.median_latency_ms = median(counted().filter_map(|stats| stats.mean_latency_ms()));
+        self.median_latency_ms = median(counted.filter_map(|stats| stats.mean_latency_ms()));
     }
 
     /// The score at which half of the listed weight of a zone's hosts is reached: its leading group is
--- a/crates/wingfold-director/src/rate_limit.rs
+++ b/crates/wingfold-director/src/rate_limit.rs
@@ -14,10 +14,7 @@
 /// The least limit per second that, set on each of `rates` alike, admits at least `total` requests per
 /// second in all.
 pub(crate) fn equal_rate_limit(rates: &[f64], total: f64) -> f64 {
-    let is_enough = |step: u64| {
-        let limit = limit_at_step(step);
-        rates.iter().map(|rate| expected_admitted_rate(*rate, limit)).sum::<f64>() >= total
-    };
+    let is_enough = |step: u64| total_admitted_rate(rates, limit_at_step(step)) >= total;
     let mut enough = 1;
     while !is_enough(enough) && enough < MAX_LIMIT_STEP {
         enough *= 2;
@@ -39,6 +36,11 @@
     (step as f64 - 1.0).max(MIN_LIMIT_PER_S)
 }
 
+/// Requests per second that `limit` admits in all where it is set on each of `rates`.
+fn total_admitted_rate(rates: &[f64], limit: f64) -> f64 {
+    rates.iter().map(|rate| expected_admitted_rate(*rate, limit)).sum()
+}
+
 /// Requests per second that `limit` admits on average of Poisson arrivals at `rate`. At low rates that is
 /// well below both, since a second with two requests is as likely as one with none.
 fn expected_admitted_rate(rate: f64, limit: f64) -> f64 {
