--- a/crates/wingfold-director/src/policy/admission.rs
+++ b/crates/wingfold-director/src/policy/admission.rs
@@ -152,7 +152,7 @@
     }
 
     /// Load of a class: its requests per second times its latency objective, which stands for the work of a
-    /// request since no report tells that.
+    /// request, since that is not reported.
     fn class_load(&self, class: usize) -> f64 {
         let rates = self.proxies.values().filter_map(|proxy| proxy.usage.get(&ClassId(class)));
         rates.sum::<f64>() * self.settings.classes[class].latency_objective.secs()
--- a/crates/wingfold-director/src/policy/capacity.rs
+++ b/crates/wingfold-director/src/policy/capacity.rs
@@ -7,7 +7,7 @@
 use crate::statistics::median;
 use std::collections::BTreeMap;
 
-/// Utilization below which a host tells more of health checks and of chance than of its load.
+/// Utilization below which health checks and chance outweigh the effect of a host's load.
 const MIN_MEANINGFUL_UTILIZATION: f64 = 0.25;
 /// Hosts of a machine type that must have reported their utilization.
 const MIN_HOSTS_OF_TYPE: usize = 6;
--- a/crates/wingfold-director/src/state/host.rs
+++ b/crates/wingfold-director/src/state/host.rs
@@ -27,7 +27,7 @@
 }
 
 impl Host {
-    /// Whether the host takes new requests, as far as the endpoint list tells.
+    /// Whether the host takes new requests according to the endpoint list.
     pub(crate) fn is_ready(&self) -> bool {
         self.endpoint.readiness == Readiness::Ready
     }
