--- a/crates/wingfold-director/src/incremental/join.rs
+++ b/crates/wingfold-director/src/incremental/join.rs
@@ -66,3 +66,6 @@
     let mut others = HostCursor::new(other);
     one.iter().map(move |(id, value)| (id, value, others.find(id)))
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/wingfold-director/src/policy/push.rs
+++ b/crates/wingfold-director/src/policy/push.rs
@@ -19,8 +19,8 @@
 const WEIGHT_CHANGE_RATIO: f64 = 0.02;
 /// Ratio of the drain grace after which proxies that wait for their tables go before tables in use.
 const JOIN_PRIORITY_AFTER_GRACE_RATIO: f64 = 0.2;
-/// Requests per second that each subset counts for beside those of its proxies: one that has none yet gets
-/// attempts soon.
+/// Requests per second that each subset counts for beside those of its proxies, so that one without proxies
+/// has a share as well.
 const BASE_SUBSET_LOAD_PER_S: f64 = 1e-3;
 
 /// What is sent of a table in this evaluation.
@@ -102,7 +102,7 @@
         self.expire_barriers();
         let waiting = self.proxies_awaiting_assignment();
         let inputs = self.zone_table_inputs(zones, &waiting);
-        // Where the send capacity is short no subset must wait for ever.
+        // In turn, so that no subset waits for ever where the send capacity is short.
         for subset in subsets_by_last_sent(zones) {
             let Some(zone) = zones.get_mut(&subset.zone) else { continue };
             for group in 0..self.class_groups.len() {
--- a/crates/wingfold-director/src/policy/send_capacity.rs
+++ b/crates/wingfold-director/src/policy/send_capacity.rs
@@ -7,17 +7,17 @@
 
 /// A barrier is sent once this ratio of the in-flight limit has been sent without one.
 pub(crate) const BARRIER_INTERVAL_RATIO: f64 = 0.02;
-/// Least drain rate, as a ratio of the one last measured, that a barrier is waited for at.
+/// Least drain rate that is allowed for before a barrier expires, as a ratio of the one last measured.
 const MIN_DRAIN_RATE_RATIO: f64 = 0.25;
 /// Longest time in seconds that a barrier's lines are given to leave the send queue.
 const MAX_DRAIN_WAIT_S: f64 = 15.0;
 /// Seconds after its delivery in which a barrier must be acknowledged while acknowledgements come: single
 /// ones may be lost.
 const ACKNOWLEDGEMENT_TIMEOUT_S: f64 = 6.0;
-/// The same where no acknowledgement is expected.
+/// Seconds after its delivery in which a barrier must be acknowledged where no acknowledgement is expected.
 const SILENT_ACKNOWLEDGEMENT_TIMEOUT_S: f64 = 1.0;
-/// Seconds of sending that the send queue may hold. No message overtakes another there, so that whatever is
-/// less urgent is better held back.
+/// Seconds of sending that the send queue may hold. No message overtakes another there, so that urgent ones
+/// would wait for all that it holds.
 const MAX_QUEUED_S: f64 = 2.0;
 /// Seconds of sending that must have been queued before a message for its delay to show the drain rate.
 const MIN_RATE_SAMPLE_S: f64 = 0.25;
--- a/crates/wingfold-director/src/policy/subsetting.rs
+++ b/crates/wingfold-director/src/policy/subsetting.rs
@@ -14,7 +14,7 @@
 
 /// Requests that a connection should carry before it would close idle.
 pub(crate) const MIN_REQUESTS_PER_CONNECTION: f64 = 3.0;
-/// The same where hosts have refused connections.
+/// Requests that a connection should carry once hosts have refused connections.
 const MAX_REQUESTS_PER_CONNECTION: f64 = 48.0;
 /// Hosts of a subset, at least.
 pub(crate) const MIN_SUBSET_HOSTS: f64 = 3.0;
@@ -22,7 +22,7 @@
 const FULL_SUBSET_RATIO: f64 = 0.7;
 /// Proxies that share a subset.
 const PROXIES_PER_SUBSET: f64 = 5.0;
-/// The same where hosts have refused connections.
+/// Proxies that share a subset once hosts have refused connections.
 const PROXIES_PER_FINE_SUBSET: f64 = 2.0;
 /// Arcs are assigned again once one would move by more than this ratio of its length.
 const SUBSET_CHANGE_RATIO: f64 = 0.25;
@@ -42,7 +42,7 @@
 /// without proxies must have an arc when the first comes.
 const BASE_SUBSET_LOAD_RATIO: f64 = 0.1;
 
-/// Arcs of the ring of hosts for subsets of some load, laid end to end from `start` on, each as long as its
+/// Arcs of the ring of hosts for subsets of some load, placed end to end from `start` on, each as long as its
 /// share of the load.
 ///
 /// They lie in the order of the fractions of their numbers' multiples of the golden ratio: subsets added one
@@ -64,7 +64,7 @@
     arcs
 }
 
-/// Whether a subset's arc would move by more than it may without a change of its tables.
+/// Whether an arc is so far from that of a subset that the subset should get it.
 fn is_moved(subset: &Subset, arc: &RingArc) -> bool {
     let start_change = (subset.start - arc.start).abs();
     let length_change = (subset.length - arc.length).abs();
@@ -89,7 +89,7 @@
 }
 
 impl SubsetDemand {
-    /// Mean length of an arc, as a ratio of the ring, for some subsets and directors that serve the zone.
+    /// Mean length of the arcs, as a ratio of the ring, for so many subsets of so many directors.
     fn mean_arc_length(&self, subsets: f64, directors: f64) -> f64 {
         let needed_length = self.hosts_per_proxy / self.ready_hosts;
         if self.has_all_hosts {
@@ -215,8 +215,8 @@
         }
     }
 
-    /// How many subsets a zone needs if so many proxies share one; all groups of classes together have a
-    /// table for each so many proxies.
+    /// How many subsets a zone needs if so many proxies share one. The more groups of classes there are, the
+    /// fewer, so that the number of tables stays the same.
     fn subset_count(&self, demand: &SubsetDemand, proxies_per_subset: f64) -> f64 {
         let proxies = if demand.proxies > 0.0 {
             demand.proxies.max(self.expected_proxies_per_zone()) / self.class_groups.len() as f64
@@ -249,8 +249,8 @@
         arcs
     }
 
-    /// Whether a zone keeps its arcs for now. With every proxy that connects they would cost more than the
-    /// tables of these.
+    /// Whether a zone keeps its arcs for now. If they followed every proxy that connects, their changes would
+    /// cost more than the tables of these proxies.
     fn keeps_assignment(&self, zone: &Zone, total_load: f64) -> bool {
         zone.last_assignment.is_some_and(|last| {
             last.requests_per_connection == zone.requests_per_connection
--- a/crates/wingfold-director/src/policy/table_plan.rs
+++ b/crates/wingfold-director/src/policy/table_plan.rs
@@ -78,14 +78,14 @@
 }
 
 impl<'a> TablePlanner<'a> {
-    /// Whether the arc is the whole ring.
-    fn has_all_hosts(&self) -> bool {
+    /// Whether the arc covers the ring, so that all hosts have listed weight.
+    fn covers_ring(&self) -> bool {
         self.arc.length >= 1.0
     }
 
     /// The weight of a host. On an arc, hosts of other zones are fewer by their locality, not lighter.
     fn weight(&self, entry: &EligibleEntry) -> f64 {
-        if self.has_all_hosts() {
+        if self.covers_ring() {
             entry.weight * entry.locality_weight
         } else {
             entry.weight
@@ -95,7 +95,7 @@
     /// How far a host lies from the start of the arc, as a ratio of the ring: farther, the less weight its
     /// locality leaves it.
     fn ring_distance(&self, entry: &EligibleEntry) -> f64 {
-        if self.has_all_hosts() {
+        if self.covers_ring() {
             0.0
         } else {
             (entry.ring_position - self.arc.start).rem_euclid(1.0) / entry.locality_weight
