--- a/crates/wingfold-director/src/incremental/expected_shares.rs
+++ b/crates/wingfold-director/src/incremental/expected_shares.rs
@@ -23,9 +23,10 @@
             let total_weight = entries.values().sum::<f64>() * total_load;
             let mut positions = position_cursor(ids);
             for (id, weight) in entries {
-                match positions.find(id) {
-                    Some(position) => shares.add(position, load * weight / total_weight),
-                    None => drop(shares.unindexed.insert(id)),
+                if let Some(position) = positions.find(id) {
+                    shares.add(position, load * weight / total_weight);
+                } else {
+                    shares.unindexed.insert(id);
                 }
             }
         }
