--- a/crates/wingfold-node/src/accept.rs
+++ b/crates/wingfold-node/src/accept.rs
@@ -22,7 +22,7 @@
 
 /// Accepts connections until the task is aborted. Each connection gets a task of its own, which ends with it.
 pub async fn serve(listener: TcpListener, admission: Arc<Admission>) {
-    let failure_log = log::Seldom::default();
+    let failure_log = log::RateLimitedLog::default();
     loop {
         // The tasks of the last connections have not run yet, and a proxy's first message may be ready to be read: it
         // must be identified before an unidentified connection is evicted. So silent connections evict only each other.
--- a/crates/wingfold-node/src/admission.rs
+++ b/crates/wingfold-node/src/admission.rs
@@ -4,7 +4,7 @@
 use crate::figures::{Delays, Pulse};
 use crate::frame::FrameBudget;
 use crate::inbox::InboundSender;
-use crate::log::Seldom;
+use crate::log::RateLimitedLog;
 use crate::message::{self, InvalidReason, Outbound, UsageReport};
 use crate::metrics::Metrics;
 use crate::outbox::ConnectionSender;
@@ -32,7 +32,7 @@
     /// Memory for long frames.
     pub budget: FrameBudget,
     /// Limits the log lines about unidentified connections.
-    pub unidentified_log: Seldom,
+    pub unidentified_log: RateLimitedLog,
     /// Records the time from a decision to its last written byte, where metrics are exported.
     pub delays: Option<Delays>,
     /// Counts the messages of each zone's collector.
@@ -101,7 +101,7 @@
             metrics,
             pong: message::encode(&Outbound::Pong),
             budget: FrameBudget::new(config.bounds.long_messages),
-            unidentified_log: Seldom::default(),
+            unidentified_log: RateLimitedLog::default(),
             delays,
             pulse,
             router,
--- a/crates/wingfold-node/src/engine.rs
+++ b/crates/wingfold-node/src/engine.rs
@@ -19,7 +19,7 @@
 use crate::figures::Figures;
 use crate::inbox::InboundReceiver;
 use crate::list::Addresses;
-use crate::log::Seldom;
+use crate::log::RateLimitedLog;
 use crate::metrics::Metrics;
 use crate::or_never;
 use crate::outbox::ConnectionSender;
@@ -55,7 +55,7 @@
     /// Number of hosts that may be known at once.
     pub max_hosts: usize,
     /// Limits the log lines about rejected hosts.
-    pub rejected_hosts_log: Seldom,
+    pub rejected_hosts_log: RateLimitedLog,
     /// Accounts for what waits to be sent.
     pub send_queue: SendQueueAccount,
     /// Counters of the director.
--- a/crates/wingfold-node/src/engine/tests.rs
+++ b/crates/wingfold-node/src/engine/tests.rs
@@ -24,7 +24,7 @@
         peer_sender: None,
         addresses: Addresses::default(),
         max_hosts: config.bounds.hosts,
-        rejected_hosts_log: Seldom::default(),
+        rejected_hosts_log: RateLimitedLog::default(),
         send_queue: SendQueueAccount::new(1e6, 4.0, 1e6),
         metrics,
         connections: BTreeMap::new(),
--- a/crates/wingfold-node/src/lib.rs
+++ b/crates/wingfold-node/src/lib.rs
@@ -265,7 +265,7 @@
         peer_sender: post.clone(),
         addresses: list::Addresses::default(),
         max_hosts: config.bounds.hosts,
-        rejected_hosts_log: log::Seldom::default(),
+        rejected_hosts_log: log::RateLimitedLog::default(),
         send_queue,
         metrics: metrics.clone(),
         connections: Default::default(),
--- a/crates/wingfold-node/src/log.rs
+++ b/crates/wingfold-node/src/log.rs
@@ -39,7 +39,7 @@
 
 /// Lets a kind of line through that anybody can cause, a few times in a span, and counts those it leaves out.
 #[derive(Debug, Default)]
-pub struct Seldom(Mutex<Told>);
+pub struct RateLimitedLog(Mutex<Told>);
 
 #[derive(Debug, Default)]
 struct Told {
@@ -48,7 +48,7 @@
     left_out: u64,
 }
 
-impl Seldom {
+impl RateLimitedLog {
     /// Whether the line is to be written, and if so, how many before it were not.
     pub fn line(&self) -> Option<u64> {
         self.line_at(Instant::now())
