--- a/crates/wingfold-node/src/accept.rs
+++ b/crates/wingfold-node/src/accept.rs
@@ -32,11 +32,11 @@
         match listener.accept().await {
             Ok((connection, address)) => admit(connection, address, &admission),
             Err(error) if is_of_connection(&error) => {
-                tracing::debug!(%error, "connection gone before it was taken")
+                tracing::debug!(%error, "connection broke before it was accepted")
             }
             Err(error) => {
-                if let Some(left_out) = failure_log.line() {
-                    tracing::warn!(%error, left_out, "cannot accept a connection");
+                if let Some(suppressed) = failure_log.line() {
+                    tracing::warn!(%error, suppressed, "accept failed");
                 }
                 // If descriptors ran out, unidentified connections go before clients.
                 admission.evict_unidentified();
@@ -113,29 +113,29 @@
 }
 
 /// Logs the end of a connection.
-fn log_close(client: Option<&str>, from: SocketAddr, ending: &CloseReason, admission: &Admission) {
+fn log_close(client: Option<&str>, address: SocketAddr, reason: &CloseReason, admission: &Admission) {
     let Some(name) = client else {
-        if ending.is_protocol_error() {
-            log_protocol_error("unidentified", from, ending, admission.unidentified_log.line());
+        if reason.is_protocol_error() {
+            log_protocol_error("unidentified", address, reason, admission.unidentified_log.line());
         } else {
-            tracing::debug!(%from, %ending, "unidentified connection gone");
+            tracing::debug!(%address, %reason, "unidentified connection closed");
         }
         return;
     };
-    if !ending.is_protocol_error() {
-        tracing::info!(client = name, %from, %ending, "connection ended");
-    } else if matches!(ending, CloseReason::Invalid(_)) {
+    if !reason.is_protocol_error() {
+        tracing::info!(client = name, %address, %reason, "connection closed");
+    } else if matches!(reason, CloseReason::Invalid(_)) {
         // The client named itself as one that does not exist, which anybody can do by the hundred.
-        log_protocol_error(name, from, ending, admission.unidentified_log.line());
+        log_protocol_error(name, address, reason, admission.unidentified_log.line());
     } else {
-        log_protocol_error(name, from, ending, Some(0));
+        log_protocol_error(name, address, reason, Some(0));
     }
 }
 
-/// Logs a protocol error; `left_out` is the number of lines suppressed before it, or `None` if this one is too.
-fn log_protocol_error(client: &str, from: SocketAddr, ending: &CloseReason, left_out: Option<u64>) {
-    if let Some(left_out) = left_out {
-        tracing::warn!(client, %from, %ending, left_out, "connection ended");
+/// Logs a protocol error; `suppressed` is the number of lines suppressed before it, or `None` if this one is too.
+fn log_protocol_error(client: &str, address: SocketAddr, reason: &CloseReason, suppressed: Option<u64>) {
+    if let Some(suppressed) = suppressed {
+        tracing::warn!(client, %address, %reason, suppressed, "connection closed");
     }
 }
 
--- a/crates/wingfold-node/src/engine/actions.rs
+++ b/crates/wingfold-node/src/engine/actions.rs
@@ -71,8 +71,12 @@
         let queued_lines = self.send_queue.enqueue(now, messages, lines);
         self.metrics.channel_lines.set(queued_lines as u64);
         self.metrics.channel_lines_most.at_least(queued_lines as u64);
-        let most = self.send_queue.max_queued_lines();
-        invariant!(self.metrics, queued_lines <= most, "{queued_lines:.0} lines wait where {most:.0} may");
+        let limit = self.send_queue.max_queued_lines();
+        invariant!(
+            self.metrics,
+            queued_lines <= limit,
+            "{queued_lines:.0} lines are queued, the limit is {limit:.0}"
+        );
         SendTotals { messages, lines, queued_lines }
     }
 
@@ -88,14 +92,18 @@
         let Some(connection) = self.connections.get(&update.proxy) else { return };
         let parts = update.parts.len();
         let lines = update.queue_lines();
-        invariant!(self.metrics, parts <= MAX_PARTS_PER_MESSAGE, "a message of {parts} parts");
+        invariant!(
+            self.metrics,
+            parts <= MAX_PARTS_PER_MESSAGE,
+            "an update has {parts} parts, the limit is {MAX_PARTS_PER_MESSAGE}"
+        );
         for part in &update.parts {
             self.check_part(part);
         }
         let encode = |part| message::encode(&Outbound::ProxyUpdatePart(part));
         let frames = update.parts.into_iter().map(encode).collect();
         if let Err(SlowReader) = connection.send_decision(frames, decided_at) {
-            tracing::warn!(proxy = update.proxy.0, "leaves too much unread, its stream ends");
+            tracing::warn!(proxy = update.proxy.0, "slow reader, closing its stream");
             self.metrics.readers_slow_total.one();
             connection.close();
             return;
@@ -109,11 +117,15 @@
     fn check_part(&self, part: &ProxyUpdatePart) {
         let valid_weights = part.entries.iter().all(|entry| is_valid_number(entry.weight));
         let valid_level = part.admission.is_none_or(|admission| is_valid_number(admission.level));
-        invariant!(self.metrics, valid_weights && valid_level, "a figure below 0");
+        invariant!(
+            self.metrics,
+            valid_weights && valid_level,
+            "an update holds a number that is negative or not finite"
+        );
         let in_entries = part.entries.iter().map(|entry| &entry.host);
         let mut hosts = in_entries.chain(&part.ejected).chain(&part.restored);
         let all_listed = hosts.all(|host| self.addresses.of(host).is_some());
-        invariant!(self.metrics, all_listed, "a line names a host that discovery has never listed");
+        invariant!(self.metrics, all_listed, "an update names a host that discovery has never listed");
     }
 
     /// Carries out one action; those on tables were sent as updates before.
--- a/crates/wingfold-node/src/engine/inbound.rs
+++ b/crates/wingfold-node/src/engine/inbound.rs
@@ -60,7 +60,7 @@
             replaced.close();
             self.record_disconnect(proxy, events);
         }
-        tracing::info!(proxy = proxy.0, zone = &*zone.0, "joined");
+        tracing::info!(proxy = proxy.0, zone = &*zone.0, "proxy connected");
         self.tables.proxy_connected(proxy);
         events.push(Event::ProxyConnected { proxy, zone, requests_per_s });
     }
@@ -95,12 +95,13 @@
 
     fn record_rejected_hosts(&self, rejected: usize) {
         self.metrics.hosts_refused_total.add(rejected as u64);
-        if let Some(left_out) = self.rejected_hosts_log.line() {
+        if let Some(suppressed) = self.rejected_hosts_log.line() {
             tracing::warn!(
-                refused = rejected,
-                most = self.max_hosts,
-                left_out,
-                "key `limits.memory_mb`: too little for more hosts"
+                rejected,
+                max_hosts = self.max_hosts,
+                key = "limits.memory_mb",
+                suppressed,
+                "endpoint list exceeds the host limit"
             );
         }
     }
--- a/crates/wingfold-node/src/engine/timers.rs
+++ b/crates/wingfold-node/src/engine/timers.rs
@@ -62,7 +62,7 @@
         self.metrics.timer_late_us_most.at_least(late.as_micros() as u64);
         if late >= STALL_THRESHOLD {
             self.metrics.standstills_total.one();
-            tracing::warn!(?late, "the process stood still: nothing was heard or ordered meanwhile");
+            tracing::warn!(late_ms = late.as_millis() as u64, "process stalled");
         }
     }
 }
--- a/crates/wingfold-node/src/incoming.rs
+++ b/crates/wingfold-node/src/incoming.rs
@@ -19,26 +19,26 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CloseReason {
     /// The client closed it.
-    #[error("closed")]
+    #[error("closed by the client")]
     ClosedByClient,
     /// It broke, or a frame was too long.
-    #[error("broken: {0}")]
+    #[error("connection error: {0}")]
     Broken(#[from] std::io::Error),
     /// Bytes could not be decoded, so nothing after them can be relied on.
     #[error("unreadable message: {0}")]
     Unreadable(String),
     /// An unidentified connection sent an invalid message. Those of identified clients are dropped instead, and the
     /// connection goes on.
-    #[error("wrong message: {0}")]
+    #[error("invalid message: {0}")]
     Invalid(#[from] InvalidReason),
     /// The client sent nothing for too long.
-    #[error("silent")]
+    #[error("idle timeout")]
     Silent,
     /// The director closed it: a newer connection replaced it or needed its slot.
-    #[error("ended by the director")]
+    #[error("closed by the director")]
     ClosedByDirector,
     /// The director closed it, because the client left too much unread.
-    #[error("left too much unread")]
+    #[error("slow reader")]
     SlowReader,
 }
 
--- a/crates/wingfold-node/src/message.rs
+++ b/crates/wingfold-node/src/message.rs
@@ -31,19 +31,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidReason {
     /// A field is absent or of another type, or the kind is unknown.
-    #[error("a field is absent or of another type")]
+    #[error("a field is missing or has the wrong type")]
     Form,
     /// A number is out of its range.
-    #[error("a figure is out of range")]
+    #[error("a number is out of range")]
     Range,
     /// It names a class, host, proxy or zone that does not exist.
-    #[error("it names what does not exist")]
+    #[error("unknown name")]
     Name,
     /// This client may not send it, or not now.
-    #[error("not for this client to send")]
+    #[error("not allowed for this client")]
     Turn,
     /// It acknowledges a barrier that was never set, or was acknowledged before.
-    #[error("it answers no mark that is set")]
+    #[error("no such barrier is pending")]
     Mark,
 }
 
--- a/crates/wingfold/tests/crossings.rs
+++ b/crates/wingfold/tests/crossings.rs
@@ -529,7 +529,7 @@
     let watch = called(&gate, "/v1/endpoints?after=5");
     let (mut proxy, mut held) = proxy(&director);
     let _crowd: Vec<Client> = (0..100).map(|_| director.connect()).collect();
-    logged(&director, "cannot accept a connection");
+    logged(&director, "accept failed");
     watch.answer(&list(6, false, &[in_state(&hosts[0], "leaving")]));
     holds(&mut proxy, &mut held, &["s-2"]);
     // Unidentified connections have a second; those that come after them are served.
