--- a/crates/wingfold-node/src/accept.rs
+++ b/crates/wingfold-node/src/accept.rs
@@ -31,7 +31,7 @@
         }
         match listener.accept().await {
             Ok((connection, address)) => admit(connection, address, &admission),
-            Err(error) if is_of_connection(&error) => {
+            Err(error) if concerns_one_connection(&error) => {
                 tracing::debug!(%error, "connection broke before it was accepted")
             }
             Err(error) => {
@@ -58,7 +58,7 @@
 }
 
 /// Whether a failed accept concerns that one connection alone, and not a resource that the process lacks.
-pub fn is_of_connection(error: &io::Error) -> bool {
+fn concerns_one_connection(error: &io::Error) -> bool {
     use io::ErrorKind::*;
     matches!(
         error.kind(),
@@ -73,6 +73,9 @@
 }
 
 /// Serves one connection from its first byte to its end, then counts and logs why it ended.
+///
+/// It runs in a task of its own that nobody awaits. The task ends with the connection, at the latest when the runtime
+/// shuts down.
 async fn handle_connection(
     connection: TcpStream,
     address: SocketAddr,
--- a/crates/wingfold-node/src/admission.rs
+++ b/crates/wingfold-node/src/admission.rs
@@ -92,7 +92,8 @@
         inbox: InboundSender,
         metrics: Arc<Metrics>,
         router: Router,
-        (delays, pulse): (Option<Delays>, Pulse),
+        delays: Option<Delays>,
+        pulse: Pulse,
     ) -> Self {
         Admission {
             bounds: config.bounds.clone(),
--- a/crates/wingfold-node/src/client/tests.rs
+++ b/crates/wingfold-node/src/client/tests.rs
@@ -24,35 +24,38 @@
     let writer = std::thread::spawn(move || far.write_all(&flood).map(|()| far));
     let mut first_bytes = [0; LENGTH_BYTES];
     near.read_exact(&mut first_bytes).await.unwrap();
-    let (from, to) = near.into_split();
+    let (read_half, write_half) = near.into_split();
     let bounds = &admission.bounds;
     let reader = MessageReader::new(
         first_bytes,
-        from,
+        read_half,
         admission.budget.clone(),
         bounds.silence,
         admission.metrics.clone(),
     );
     let hello = ProxyHello { proxy: 3, zone: "a".into(), requests_per_s: 1.0 };
-    let over = Arc::new(AtomicBool::new(false));
+    let has_ended = Arc::new(AtomicBool::new(false));
     let served = {
-        let (admission, over) = (admission.clone(), over.clone());
+        let admission = admission.clone();
+        let has_ended = has_ended.clone();
         async move {
-            stream::serve(hello, reader, to, 0, admission).await;
-            over.store(true, Ordering::Relaxed);
+            stream::serve(hello, reader, write_half, 0, admission).await;
+            has_ended.store(true, Ordering::Relaxed);
         }
     };
     tokio::spawn(served);
     // This task stands for the engine: between two of its turns the client has had one.
-    let (mut taken, mut most) = (0, 0);
-    while taken < sent {
+    let mut received = 0;
+    let mut most_in_turn = 0;
+    while received < sent {
         let mut events = Vec::new();
         assert!(receiver.receive_all(&mut events).await);
         let acknowledgements = events.iter().filter(|event| matches!(event, InboundEvent::Required(_)));
         let acknowledgements = acknowledgements.count();
-        (taken, most) = (taken + acknowledgements, most.max(acknowledgements));
-        assert!(!over.load(Ordering::Relaxed), "it is slowed down, not ended");
+        received += acknowledgements;
+        most_in_turn = most_in_turn.max(acknowledgements);
+        assert!(!has_ended.load(Ordering::Relaxed), "it is slowed down, not ended");
     }
     let _far = writer.join().unwrap().unwrap();
-    assert!(most <= MESSAGES_PER_TURN, "{most} at a turn");
+    assert!(most_in_turn <= MESSAGES_PER_TURN, "{most_in_turn} in a turn");
 }
--- a/crates/wingfold-node/src/engine/tests.rs
+++ b/crates/wingfold-node/src/engine/tests.rs
@@ -7,7 +7,7 @@
 use wingfold_director::interface::{EndpointListKind, Timestamp, ZoneId};
 use wingfold_standins as standin;
 
-/// An engine for the settings of the stand-in, with nothing at its other ends.
+/// An engine with the settings of the stand-in; nothing receives what it sends.
 fn engine() -> Engine {
     let nowhere = "127.0.0.1:1".parse().unwrap();
     let mut text = standin::config(nowhere, nowhere, json!(null));
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn thousands_of_hosts_and_streams_that_come_and_go_leave_no_records_behind() {
+async fn thousands_of_hosts_and_streams_that_come_and_go_leave_no_records() {
     let mut engine = engine();
     let mut events = Vec::new();
     let mut actions = Vec::new();
@@ -48,9 +48,9 @@
     };
     let start = engine.clock.now().0;
     let mut writers = BTreeMap::new();
-    let mut most = [0; 4];
+    let mut peaks = [0; 4];
     for second in 0..3000u32 {
-        // Each second a host leaves and another one comes, and each proxy in turn opens a new stream.
+        // Each second one host is removed and another one added, and the next proxy opens a new stream.
         let mut servers = vec![entry(second, "active")];
         servers.extend(second.checked_sub(6).map(|old| entry(old, "left")));
         let list = json!({"version": second, "full": false, "servers": servers}).to_string();
@@ -65,7 +65,7 @@
         let connected = InboundEvent::ProxyConnected { proxy, zone, requests_per_s: 5.0, connection };
         engine.apply_inbound_event(connected, &mut events);
         if second % 16 > 7 {
-            // Some are seen to end before the next one comes.
+            // Some streams end before the next one of the same proxy is opened.
             engine.apply_inbound_event(InboundEvent::ProxyDisconnected { proxy, connection_id }, &mut events);
         }
         for quarter in 0..4u64 {
@@ -75,9 +75,9 @@
         }
         let now =
             [engine.addresses.len(), engine.tables.records(), engine.connections.len(), engine.timers.len()];
-        (0..4).filter(|_| second > 200).for_each(|at| most[at] = most[at].max(now[at]));
+        (0..4).filter(|_| second > 200).for_each(|at| peaks[at] = peaks[at].max(now[at]));
     }
-    let [addresses, tables, connections, timers] = most;
+    let [addresses, tables, connections, timers] = peaks;
     assert!((6..=80).contains(&addresses), "{addresses} addresses");
     assert!(tables <= 8 * addresses, "{tables} records of tables and streams");
     assert!(connections <= 8 && timers <= 8, "{connections} connections, {timers} timers");
--- a/crates/wingfold-node/src/inbox.rs
+++ b/crates/wingfold-node/src/inbox.rs
@@ -105,9 +105,9 @@
 }
 
 impl InboundReceiver {
-    /// Waits for at least one event and appends all that are queued; returns false once every sender is dropped.
+    /// Waits for at least one event and moves all that are queued to `into`; returns false once every sender is dropped.
     ///
-    /// Cancel safe: nothing is removed from the queue before this is ready.
+    /// `into` must be empty, since every report in it is counted as received. Cancel safe: nothing is removed from the queue before this is ready.
     pub async fn receive_all(&mut self, into: &mut Vec<InboundEvent>) -> bool {
         let received = self.events.recv_many(into, usize::MAX).await;
         let reports = into.iter().filter(|event| event.is_report()).count();
--- a/crates/wingfold-node/src/lib.rs
+++ b/crates/wingfold-node/src/lib.rs
@@ -242,7 +242,7 @@
     let delays = figures.as_ref().map(|figures| figures.delays.clone());
     let pulse = figures.as_ref().map(|figures| figures.pulse.clone()).unwrap_or_default();
     let router = ops::router(metrics.clone(), dumps.clone(), shown);
-    let admission = Admission::new(&config, inbox.clone(), metrics.clone(), router, (delays, pulse));
+    let admission = Admission::new(&config, inbox.clone(), metrics.clone(), router, delays, pulse);
     let admission = Arc::new(admission);
     let discovery = discovery::Discovery::new(following, inbox.clone(), metrics.clone());
     let prober = probe::Prober::new(&config.bounds, inbox.clone(), metrics.clone());
--- a/crates/wingfold-node/src/message.rs
+++ b/crates/wingfold-node/src/message.rs
@@ -27,7 +27,7 @@
     UsageReport(UsageReport),
 }
 
-/// Why a message of valid JSON is dropped as a whole; the connection goes on.
+/// Why a message that is valid JSON is dropped; the connection goes on.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidReason {
     /// A field is absent or of another type, or the kind is unknown.
--- a/crates/wingfold-node/src/message/tests.rs
+++ b/crates/wingfold-node/src/message/tests.rs
@@ -10,14 +10,14 @@
     assert_eq!(load_report.mean_latency, Micros(41_700));
     let load = HostLoad { in_flight: Some(7.0), utilization: Some(0.61), ..HostLoad::default() };
     assert_eq!(load_report.load, load);
-    // Seen on sockets: reports use the words of the settings' `report.fields`.
+    // Seen on sockets: reports use the names of the settings' `report.fields`.
     let report: HostLoadReport =
         serde_json::from_slice(br#"{"cpu_share":0.198,"busy_reqs":1.991,"x":[]}"#).unwrap();
     let load = HostLoad { in_flight: Some(1.991), utilization: Some(0.198), ..HostLoad::default() };
     assert_eq!(report.host_load(), Ok(load));
-    let joined = decode(br#"{"type":"SUBSCRIBE","id":17,"site":"a","rps":21.5,"new":true}"#);
+    let hello = decode(br#"{"type":"SUBSCRIBE","id":17,"site":"a","rps":21.5,"new":true}"#);
     assert!(
-        matches!(joined, Ok(Inbound::ProxyHello(hello)) if hello.proxy == 17 && hello.requests_per_s == 21.5)
+        matches!(hello, Ok(Inbound::ProxyHello(hello)) if hello.proxy == 17 && hello.requests_per_s == 21.5)
     );
     let ack = decode(br#"{"type":"ACK","id":17,"seq":905,"ms":310.4}"#);
     assert!(
@@ -100,4 +100,10 @@
     let text = r#"{"type":"CONFIG","out":["s-77aa0310"],"ticket":905}"#;
     assert_eq!(encode(&Outbound::ProxyUpdatePart(last)), text);
     assert_eq!(encode(&Outbound::Pong), r#"{"type":"PONG"}"#);
+    for (retry, number) in [(Retry::Never, 0), (Retry::OnProof, 1), (Retry::Once, 2), (Retry::Twice, 3)] {
+        let admission = Some(AdmissionLevel { level: 1.0, retry });
+        let part = ProxyUpdatePart { admission, ..ProxyUpdatePart::default() };
+        let text = format!(r#"{{"type":"CONFIG","level":1.0,"retry":{number}}}"#);
+        assert_eq!(encode(&Outbound::ProxyUpdatePart(part)), text);
+    }
 }
--- a/crates/wingfold-node/src/tables.rs
+++ b/crates/wingfold-node/src/tables.rs
@@ -91,7 +91,7 @@
     /// Hosts that are ejected now.
     ejected: BTreeSet<HostId>,
     streams: BTreeMap<ProxyId, StreamState>,
-    /// Hosts that a proxy was ever told to eject. It keeps them across its streams, so each new stream must be sent
+    /// Hosts that a proxy was ever sent as ejected. It keeps them across its streams, so each new stream must be sent
     /// which of them are restored.
     ever_ejected: BTreeMap<ProxyId, BTreeSet<HostId>>,
 }
--- a/crates/wingfold-node/src/tables/tests.rs
+++ b/crates/wingfold-node/src/tables/tests.rs
@@ -105,7 +105,10 @@
     let two = [set_admission(Some(1), 1, 2.0, Retry::OnProof), assign(8, 1, 0)];
     let updates = tables.apply(&two);
     assert_eq!(
-        updates.iter().map(|o| (o.proxy.0, o.parts.len(), o.queue_lines())).collect::<Vec<_>>(),
+        updates
+            .iter()
+            .map(|update| (update.proxy.0, update.parts.len(), update.queue_lines()))
+            .collect::<Vec<_>>(),
         [(7, 1, 1), (8, 3, 5)]
     );
     assert_eq!(updates[1].parts[1].classes, [Arc::from("x")]);
@@ -123,7 +126,7 @@
     tables.apply(&start);
     let change = [entry(1, "h2", 0.5), entry(1, "h1", 0.0), entry(1, "h3", 2.0), entry(1, "h3", 0.0)];
     let updates = tables.apply(&change);
-    assert_eq!(updates.iter().map(|o| o.proxy.0).collect::<Vec<_>>(), [1, 3]);
+    assert_eq!(updates.iter().map(|update| update.proxy.0).collect::<Vec<_>>(), [1, 3]);
     let entries = vec![
         TableEntry { host: Arc::from("h1"), weight: 0.0 },
         TableEntry { host: Arc::from("h2"), weight: 0.5 },
@@ -201,7 +204,8 @@
         Action::Barrier { all_proxies: true, number: 5 },
         Action::Barrier { all_proxies: true, number: 6 },
     ]);
-    let barriers = |o: &ProxyUpdate| o.parts.iter().filter_map(|p| p.barrier).collect::<Vec<_>>();
+    let barriers =
+        |update: &ProxyUpdate| update.parts.iter().filter_map(|part| part.barrier).collect::<Vec<_>>();
     assert_eq!(updates.iter().map(barriers).collect::<Vec<_>>(), [[5, 6], [5, 6]]);
 }
 
--- a/crates/wingfold-node/src/tables/update_parts.rs
+++ b/crates/wingfold-node/src/tables/update_parts.rs
@@ -196,7 +196,7 @@
         unsent.filter(|host| self.may_use(stream, host)).cloned().collect()
     }
 
-    /// Hosts that the proxy was ever told to eject, that are not ejected any more, and whose restoration was not sent
+    /// Hosts that the proxy was ever sent as ejected, that are not ejected any more, and whose restoration was not sent
     /// on this stream.
     fn restorations_to_send(&self, proxy: ProxyId, stream: &StreamState) -> Vec<HostId> {
         let Some(ever_ejected) = self.ever_ejected.get(&proxy) else { return Vec::new() };
