--- a/crates/wingfold-node/src/config.rs
+++ b/crates/wingfold-node/src/config.rs
@@ -8,7 +8,7 @@
 use wingfold_director::interface::Settings;
 use wingfold_settings::{Info, Names, Transport};
 
-use crate::list::Listing;
+use crate::list::EndpointListResponse;
 use crate::log;
 
 /// Everything a director is told at its start, checked.
@@ -25,7 +25,7 @@
     /// The other directors; `None` where they have no way to reach each other.
     pub peers: Option<Peers>,
     /// The list as last held.
-    pub known: Option<Listing>,
+    pub known: Option<EndpointListResponse>,
     /// What the decision module is told.
     pub settings: Settings,
     /// Names that messages refer to.
@@ -137,7 +137,7 @@
     #[serde(default)]
     peers: Vec<String>,
     peers_all: Option<String>,
-    known: Option<Listing>,
+    known: Option<EndpointListResponse>,
     settings: Info,
 }
 
--- a/crates/wingfold-node/src/discovery.rs
+++ b/crates/wingfold-node/src/discovery.rs
@@ -1,374 +1,325 @@
-//! Relays discovery's list: watches it and fetches it when the module says so, and hands on what it answers. A
-//! call that fails is told to the module, which decides when to ask again.
+//! The client of discovery: watches the endpoint list, fetches it when the decision module orders so, and delivers the
+//! responses to the engine. A failed call is reported to the decision module, which decides when to retry.
 //!
-//! Where the settings say that changes are pushed, the module asks for the whole list once and waits for what comes.
+//! Where the settings say that changes are pushed, the module fetches the complete list once and waits for what comes.
 //! Discovery pushes nothing by itself, so there the fetch is the first call of a watch.
 
+mod abandoned;
+mod call;
+mod validation;
+
+use self::abandoned::{AbandonedCall, AbandonedCalls};
+use self::call::{wait_for_response, Call, CallRequest, CallResult, EndpointListError};
+use self::validation::CachedList;
 use crate::config::{Bounds, Config};
-use crate::http::{CallError, Http};
+use crate::http::HttpClient;
 use crate::inbox::{Inbox, News};
-use crate::list::{Listing, Server, UnreadableEntry};
+use crate::list::{EndpointEntry, EndpointListResponse};
 use crate::metrics::Metrics;
-use crate::{log, or_never, reload, stage};
-use hyper::StatusCode;
-use std::future::Future;
+use crate::reload;
 use std::net::SocketAddr;
-use std::pin::Pin;
-use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
-use std::task::Poll;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
 use tokio::task::yield_now;
-use tokio::time::sleep;
-use tracing::Instrument;
 use wingfold_director::interface::{EndpointListKind, Event};
 
-/// What the module orders.
+/// What the decision module orders.
 #[derive(Debug)]
-pub enum Ask {
-    /// Watch the list, or stop.
-    Watch(bool),
-    /// Ask for the whole list once.
+pub enum DiscoveryCommand {
+    /// Watch the endpoint list, or stop.
+    SetWatching(bool),
+    /// Fetch the complete endpoint list once.
     Fetch,
 }
 
-/// Why there is no list.
-#[derive(Debug, thiserror::Error)]
-enum ListError {
-    #[error("{}", log::plain(&.0.to_string()))]
-    Call(#[from] CallError),
-    #[error("status {0}")]
-    Status(StatusCode),
-    #[error("unreadable answer: {}", log::plain(&.0.to_string()))]
-    Unreadable(#[from] serde_json::Error),
-    #[error("a whole list of version {0} where {1} is held")]
-    Older(u64, u64),
-    #[error("a whole list without any host where some are held")]
-    Empty,
-    #[error("changes up to version {0} where those after {1} were asked for")]
-    Behind(u64, u64),
-    #[error("entries that cannot be read: {count}, the first is {}", log::plain(&.first.to_string()))]
-    Entries { count: usize, first: UnreadableEntry },
-}
-
-/// Whole lists older than the one held that are refused in a row. One that comes late would undo the drains told since;
-/// a discovery that keeps to it was set up anew, and its list counts.
-const OLDER_REFUSED: u32 = 3;
-
-/// A watch that is answered without news long before its time is asked again this much later, so that a discovery that
-/// does not wait is not called without a pause. The protocol lets 200 ms pass between an answer and the next call.
-const EARLY: Duration = Duration::from_millis(100);
-
-/// Calls to discovery keep their connection from one to the next.
-fn client(bounds: &Bounds) -> Http {
-    Http::new(bounds.list_answer, bounds.watch, bounds.list_bytes)
-}
-
-type Answer = Result<Listing, ListError>;
-
-/// A call under way.
-struct Call {
-    answer: Pin<Box<dyn Future<Output = Answer> + Send>>,
-    /// The version after which changes were asked for; `None` for the whole list.
-    after: Option<u64>,
-    /// How long discovery was to wait for news.
-    wait: Duration,
-    begun: Instant,
-    /// Set once the head of its answer has come: discovery has told something then.
-    answered: Arc<AtomicBool>,
-}
+/// Pause before the next call of a watch that was answered without changes long before its wait was over, so that a
+/// discovery that does not wait is not polled in a loop. The protocol allows 200 ms between a response and the next call.
+const EARLY_ANSWER_PAUSE: Duration = Duration::from_millis(100);
 
-/// An answer that had begun when its call was let go of. What discovery has written counts as told, whoever is asked next.
-struct Parting {
-    call: Call,
-    /// The version held when it was let go of.
-    held: Option<u64>,
+/// What became of a response.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Delivery {
+    /// The call failed, or its response was rejected.
+    Failed,
+    /// A valid response without changes.
+    Unchanged,
+    /// A valid response with changes.
+    Changed,
 }
 
-/// Calls let go of that are still read: more than one watch and one whole list at a time means that discovery moves again
-/// and again, and the oldest are dropped.
-const MOST_PARTING: usize = 2;
-
-/// Speaks with discovery.
-#[derive(Debug)]
-pub struct Discovery {
+/// The client of discovery: the calls under way and the version of the list that is cached.
+pub struct DiscoveryClient {
     config: watch::Receiver<Arc<Config>>,
     address: SocketAddr,
     bounds: Bounds,
-    pushed: bool,
-    http: Http,
+    /// Whether the settings say that changes are pushed.
+    is_pushed: bool,
+    http: HttpClient,
     inbox: Inbox,
     metrics: Arc<Metrics>,
-    version: Option<u64>,
-    /// Discovery has gone back behind the version held: the whole list is asked for next.
-    anew: bool,
-    /// Some host was ever listed.
-    listed: bool,
-    /// Whole lists refused in a row because they were older.
-    older: u32,
+    cached: CachedList,
+    /// The call of the watch that is under way.
+    watch: Option<Call>,
+    /// The call for the complete list that is under way beside the watch.
+    fetch: Option<Call>,
+    abandoned: AbandonedCalls,
+    /// The first response of a watch is delivered even without changes: the decision module waits for it.
+    deliver_unchanged: bool,
 }
 
-impl Discovery {
-    /// For the discovery of this configuration, which also tells the version of the list remembered, and of those
-    /// that follow it.
+impl DiscoveryClient {
+    /// A client of the discovery that `config` names, now and after reloads. The first configuration also holds the list
+    /// as it was cached at the last run.
     pub fn new(config: watch::Receiver<Arc<Config>>, inbox: Inbox, metrics: Arc<Metrics>) -> Self {
         let first = config.borrow().clone();
-        Discovery {
+        DiscoveryClient {
             config,
             address: first.discovery,
-            pushed: !first.settings.endpoint_list_on_request,
-            http: client(&first.bounds),
-            version: first.known.as_ref().map(|list| list.version),
-            listed: first.known.as_ref().is_some_and(|list| !list.servers.is_empty()),
-            anew: false,
-            older: 0,
+            is_pushed: !first.settings.endpoint_list_on_request,
+            http: http_client(&first.bounds),
+            cached: CachedList::new(first.known.as_ref()),
             bounds: first.bounds.clone(),
             inbox,
             metrics,
+            watch: None,
+            fetch: None,
+            abandoned: AbandonedCalls::default(),
+            deliver_unchanged: true,
         }
     }
 
-    /// Carries out what is asked, for good.
-    pub async fn run(mut self, mut asked: UnboundedReceiver<Ask>) {
-        let (mut watch, mut fetch): (Option<Call>, Option<Call>) = (None, None);
-        let mut parting: Vec<Parting> = Vec::new();
-        // The first answer of a watch is told even if nothing changed: the module waits for it.
-        let mut first = true;
+    /// Executes commands until their channel is closed. The calls under way are part of this task and end with it.
+    pub async fn run(mut self, mut commands: UnboundedReceiver<DiscoveryCommand>) {
         loop {
             tokio::select! {
-                config = reload::changed(&mut self.config) => if config.discovery != self.address {
-                    // What is under way at the old address ends without an answer, and is no failure.
-                    for call in [watch.take(), fetch.take()].into_iter().flatten() {
-                        self.let_go(call, &mut parting).await;
-                    }
-                    self.follow(config.discovery);
+                config = reload::changed(&mut self.config) => self.apply_config(&config).await,
+                command = commands.recv() => match command {
+                    Some(command) => self.execute(command).await,
+                    None => return,
                 },
-                ask = asked.recv() => {
-                    let Some(ask) = ask else { return };
-                    let (place, call) = match ask {
-                        Ask::Watch(false) => (&mut watch, None),
-                        // It does not wait: what is missing arrives at once, and the calls that wait follow.
-                        Ask::Watch(true) => (&mut watch, Some(self.call(true, Duration::ZERO))),
-                        Ask::Fetch if self.pushed => (&mut watch, Some(self.call(false, Duration::ZERO))),
-                        Ask::Fetch => (&mut fetch, Some(self.call(false, Duration::ZERO))),
-                    };
-                    first |= call.is_some();
-                    if let Some(replaced) = std::mem::replace(place, call) {
-                        self.let_go(replaced, &mut parting).await;
-                    }
-                }
-                answer = answer(&mut watch) => {
-                    let call = watch.take();
-                    let news = self.tell(answer, call.as_ref().and_then(|call| call.after), std::mem::take(&mut first));
-                    watch = news.map(|news| {
-                        let early = call.is_some_and(|call| call.begun.elapsed() < call.wait / 2);
-                        self.call_after(if early && !news { EARLY } else { Duration::ZERO }, true, self.bounds.watch)
-                    });
-                    if news.is_some() {
-                        // What the parting calls could tell is in this answer.
-                        parting.clear();
-                    }
-                }
-                answer = answer(&mut fetch) => {
-                    fetch = None;
-                    if self.tell(answer, None, true).is_some() {
-                        parting.clear();
-                    }
-                }
-                (at, answer) = last_words(&mut parting), if !parting.is_empty() => {
-                    let held = parting.remove(at).held;
-                    self.heard_late(answer, held);
+                result = wait_for_response(&mut self.watch) => self.handle_watch_result(result),
+                result = wait_for_response(&mut self.fetch) => self.handle_fetch_result(result),
+                late = self.abandoned.next_response(), if !self.abandoned.is_empty() => {
+                    self.deliver_late(late.result, late.cached_version);
                 }
             }
         }
     }
 
-    /// Lets go of a call. One whose answer lies ready or has begun is read to its end, inside its time: what discovery has
-    /// written counts as told.
-    async fn let_go(&self, call: Call, parting: &mut Vec<Parting>) {
-        // What has arrived meanwhile shows once the connection's own task has had a turn.
-        for _ in 0..2 {
-            yield_now().await;
+    /// Follows a reload that names another address. Calls under way at the old one end without a response, and are no
+    /// failures.
+    async fn apply_config(&mut self, config: &Config) {
+        if config.discovery == self.address {
+            return;
         }
-        let mut call = Some(call);
-        let ready = tokio::select! {
-            biased;
-            ready = answer(&mut call) => Some(ready),
-            () = std::future::ready(()) => None,
-        };
-        match (ready, call) {
-            (Some(ready), _) => self.heard_late(ready, self.version),
-            (None, Some(call)) if call.answered.load(Ordering::Relaxed) => {
-                if parting.len() == MOST_PARTING {
-                    parting.remove(0);
-                }
-                parting.push(Parting { call, held: self.version });
-            }
-            _ => {}
+        let under_way = [self.watch.take(), self.fetch.take()];
+        for call in under_way.into_iter().flatten() {
+            self.abandon(call).await;
         }
+        self.switch_address(config.discovery);
     }
 
-    /// Hands on what a call told that was let go of. Its version counts for nothing: the next call asks as if this answer
-    /// had not come.
-    fn heard_late(&self, answer: Answer, held: Option<u64>) {
-        match answer {
-            Ok(list) if !list.unreadable.is_empty() => self.tell_drains(list),
-            Ok(list) if held.is_none_or(|held| list.version >= held) && !list.servers.is_empty() => {
-                let entries = list.servers.len();
-                tracing::info!(
-                    version = list.version,
-                    full = list.full,
-                    entries,
-                    "list, of a call let go of"
-                );
-                self.metrics.list_late_total.one();
-                self.inbox.put(News::List(EndpointListKind::Changes, list));
+    /// Uses another address. Nothing of the old one is kept, neither connections nor the version; the decision module is
+    /// notified, and polls.
+    fn switch_address(&mut self, address: SocketAddr) {
+        tracing::info!(from = %self.address, to = %address, "discovery address changed");
+        self.address = address;
+        self.cached.version = None;
+        self.http = http_client(&self.bounds);
+        self.metrics.list_moves_total.one();
+        self.inbox.put(News::Told(Event::DiscoveryMoved));
+    }
+
+    /// Starts the call that a command asks for, in place of the one it replaces.
+    async fn execute(&mut self, command: DiscoveryCommand) {
+        let replaced = match command {
+            DiscoveryCommand::SetWatching(false) => self.watch.take(),
+            DiscoveryCommand::SetWatching(true) => {
+                // The first call does not wait: what is missing arrives at once, and the calls that wait follow.
+                let call = self.start_watch_call(Duration::ZERO, Duration::ZERO);
+                self.deliver_unchanged = true;
+                self.watch.replace(call)
             }
-            Ok(_) => {}
-            Err(error) => tracing::debug!(%error, "a call let go of has failed"),
+            DiscoveryCommand::Fetch => {
+                let call = self.start_fetch_call();
+                self.deliver_unchanged = true;
+                let slot = if self.is_pushed { &mut self.watch } else { &mut self.fetch };
+                slot.replace(call)
+            }
+        };
+        if let Some(replaced) = replaced {
+            self.abandon(replaced).await;
         }
     }
 
-    /// Turns to another address. Nothing of the old one is kept: neither connections nor the version it gave. The
-    /// module is told, and asks.
-    fn follow(&mut self, address: SocketAddr) {
-        tracing::info!(from = %self.address, to = %address, "discovery has moved");
-        (self.address, self.version, self.http) = (address, None, client(&self.bounds));
-        self.metrics.list_moves_total.one();
-        self.inbox.put(News::Told(Event::DiscoveryMoved));
+    /// Starts a call for the complete list.
+    fn start_fetch_call(&self) -> Call {
+        self.start_call(CallRequest { pause: Duration::ZERO, after: None, wait: Duration::ZERO })
     }
 
-    /// Begins a call: for what has changed since the list held, if there is one and it is to be a watch.
-    fn call(&self, watch: bool, wait: Duration) -> Call {
-        self.call_after(Duration::ZERO, watch, wait)
+    /// Starts a call of the watch after a pause: discovery answers it once there are changes, or when `wait` is over.
+    fn start_watch_call(&self, pause: Duration, wait: Duration) -> Call {
+        self.start_call(CallRequest { pause, after: self.cached.version_to_watch(), wait })
     }
 
-    /// The same after a pause.
-    fn call_after(&self, pause: Duration, watch: bool, wait: Duration) -> Call {
-        let after = self.version.filter(|_| watch && !self.anew);
-        let page = match after {
-            None => "/v1/endpoints".to_string(),
-            Some(version) => format!("/v1/endpoints?after={version}&wait_ms={}", wait.as_millis()),
-        };
+    fn start_call(&self, request: CallRequest) -> Call {
         self.metrics.list_calls_total.one();
-        let answered = Arc::new(AtomicBool::new(false));
-        let head = answered.clone();
-        let (http, address) = (self.http.clone(), self.address.to_string());
-        let within = wait + self.bounds.list_answer;
-        let answer = Box::pin(async move {
-            if pause > Duration::ZERO {
-                sleep(pause).await;
-            }
-            let begun = Instant::now();
-            let call = async {
-                let (status, body) = http.get_telling(&address, &page, within, &head).await?;
-                tracing::debug!(page, %status, took = ?begun.elapsed(), "discovery answered");
-                match status {
-                    StatusCode::OK => Ok(Listing::read(&body)?),
-                    status => Err(ListError::Status(status)),
-                }
-            };
-            let stage = stage!("relay", failed = tracing::field::Empty);
-            let answer = call.instrument(stage.clone()).await;
-            if let Err(error) = &answer {
-                stage.record("failed", tracing::field::display(error));
-            }
-            answer
-        });
-        Call { answer, after, wait, begun: Instant::now() + pause, answered }
+        Call::start(request, self.http.clone(), self.address, self.bounds.list_answer)
     }
 
-    /// Guards against a discovery that answers and is wrong: a whole list out of an older time, or one that names
-    /// nobody, would empty tables or bring hosts back that drain; and changes up to a version before the one that was asked
-    /// about are those of a discovery that has gone back, whose next changes would never come. It counts as a call that failed.
-    fn believe(&mut self, list: Listing, after: Option<u64>) -> Answer {
-        match (self.version, after) {
-            (Some(held), _) if list.full && list.version < held && self.older < OLDER_REFUSED => {
-                self.older += 1;
-                return Err(ListError::Older(list.version, held));
-            }
-            _ if list.full && list.servers.is_empty() && self.listed => return Err(ListError::Empty),
-            (_, Some(after)) if !list.full && list.version < after => {
-                self.anew = true;
-                return Err(ListError::Behind(list.version, after));
-            }
-            _ => {}
+    /// Handles the end of a call of the watch; after a success the next call follows.
+    fn handle_watch_result(&mut self, result: CallResult) {
+        let Some(call) = self.watch.take() else { return };
+        let deliver_unchanged = std::mem::take(&mut self.deliver_unchanged);
+        let delivery = self.deliver(result, call.after, deliver_unchanged);
+        if delivery == Delivery::Failed {
+            return;
         }
-        if let Some(error) = unreadable(&list) {
-            self.metrics.list_entries_invalid_total.add(list.unreadable.len() as u64);
-            self.tell_drains(list);
-            return Err(error);
+        let is_polling = delivery == Delivery::Unchanged && call.was_answered_early();
+        let pause = if is_polling { EARLY_ANSWER_PAUSE } else { Duration::ZERO };
+        self.watch = Some(self.start_watch_call(pause, self.bounds.watch));
+        // This response includes whatever the abandoned calls could still bring.
+        self.abandoned.clear();
+    }
+
+    /// Handles the end of a call for the complete list.
+    fn handle_fetch_result(&mut self, result: CallResult) {
+        self.fetch = None;
+        if self.deliver(result, None, true) != Delivery::Failed {
+            self.abandoned.clear();
         }
-        (self.older, self.listed) = (0, self.listed || !list.servers.is_empty());
-        self.anew &= !list.full;
-        Ok(list)
     }
 
-    /// Hands on what an answer tells of hosts that drain or are gone, where other entries of it cannot be read: a drain must
-    /// not wait until those are mended. All else of it is asked for again.
-    fn tell_drains(&self, mut list: Listing) {
-        list.servers.retain(Server::leaves);
-        if !list.servers.is_empty() {
-            tracing::info!(version = list.version, entries = list.servers.len(), "drains, of a list refused");
-            self.inbox.put(News::List(EndpointListKind::Changes, list));
+    /// Abandons a call. If its response has arrived it is delivered; if the response has begun it is read to its end,
+    /// within the call's timeout: changes that discovery has written count as notified, whoever is asked next.
+    async fn abandon(&mut self, mut call: Call) {
+        // The task of the connection needs a turn to pass on what has arrived meanwhile.
+        for _ in 0..2 {
+            yield_now().await;
+        }
+        let finished = tokio::select! {
+            biased;
+            result = call.response() => Some(result),
+            () = std::future::ready(()) => None,
+        };
+        let cached_version = self.cached.version;
+        match finished {
+            Some(result) => self.deliver_late(result, cached_version),
+            None if call.has_response_begun() => {
+                self.abandoned.push(AbandonedCall { call, cached_version });
+            }
+            None => {}
         }
     }
 
-    /// Hands an answer to a call for what came after a version on; gives whether it had news, or `None` if the call failed.
-    fn tell(&mut self, answer: Answer, after: Option<u64>, always: bool) -> Option<bool> {
-        let list = match answer.and_then(|list| self.believe(list, after)) {
-            Ok(list) => list,
+    /// Delivers the response to an abandoned call. Its version is not recorded: the next call asks as if this response
+    /// had not come.
+    fn deliver_late(&self, result: CallResult, cached_version: Option<u64>) {
+        let response = match result {
+            Ok(response) => response,
             Err(error) => {
-                tracing::warn!(%error, "discovery: call failed");
+                tracing::debug!(%error, "abandoned discovery call failed");
+                return;
+            }
+        };
+        // Known: beside an unreadable entry, the versions are not compared.
+        if !response.unreadable.is_empty() {
+            self.deliver_draining(response);
+            return;
+        }
+        let is_outdated = cached_version.is_some_and(|cached| response.version < cached);
+        if is_outdated || response.endpoints.is_empty() {
+            return;
+        }
+        tracing::info!(
+            version = response.version,
+            complete = response.complete,
+            entries = response.endpoints.len(),
+            "endpoint list received on an abandoned call"
+        );
+        self.metrics.list_late_total.one();
+        self.inbox.put(News::List(EndpointListKind::Changes, response));
+    }
+
+    /// Delivers the result of a call for the changes after version `after`, or for the complete list. A response without
+    /// changes is delivered only with `deliver_unchanged`.
+    fn deliver(&mut self, result: CallResult, after: Option<u64>, deliver_unchanged: bool) -> Delivery {
+        match result.and_then(|response| self.accept(response, after)) {
+            Ok(response) => self.deliver_accepted(response, deliver_unchanged),
+            Err(error) => {
+                tracing::warn!(%error, "discovery call failed");
                 self.metrics.list_failures_total.one();
                 self.inbox.put(News::Told(Event::EndpointListFailed));
-                return None;
+                Delivery::Failed
             }
+        }
+    }
+
+    /// Checks a response against the cached list. Of one with unreadable entries only the endpoints that drain are
+    /// delivered.
+    fn accept(&mut self, response: EndpointListResponse, after: Option<u64>) -> CallResult {
+        self.cached.check(&response, after)?;
+        let Some(first) = response.unreadable.first().cloned() else {
+            self.cached.record_accepted(&response);
+            return Ok(response);
         };
-        // Changes that an answer of another call has overtaken are in the list already.
-        let stale = !list.full && self.version.is_some_and(|held| list.version < held);
-        let news = !stale && (list.full || !list.servers.is_empty() || self.version != Some(list.version));
-        if !stale {
-            self.version = Some(list.version);
-            self.metrics.list_version.set(list.version);
-            if always || list.full || !list.servers.is_empty() {
-                let kind = if list.full { EndpointListKind::Complete } else { EndpointListKind::Changes };
-                tracing::info!(
-                    version = list.version,
-                    full = list.full,
-                    entries = list.servers.len(),
-                    "list"
-                );
-                self.inbox.put(News::List(kind, list));
-            }
+        let count = response.unreadable.len();
+        self.metrics.list_entries_invalid_total.add(count as u64);
+        self.deliver_draining(response);
+        Err(EndpointListError::Entries { count, first })
+    }
+
+    /// Delivers the endpoints of a rejected response that drain or have been removed: a drain must not wait until the
+    /// other entries are mended. Everything else of the response is asked for again.
+    fn deliver_draining(&self, mut response: EndpointListResponse) {
+        response.endpoints.retain(EndpointEntry::is_draining_or_removed);
+        if response.endpoints.is_empty() {
+            return;
         }
-        Some(news)
+        tracing::info!(
+            version = response.version,
+            entries = response.endpoints.len(),
+            "draining endpoints taken from a rejected endpoint list"
+        );
+        self.inbox.put(News::List(EndpointListKind::Changes, response));
     }
-}
 
-/// What is wrong with an answer of which some entries cannot be read.
-fn unreadable(list: &Listing) -> Option<ListError> {
-    let first = list.unreadable.first()?.clone();
-    Some(ListError::Entries { count: list.unreadable.len(), first })
-}
+    /// Delivers a response that passed all checks, and records its version.
+    fn deliver_accepted(&mut self, response: EndpointListResponse, deliver_unchanged: bool) -> Delivery {
+        let cached_version = self.cached.version;
+        // Changes that another call's response has overtaken are in the cached list already.
+        if !response.complete && cached_version.is_some_and(|cached| response.version < cached) {
+            return Delivery::Unchanged;
+        }
+        self.cached.version = Some(response.version);
+        self.metrics.list_version.set(response.version);
+        let has_entries = response.complete || !response.endpoints.is_empty();
+        let is_new_version = cached_version != Some(response.version);
+        if has_entries || deliver_unchanged {
+            self.deliver_list(response);
+        }
+        if has_entries || is_new_version {
+            Delivery::Changed
+        } else {
+            Delivery::Unchanged
+        }
+    }
 
-/// Waits for the answer to a call; for good where there is none.
-async fn answer(call: &mut Option<Call>) -> Answer {
-    or_never(call.as_mut().map(|call| call.answer.as_mut())).await
+    fn deliver_list(&self, response: EndpointListResponse) {
+        tracing::info!(
+            version = response.version,
+            complete = response.complete,
+            entries = response.endpoints.len(),
+            "endpoint list received"
+        );
+        let kind = if response.complete { EndpointListKind::Complete } else { EndpointListKind::Changes };
+        self.inbox.put(News::List(kind, response));
+    }
 }
 
-/// Waits for the first answer of several calls.
-async fn last_words(parting: &mut [Parting]) -> (usize, Answer) {
-    std::future::poll_fn(|context| {
-        let ready = parting.iter_mut().enumerate().find_map(|(at, parting)| {
-            match parting.call.answer.as_mut().poll(context) {
-                Poll::Ready(answer) => Some((at, answer)),
-                Poll::Pending => None,
-            }
-        });
-        ready.map_or(Poll::Pending, Poll::Ready)
-    })
-    .await
+/// Calls to discovery reuse their connection.
+fn http_client(bounds: &Bounds) -> HttpClient {
+    HttpClient::new(bounds.list_answer, bounds.watch, bounds.list_bytes)
 }
--- a/crates/wingfold-node/src/engine.rs
+++ b/crates/wingfold-node/src/engine.rs
@@ -5,17 +5,17 @@
 mod tests;
 
 use crate::clock::Clock;
-use crate::discovery::Ask;
+use crate::discovery::DiscoveryCommand;
 use crate::figures::Figures;
+use crate::health_check::HealthChecker;
 use crate::inbox::{Intake, News};
 use crate::invariant;
-use crate::list::Addresses;
+use crate::list::EndpointAddresses;
 use crate::log::Seldom;
 use crate::message::{self, Invalid, Outbound};
 use crate::metrics::Metrics;
 use crate::outbox::{Link, Slow};
-use crate::peers::Post;
-use crate::probe::Prober;
+use crate::peers::PeerSocket;
 use crate::recorder::Dumps;
 use crate::tables::{Order, Tables};
 use crate::{log, or_never, stage};
@@ -45,13 +45,13 @@
     /// What its orders mean to each stream.
     pub tables: Tables,
     /// Where orders about the list go.
-    pub discovery: UnboundedSender<Ask>,
+    pub discovery: UnboundedSender<DiscoveryCommand>,
     /// Where probes go.
-    pub prober: Prober,
+    pub prober: HealthChecker,
     /// Where words to other directors go.
-    pub post: Option<Arc<Post>>,
+    pub post: Option<Arc<PeerSocket>>,
     /// Where each host answers.
-    pub addresses: Addresses,
+    pub addresses: EndpointAddresses,
     /// Hosts that may be known at once.
     pub most_hosts: usize,
     /// Bounds the lines about hosts refused.
@@ -174,7 +174,7 @@
                 }
             }
             News::List(kind, mut list) => {
-                let refused = self.addresses.learn(&mut list, self.most_hosts);
+                let refused = self.addresses.update(&mut list, self.most_hosts);
                 if refused > 0 {
                     self.metrics.hosts_refused_total.add(refused as u64);
                     if let Some(left_out) = self.refusals.line() {
@@ -187,7 +187,7 @@
                         );
                     }
                 }
-                let entries = list.entries();
+                let entries = list.to_endpoints();
                 if kind != EndpointListKind::Changes {
                     self.metrics.list_hosts.set(entries.len() as u64);
                 }
@@ -195,12 +195,14 @@
             }
             // Only here it is known which hosts and marks there are.
             News::Report(Event::LoadReport { host, .. } | Event::HealthChecked { host, .. })
-                if self.addresses.of(&host.0).is_none() =>
+                if self.addresses.get(&host.0).is_none() =>
             {
                 self.metrics.invalid(Invalid::Name);
             }
             // The one who was asked has been replaced since: its load says nothing of the one that bears the name now.
-            News::Probed(host, life, ..) if self.addresses.of(&host.0).is_none_or(|now| now.life != life) => {
+            News::Probed(host, life, ..)
+                if self.addresses.get(&host.0).is_none_or(|now| now.incarnation != life) =>
+            {
                 self.metrics.probes_overtaken_total.one();
             }
             News::Probed(host, _, outcome, load) => events.push(Event::HealthChecked { host, outcome, load }),
@@ -253,12 +255,12 @@
         drop(stage);
         for action in actions.drain(..) {
             match action {
-                Action::WatchEndpoints(on) => drop(self.discovery.send(Ask::Watch(on))),
-                Action::FetchEndpoints => drop(self.discovery.send(Ask::Fetch)),
+                Action::WatchEndpoints(on) => drop(self.discovery.send(DiscoveryCommand::SetWatching(on))),
+                Action::FetchEndpoints => drop(self.discovery.send(DiscoveryCommand::Fetch)),
                 Action::SetTimer { at, token } => self.timers.push(Reverse((at, token))),
                 Action::CheckHealth(host) => {
-                    let address = self.addresses.of(&host.0).cloned();
-                    self.prober.probe(host, address);
+                    let address = self.addresses.get(&host.0).cloned();
+                    self.prober.check(host, address);
                 }
                 Action::SendToPeer { to, message: bytes } => {
                     if let Some(post) = &self.post {
@@ -266,7 +268,7 @@
                     }
                 }
                 Action::EvictHost(host) => {
-                    self.addresses.forget(&host.0);
+                    self.addresses.remove(&host.0);
                     self.tables.forget(&host);
                 }
                 // Names from outside stand in it.
@@ -304,7 +306,7 @@
             let figures = part.lines.iter().all(|line| sane(line.1));
             invariant!(self.metrics, figures && part.admit.is_none_or(|a| sane(a.level)), "a figure below 0");
             let mut named = part.lines.iter().map(|line| &line.0).chain(&part.out).chain(&part.back);
-            let listed = named.all(|host| self.addresses.of(host).is_some());
+            let listed = named.all(|host| self.addresses.get(host).is_some());
             invariant!(self.metrics, listed, "a line names a host that discovery has never listed");
         }
         let frames = order.parts.into_iter().map(|part| message::encode(&Outbound::Config(part))).collect();
--- a/crates/wingfold-node/src/engine/tests.rs
+++ b/crates/wingfold-node/src/engine/tests.rs
@@ -1,7 +1,7 @@
 //! The engine over a long day, on a clock of the test's own.
 
 use super::*;
-use crate::{inbox, list::Listing, outbox, probe, Config, First};
+use crate::{health_check, inbox, list::EndpointListResponse, outbox, Config, First};
 use serde_json::json;
 use wingfold_director::interface::ZoneId;
 use wingfold_standins as standin;
@@ -16,12 +16,12 @@
     let (inbox, _) = inbox::inbox(10, metrics.clone());
     Engine {
         tables: Tables::new(&config.names.classes),
-        prober: probe::Prober::new(&config.bounds, inbox, metrics.clone()),
+        prober: health_check::HealthChecker::new(&config.bounds, inbox, metrics.clone()),
         director: Director::new(config.settings, config.seed),
         clock: Clock::start(),
         discovery: tokio::sync::mpsc::unbounded_channel().0,
         post: None,
-        addresses: Addresses::default(),
+        addresses: EndpointAddresses::default(),
         most_hosts: config.bounds.hosts,
         refusals: Seldom::default(),
         channel: Channel { pace: 1e6, overhead: 4.0, most: 1e6, ..Channel::default() },
@@ -52,7 +52,7 @@
         let mut servers = vec![entry(second, "active")];
         servers.extend(second.checked_sub(6).map(|old| entry(old, "left")));
         let list = json!({"version": second, "full": false, "servers": servers}).to_string();
-        let list = Listing::read(list.as_bytes()).unwrap();
+        let list = EndpointListResponse::read(list.as_bytes()).unwrap();
         engine.take(News::List(EndpointListKind::Changes, list), &mut events);
         let proxy = ProxyId(second % 8);
         let (link, outbox) = outbox::link(u64::from(second), 1 << 20, None);
--- /dev/null
+++ b/crates/wingfold-node/src/health_check.rs
@@ -0,0 +1,118 @@
+//! Health checks of hosts: asks a host for its load and delivers the outcome to the engine.
+
+use crate::config::Bounds;
+use crate::http::HttpClient;
+use crate::inbox::{Inbox, News};
+use crate::list::HealthCheckTarget;
+use crate::log;
+use crate::message::{Invalid, LoadReport};
+use crate::metrics::Metrics;
+use hyper::body::Bytes;
+use hyper::StatusCode;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::Semaphore;
+use wingfold_director::interface::{HealthCheckOutcome, HostId, HostLoad};
+
+/// Bytes of a load report: it holds a few numbers.
+const MAX_REPORT_BYTES: usize = 4096;
+/// Connections to hosts are kept for the next round of health checks, and not much longer.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Sends health checks.
+#[derive(Clone, Debug)]
+pub struct HealthChecker {
+    http: HttpClient,
+    timeout: Duration,
+    /// One permit for each health check that may be under way.
+    permits: Arc<Semaphore>,
+    inbox: Inbox,
+    metrics: Arc<Metrics>,
+}
+
+/// What a health check found.
+#[derive(Debug)]
+struct HealthCheckResult {
+    outcome: HealthCheckOutcome,
+    load: HostLoad,
+}
+
+impl HealthCheckResult {
+    fn failed() -> HealthCheckResult {
+        HealthCheckResult::without_load(HealthCheckOutcome::Failed)
+    }
+
+    fn without_load(outcome: HealthCheckOutcome) -> HealthCheckResult {
+        HealthCheckResult { outcome, load: HostLoad::default() }
+    }
+}
+
+/// Why the body of a response is no load report.
+#[derive(Debug, thiserror::Error)]
+enum LoadReportError {
+    #[error("{}", log::plain(&.0.to_string()))]
+    Unreadable(#[from] serde_json::Error),
+    #[error(transparent)]
+    Invalid(#[from] Invalid),
+}
+
+impl HealthChecker {
+    /// A health checker within these bounds.
+    pub fn new(bounds: &Bounds, inbox: Inbox, metrics: Arc<Metrics>) -> Self {
+        let http = HttpClient::new(bounds.connect, IDLE_TIMEOUT, MAX_REPORT_BYTES);
+        let permits = Arc::new(Semaphore::new(bounds.probes));
+        HealthChecker { http, timeout: bounds.probe, permits, inbox, metrics }
+    }
+
+    /// Starts the health check of a host and returns at once; the outcome arrives in the inbox. It has failed if the host
+    /// is not known or too many are under way. Its task ends by itself, no later than the timeout.
+    pub fn check(&self, host: HostId, target: Option<HealthCheckTarget>) {
+        self.metrics.probes_total.one();
+        let permit = self.permits.clone().try_acquire_owned().ok();
+        let incarnation = target.as_ref().map_or(0, |target| target.incarnation);
+        let (Some(target), Some(permit)) = (target, permit) else {
+            self.deliver(host, incarnation, HealthCheckResult::failed());
+            return;
+        };
+        let checker = self.clone();
+        tokio::spawn(async move {
+            let result = checker.request_load(&target.address).await;
+            drop(permit);
+            checker.deliver(host, incarnation, result);
+        });
+    }
+
+    fn deliver(&self, host: HostId, incarnation: u64, result: HealthCheckResult) {
+        if result.outcome != HealthCheckOutcome::Ok {
+            self.metrics.probes_failed_total.one();
+        }
+        self.inbox.put(News::Probed(host, incarnation, result.outcome, result.load));
+    }
+
+    async fn request_load(&self, address: &str) -> HealthCheckResult {
+        let Ok(response) = self.http.get(address, "/status/load", self.timeout).await else {
+            return HealthCheckResult::failed();
+        };
+        let outcome = match response.status {
+            StatusCode::OK => HealthCheckOutcome::Ok,
+            StatusCode::SERVICE_UNAVAILABLE => HealthCheckOutcome::Rejected,
+            _ => return HealthCheckResult::failed(),
+        };
+        // A deployment without load reports answers with an empty body.
+        if response.body.is_empty() {
+            return HealthCheckResult::without_load(outcome);
+        }
+        match read_load(&response.body) {
+            Ok(load) => HealthCheckResult { outcome, load },
+            Err(error) => {
+                tracing::warn!(address, %error, "health check: unreadable load report");
+                HealthCheckResult::failed()
+            }
+        }
+    }
+}
+
+fn read_load(body: &Bytes) -> Result<HostLoad, LoadReportError> {
+    let report: LoadReport = serde_json::from_slice(body)?;
+    Ok(report.checked()?)
+}
--- a/crates/wingfold-node/src/http.rs
+++ b/crates/wingfold-node/src/http.rs
@@ -1,35 +1,37 @@
-//! Calls out by HTTP/1.1, through hyper-util's client. Every call has a time-out and a bound on its answer:
-//! the other end may go silent, or say more than it should.
+//! Outgoing HTTP/1.1 requests, through hyper-util's client. Every request has a timeout and a bound on the size of its
+//! response: the other end may go silent, or send more than it should.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
+use hyper::http::uri::InvalidUri;
 use hyper::{StatusCode, Uri};
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
+use std::error::Error;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Why a call failed.
+/// Why a request has no usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The address cannot be called.
+    /// The address does not make a URI.
     #[error("not an address: {0}")]
-    Address(#[from] hyper::http::uri::InvalidUri),
-    /// No connection, or it broke.
+    Address(#[from] InvalidUri),
+    /// The connection could not be opened, or broke before the head of the response.
     #[error("no answer: {}", innermost(.0))]
     Broken(#[from] hyper_util::client::legacy::Error),
-    /// The answer broke off, or was too long.
+    /// The body broke off, or exceeded its bound.
     #[error("answer broken off: {0}")]
-    Body(Box<dyn std::error::Error + Send + Sync>),
-    /// The time was up.
+    Body(Box<dyn Error + Send + Sync>),
+    /// The timeout expired.
     #[error("no answer in time")]
-    Late,
+    Timeout,
 }
 
-/// What lies at the bottom of an error: "connection refused" tells more than "client error".
-fn innermost(error: &dyn std::error::Error) -> String {
+/// The root cause of an error: "connection refused" says more than "client error".
+fn innermost(error: &dyn Error) -> String {
     let mut inner = error;
     while let Some(source) = inner.source() {
         inner = source;
@@ -37,52 +39,58 @@
     inner.to_string()
 }
 
-/// A client; connections are kept for the next call.
+/// A complete response.
+#[derive(Debug)]
+pub struct HttpResponse {
+    /// The status.
+    pub status: StatusCode,
+    /// The whole body.
+    pub body: Bytes,
+}
+
+/// An HTTP client that keeps one idle connection per host for the next request.
 #[derive(Clone, Debug)]
-pub struct Http {
+pub struct HttpClient {
     client: Client<HttpConnector, Empty<Bytes>>,
-    most: usize,
+    max_body_bytes: usize,
 }
 
-impl Http {
-    /// A client whose connections come up within `connect`, are dropped after `idle` and whose answers hold
-    /// `most` bytes.
-    pub fn new(connect: Duration, idle: Duration, most: usize) -> Self {
+impl HttpClient {
+    /// A client that gives up connecting after `connect_timeout`, closes connections that were idle for `idle_timeout`
+    /// and accepts response bodies of up to `max_body_bytes`.
+    pub fn new(connect_timeout: Duration, idle_timeout: Duration, max_body_bytes: usize) -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(connect));
+        connector.set_connect_timeout(Some(connect_timeout));
         connector.set_nodelay(true);
-        let mut client = Client::builder(TokioExecutor::new());
-        client.pool_timer(TokioTimer::new()).pool_idle_timeout(idle).pool_max_idle_per_host(1);
-        Http { client: client.build(connector), most }
+        let mut builder = Client::builder(TokioExecutor::new());
+        builder.pool_timer(TokioTimer::new());
+        builder.pool_idle_timeout(idle_timeout);
+        builder.pool_max_idle_per_host(1);
+        HttpClient { client: builder.build(connector), max_body_bytes }
     }
 
-    /// Gets a page, all of it within the time.
-    pub async fn get(
-        &self,
-        address: &str,
-        page: &str,
-        within: Duration,
-    ) -> Result<(StatusCode, Bytes), CallError> {
-        self.get_telling(address, page, within, &AtomicBool::new(false)).await
+    /// Sends `GET path` to `address` and reads the whole response within `within`.
+    pub async fn get(&self, address: &str, path: &str, within: Duration) -> Result<HttpResponse, CallError> {
+        self.get_with_progress(address, path, within, &AtomicBool::new(false)).await
     }
 
-    /// The same, and sets `answered` once the head of the answer has come.
-    pub async fn get_telling(
+    /// Like [`HttpClient::get`]; sets `response_started` once the head of the response has arrived.
+    pub async fn get_with_progress(
         &self,
         address: &str,
-        page: &str,
+        path: &str,
         within: Duration,
-        answered: &AtomicBool,
-    ) -> Result<(StatusCode, Bytes), CallError> {
-        let uri: Uri = format!("http://{address}{page}").parse()?;
-        let call = async {
-            let answer = self.client.get(uri).await?;
-            answered.store(true, Ordering::Relaxed);
-            let status = answer.status();
-            let body =
-                Limited::new(answer.into_body(), self.most).collect().await.map_err(CallError::Body)?;
-            Ok((status, body.to_bytes()))
+        response_started: &AtomicBool,
+    ) -> Result<HttpResponse, CallError> {
+        let uri: Uri = format!("http://{address}{path}").parse()?;
+        let request = async {
+            let response = self.client.get(uri).await?;
+            response_started.store(true, Ordering::Relaxed);
+            let status = response.status();
+            let body = Limited::new(response.into_body(), self.max_body_bytes);
+            let body = body.collect().await.map_err(CallError::Body)?.to_bytes();
+            Ok(HttpResponse { status, body })
         };
-        timeout(within, call).await.unwrap_or(Err(CallError::Late))
+        timeout(within, request).await.unwrap_or(Err(CallError::Timeout))
     }
 }
--- a/crates/wingfold-node/src/inbox.rs
+++ b/crates/wingfold-node/src/inbox.rs
@@ -1,7 +1,7 @@
 //! Where every reader leaves what it took in, for the one task that owns the decision module. Leaving something
 //! never waits: reports beyond the bound are dropped and counted, everything else always has room.
 
-use crate::list::Listing;
+use crate::list::EndpointListResponse;
 use crate::metrics::Metrics;
 use crate::outbox::Link;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -19,7 +19,7 @@
     /// A stream has ended; the number is that of its link.
     Left(ProxyId, u64),
     /// Something of the list.
-    List(EndpointListKind, Listing),
+    List(EndpointListKind, EndpointListResponse),
     /// A probe's answer, and the life of the host that was asked.
     Probed(HostId, u64, HealthCheckOutcome, HostLoad),
     /// Anything the module is told as it is.
--- a/crates/wingfold-node/src/lib.rs
+++ b/crates/wingfold-node/src/lib.rs
@@ -15,6 +15,7 @@
 mod engine;
 mod figures;
 mod frame;
+mod health_check;
 mod http;
 mod inbox;
 mod incoming;
@@ -26,7 +27,7 @@
 mod ops;
 mod outbox;
 mod peers;
-mod probe;
+
 mod recorder;
 mod reload;
 mod sink;
@@ -200,7 +201,7 @@
             None => None,
             Some(peers) => {
                 let socket = bind("peer_listen", peers.listen, until, UdpSocket::bind).await?;
-                Some(Arc::new(peers::Post::new(socket, peers, metrics.clone())))
+                Some(Arc::new(peers::PeerSocket::new(socket, peers, metrics.clone())))
             }
         };
         Ok::<_, RunError>((listener, figures_in, post))
@@ -244,8 +245,8 @@
     let router = ops::router(metrics.clone(), dumps.clone(), shown);
     let admission = Admission::new(&config, inbox.clone(), metrics.clone(), router, (delays, pulse));
     let admission = Arc::new(admission);
-    let discovery = discovery::Discovery::new(following, inbox.clone(), metrics.clone());
-    let prober = probe::Prober::new(&config.bounds, inbox.clone(), metrics.clone());
+    let discovery = discovery::DiscoveryClient::new(following, inbox.clone(), metrics.clone());
+    let prober = health_check::HealthChecker::new(&config.bounds, inbox.clone(), metrics.clone());
     if config.bounds.connections < config.bounds.named {
         let (places, clients) = (config.bounds.connections, config.bounds.named);
         tracing::warn!(places, clients, "key `limits.sockets`: too few for all that may join");
@@ -264,7 +265,7 @@
         discovery: ask,
         prober,
         post: post.clone(),
-        addresses: list::Addresses::default(),
+        addresses: list::EndpointAddresses::default(),
         most_hosts: config.bounds.hosts,
         refusals: log::Seldom::default(),
         channel,
--- a/crates/wingfold-node/src/peers.rs
+++ b/crates/wingfold-node/src/peers.rs
@@ -1,68 +1,78 @@
-//! Relays datagrams between directors, where the settings allow them.
+//! Datagrams between directors, where the settings allow them.
 
 use crate::config::Peers;
 use crate::inbox::{Inbox, News};
 use crate::invariant;
 use crate::metrics::Metrics;
+use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::net::UdpSocket;
 use wingfold_director::interface::Event;
 
-/// A longer datagram is none of the protocol's.
-pub const LARGEST: usize = 256;
+/// Bytes of a datagram; the protocol allows no longer one.
+const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// Sends and receives datagrams.
+/// Sends peer messages to other directors and receives theirs, one message a datagram.
 #[derive(Debug)]
-pub struct Post {
+pub struct PeerSocket {
     socket: UdpSocket,
     peers: Peers,
     metrics: Arc<Metrics>,
 }
 
-impl Post {
-    /// Over the socket bound to the address that the configuration names.
-    pub fn new(socket: UdpSocket, peers: Peers, metrics: Arc<Metrics>) -> Post {
-        Post { socket, peers, metrics }
+impl PeerSocket {
+    /// For a socket bound to the address that the configuration names.
+    pub fn new(socket: UdpSocket, peers: Peers, metrics: Arc<Metrics>) -> PeerSocket {
+        PeerSocket { socket, peers, metrics }
     }
 
-    /// Sends to one director, or to all. A datagram that cannot go now is lost, as others are.
-    pub fn send(&self, to: Option<u32>, bytes: &[u8]) {
-        let fits = bytes.len() <= LARGEST;
-        invariant!(self.metrics, fits, "a datagram of {} bytes was ordered", bytes.len());
-        let to = match to {
+    /// Sends a message to one director, or with `None` to all. One that the socket cannot take now is lost, like any
+    /// datagram.
+    pub fn send(&self, to: Option<u32>, message: &[u8]) {
+        let fits = message.len() <= MAX_DATAGRAM_BYTES;
+        invariant!(self.metrics, fits, "a datagram of {} bytes was ordered", message.len());
+        let Some(address) = self.address_of(to) else { return };
+        if !fits {
+            return;
+        }
+        match self.socket.try_send_to(message, address) {
+            Ok(_) => self.metrics.datagrams_out_total.one(),
+            Err(error) => tracing::debug!(to = %address, %error, "peer message lost"),
+        }
+    }
+
+    fn address_of(&self, director: Option<u32>) -> Option<SocketAddr> {
+        match director {
             None => Some(self.peers.all),
             Some(number) => self.peers.each.get(number as usize).copied(),
-        };
-        if let (Some(to), true) = (to, fits) {
-            match self.socket.try_send_to(bytes, to) {
-                Ok(_) => self.metrics.datagrams_out_total.one(),
-                Err(error) => tracing::debug!(%to, %error, "datagram lost"),
-            }
         }
     }
 
-    /// Hands on what arrives, for good.
+    /// Delivers the messages that arrive, for the lifetime of the task that awaits it.
     pub async fn receive(&self, inbox: Inbox) {
-        // One byte more than allowed, to see a longer one as such.
-        let mut bytes = [0; LARGEST + 1];
+        // One byte more than allowed, to recognize a longer datagram.
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let Ok((length, from)) = self.socket.recv_from(&mut bytes).await else {
-                // An error here is one of an earlier datagram that found nobody.
+            let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
+                // The error belongs to an earlier datagram that nobody received.
                 tokio::task::yield_now().await;
                 continue;
             };
-            match self.peers.each.iter().position(|peer| *peer == from) {
-                Some(number) if length <= LARGEST => {
+            match self.sender_of(from) {
+                Some(sender) if length <= MAX_DATAGRAM_BYTES => {
                     self.metrics.datagrams_in_total.one();
-                    inbox.put(News::Told(Event::PeerMessage {
-                        from: number as u32,
-                        message: bytes[..length].to_vec(),
-                    }));
+                    let message = buffer[..length].to_vec();
+                    inbox.put(News::Told(Event::PeerMessage { from: sender, message }));
                 }
                 _ => self.metrics.datagrams_bad_total.one(),
             }
         }
     }
+
+    fn sender_of(&self, address: SocketAddr) -> Option<u32> {
+        let number = self.peers.each.iter().position(|peer| *peer == address)?;
+        Some(number as u32)
+    }
 }
 
 #[cfg(test)]
--- a/crates/wingfold-node/src/peers/tests.rs
+++ b/crates/wingfold-node/src/peers/tests.rs
@@ -2,20 +2,20 @@
 use crate::inbox::inbox;
 use std::net::SocketAddr;
 
-async fn post(each: &[SocketAddr], at: usize, metrics: &Arc<Metrics>) -> Post {
+async fn peer_socket(each: &[SocketAddr], at: usize, metrics: &Arc<Metrics>) -> PeerSocket {
     // The second one stands for the address that reaches all.
     let peers = Peers { listen: each[at], each: each.to_vec(), all: each[1] };
-    Post::new(UdpSocket::bind(peers.listen).await.unwrap(), peers, metrics.clone())
+    PeerSocket::new(UdpSocket::bind(peers.listen).await.unwrap(), peers, metrics.clone())
 }
 
 #[tokio::test]
-async fn words_go_to_one_director_or_to_all_and_name_their_sender() {
+async fn messages_go_to_one_director_or_to_all_and_name_their_sender() {
     let free = || std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let (one, two) = (free(), free());
     let each = [one.local_addr().unwrap(), two.local_addr().unwrap()];
     drop((one, two));
     let metrics = Arc::new(Metrics::default());
-    let (first, second) = (post(&each, 0, &metrics).await, post(&each, 1, &metrics).await);
+    let (first, second) = (peer_socket(&each, 0, &metrics).await, peer_socket(&each, 1, &metrics).await);
     let (inbox, mut intake) = inbox(1, metrics.clone());
     first.socket.writable().await.unwrap();
     first.send(Some(1), b"to you");
@@ -27,10 +27,10 @@
         () = async { while news.len() < 2 { assert!(intake.take(&mut news).await) } } => {}
         () = tokio::time::sleep(std::time::Duration::from_secs(20)) => panic!("not received: {news:?}"),
     }
-    let words = news.iter().map(|news| match news {
+    let messages = news.iter().map(|news| match news {
         News::Told(Event::PeerMessage { from, message: bytes }) => (*from, bytes.as_slice()),
         other => panic!("{other:?}"),
     });
-    assert_eq!(words.collect::<Vec<_>>(), [(0, &b"to you"[..]), (0, b"to all")]);
+    assert_eq!(messages.collect::<Vec<_>>(), [(0, &b"to you"[..]), (0, b"to all")]);
     assert_eq!(metrics.datagrams_out_total.get(), 2);
 }
--- a/crates/wingfold/tests/relays.rs
+++ b/crates/wingfold/tests/relays.rs
@@ -106,7 +106,7 @@
     while !held.lines.contains_key("order") {
         held.apply(&proxy.orders());
     }
-    until("it is told", || director.log().contains("discovery: call failed"));
+    until("it is told", || director.log().contains("discovery call failed"));
 }
 
 #[test]
@@ -117,9 +117,10 @@
     while held.hosts("order") != ["s-1", "s-3"] {
         held.apply(&proxy.orders());
     }
-    for (mood, why) in
-        [(Mood::Past, "a whole list of version 1 where 4 is held"), (Mood::Empty, "without any host")]
-    {
+    for (mood, why) in [
+        (Mood::Past, "a complete endpoint list of version 1 where 4 is cached"),
+        (Mood::Empty, "without any endpoint"),
+    ] {
         let before = director.figure("list_failures_total");
         discovery.mood(mood);
         // The call that waits at discovery ends first.
