--- a/crates/wingfold-node/src/admission.rs
+++ b/crates/wingfold-node/src/admission.rs
@@ -1,13 +1,13 @@
 //! Admits: what every connection is checked against, and the places that connections hold.
 
 use crate::config::{Bounds, Config};
-use crate::figures::{Delays, Pulse};
 use crate::frame::Budget;
 use crate::inbox::Inbox;
 use crate::log::Seldom;
 use crate::message::{self, Invalid, Outbound, Rate};
 use crate::metrics::Metrics;
 use crate::outbox::Link;
+use crate::reporting::{CollectorActivity, WriteDelays};
 use axum::Router;
 use bytes::Bytes;
 use std::collections::BTreeMap;
@@ -34,9 +34,9 @@
     /// Bounds the lines about unidentified connections.
     pub unidentified_told: Seldom,
     /// How long orders take to be written, where that is kept.
-    pub delays: Option<Delays>,
+    pub delays: Option<WriteDelays>,
     /// Signs of life of collectors.
-    pub pulse: Pulse,
+    pub pulse: CollectorActivity,
     /// Answers HTTP.
     pub router: Router,
     zones: Vec<Arc<str>>,
@@ -83,7 +83,7 @@
         inbox: Inbox,
         metrics: Arc<Metrics>,
         router: Router,
-        (delays, pulse): (Option<Delays>, Pulse),
+        (delays, pulse): (Option<WriteDelays>, CollectorActivity),
     ) -> Self {
         Admission {
             bounds: config.bounds.clone(),
--- a/crates/wingfold-node/src/client.rs
+++ b/crates/wingfold-node/src/client.rs
@@ -33,7 +33,7 @@
             let next = from.next().await;
             // A collector that says anything lives, whatever is in it.
             if let (Some(zone), Ok(_)) = (collects, &next) {
-                admission.pulse.beat(zone);
+                admission.pulse.record(zone);
             }
             let news = match next {
                 Err(ending) => return ending,
--- a/crates/wingfold-node/src/engine.rs
+++ b/crates/wingfold-node/src/engine.rs
@@ -6,7 +6,6 @@
 
 use crate::clock::Clock;
 use crate::discovery::DiscoveryCommand;
-use crate::figures::Figures;
 use crate::health_check::HealthChecker;
 use crate::inbox::{Intake, News};
 use crate::invariant;
@@ -17,6 +16,7 @@
 use crate::outbox::{Link, Slow};
 use crate::peers::PeerSocket;
 use crate::recorder::Dumps;
+use crate::reporting::MetricsReporter;
 use crate::tables::{Order, Tables};
 use crate::{log, or_never, stage};
 use std::cmp::Reverse;
@@ -71,7 +71,7 @@
     /// Writes out what a capture in memory holds.
     pub dumps: Option<Dumps>,
     /// Counts for receivers of figures, where that is switched on.
-    pub figures: Option<Figures>,
+    pub figures: Option<MetricsReporter>,
 }
 
 /// The channel's own count of lines, by its usual pace: only to see that the module keeps within it.
@@ -228,7 +228,7 @@
         let broken = self.metrics.invariants_broken_total.get();
         self.calls += 1;
         if let Some(figures) = &mut self.figures {
-            figures.told(now, events);
+            figures.record_events(now, events);
         }
         if let Some(tap) = &mut self.tap {
             tap.before(now, &self.director);
@@ -287,7 +287,7 @@
         if let Some(figures) = &mut self.figures {
             let _stage = stage!("book", call = self.calls).entered();
             figures.meter.answered(took, messages, lines, waiting);
-            figures.after(now, &self.director, &self.metrics);
+            figures.finish_call(now, &self.director, &self.metrics);
         }
         if let Some(dumps) =
             self.dumps.as_ref().filter(|_| self.metrics.invariants_broken_total.get() > broken)
--- a/crates/wingfold-node/src/ops.rs
+++ b/crates/wingfold-node/src/ops.rs
@@ -1,9 +1,9 @@
 //! What operators ask for: `/healthz` and `/metrics`, by axum, on the same listener as the proxies' protocol.
 
 use crate::admission::Admission;
-use crate::figures::Shown;
 use crate::metrics::Metrics;
 use crate::recorder::Dumps;
+use crate::reporting::LastInterval;
 use axum::extract::State;
 use axum::http::{header, HeaderMap, StatusCode};
 use axum::response::IntoResponse;
@@ -19,7 +19,7 @@
 const HEAD_BYTES: usize = 8 << 10;
 
 /// The pages; `dumps` only where a capture in memory may be asked for.
-pub fn router(metrics: Arc<Metrics>, dumps: Option<Dumps>, shown: Option<Shown>) -> Router {
+pub fn router(metrics: Arc<Metrics>, dumps: Option<Dumps>, shown: Option<LastInterval>) -> Router {
     let pages =
         Router::new().route("/healthz", get(health)).route("/metrics", get(counters)).with_state(metrics);
     let pages = match shown {
@@ -33,7 +33,7 @@
 }
 
 /// The last interval and what was slow or failed, for `wingfold figures watch`.
-async fn figures(State(shown): State<Shown>) -> impl IntoResponse {
+async fn figures(State(shown): State<LastInterval>) -> impl IntoResponse {
     let text = serde_json::to_string(&shown.page()).unwrap_or_default();
     ([(header::CONTENT_TYPE, "application/json")], text)
 }
--- a/crates/wingfold-node/src/outbox.rs
+++ b/crates/wingfold-node/src/outbox.rs
@@ -1,8 +1,8 @@
 //! Sends: what waits to be written to one connection, bounded by what its reader may leave unread, and the task
 //! that writes it.
 
-use crate::figures::Delays;
 use crate::frame;
+use crate::reporting::WriteDelays;
 use bytes::Bytes;
 use futures_util::SinkExt;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -34,7 +34,7 @@
 pub struct Outbox {
     from: UnboundedReceiver<Frame>,
     waiting: Arc<AtomicUsize>,
-    delays: Option<Delays>,
+    delays: Option<WriteDelays>,
 }
 
 /// The reader leaves too much unread.
@@ -43,7 +43,7 @@
 
 /// A link and what it writes; `most` bytes may wait, or one message if that alone is longer. How long orders take to be
 /// written is kept in `delays`.
-pub fn link(number: u64, most: usize, delays: Option<Delays>) -> (Link, Outbox) {
+pub fn link(number: u64, most: usize, delays: Option<WriteDelays>) -> (Link, Outbox) {
     let (to, from) = unbounded_channel();
     let waiting = Arc::new(AtomicUsize::new(0));
     let (end, ended) = Default::default();
@@ -106,7 +106,7 @@
             }
             SinkExt::<Bytes>::flush(&mut framed).await?;
             for ordered in orders.drain(..) {
-                self.delays.iter().for_each(|delays| delays.written(ordered));
+                self.delays.iter().for_each(|delays| delays.record(ordered));
             }
         }
         Ok(())
--- /dev/null
+++ b/crates/wingfold-node/src/reporting.rs
@@ -0,0 +1,315 @@
+//! The engine's part of the metrics that sinks receive: records what happens, and hands each interval on once it has ended.
+//! Nothing here waits: an interval is dropped where the sinks lag behind.
+
+use crate::causes::{Cause, Causes};
+use crate::config::Config;
+use crate::message::Invalid;
+use crate::metrics::Metrics;
+use hdrhistogram::Histogram;
+use serde::Serialize;
+use std::collections::BTreeMap;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::{Duration, Instant};
+use tokio::sync::mpsc::{channel, Receiver, Sender};
+use wingfold_director::interface::{Event, Micros, Timestamp, ZoneId};
+use wingfold_director::Director;
+use wingfold_figures::{Figure, Interval, Meter, Sample, Value};
+
+/// Intervals that may wait for the sinks.
+const MAX_WAITING_INTERVALS: usize = 8;
+/// Largest write delay told apart, in tenths of a millisecond: an hour.
+const MAX_WRITE_DELAY: u64 = 36_000_000;
+
+/// Delays between an order and its last written byte, recorded by the writers of the streams, in tenths of a millisecond.
+#[derive(Clone, Debug)]
+pub struct WriteDelays(Arc<Mutex<Histogram<u64>>>);
+
+impl Default for WriteDelays {
+    fn default() -> Self {
+        let histogram = Histogram::new_with_bounds(1, MAX_WRITE_DELAY, 2).expect("these bounds are sound");
+        WriteDelays(Arc::new(Mutex::new(histogram)))
+    }
+}
+
+impl WriteDelays {
+    /// Records that an order given at `ordered_at` has been written.
+    pub fn record(&self, ordered_at: Instant) {
+        let delay = ordered_at.elapsed().as_micros() / 100;
+        let mut histogram = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        histogram.saturating_record((delay as u64).max(1));
+    }
+
+    /// The delays recorded since the last call.
+    fn take(&self) -> Histogram<u64> {
+        let mut histogram = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let taken = histogram.clone();
+        histogram.reset();
+        taken
+    }
+}
+
+/// Activity of collectors: messages of each zone's since they were last counted, whatever was in them.
+#[derive(Clone, Debug, Default)]
+pub struct CollectorActivity(Arc<BTreeMap<Arc<str>, AtomicU64>>);
+
+impl CollectorActivity {
+    /// For these zones.
+    pub fn new(zones: &[ZoneId]) -> Self {
+        let counts = zones.iter().map(|zone| (zone.0.clone(), AtomicU64::new(0)));
+        CollectorActivity(Arc::new(counts.collect()))
+    }
+
+    /// Records a message of a zone's collector.
+    pub fn record(&self, zone: &str) {
+        if let Some(count) = self.0.get(zone) {
+            count.fetch_add(1, Ordering::Relaxed);
+        }
+    }
+
+    /// The messages of each zone since the last call.
+    fn take(&self) -> impl Iterator<Item = (ZoneId, u64)> + '_ {
+        self.0.iter().map(|(zone, count)| (ZoneId(zone.clone()), count.swap(0, Ordering::Relaxed)))
+    }
+}
+
+/// Counters of the sinks, by receiver.
+#[derive(Debug, Default)]
+pub struct SinkStats {
+    receivers: Mutex<BTreeMap<Arc<str>, SinkCounters>>,
+}
+
+/// Counters of one receiver.
+#[derive(Clone, Debug, Default)]
+pub struct SinkCounters {
+    /// Intervals dropped, by reason.
+    pub dropped: BTreeMap<&'static str, u64>,
+    /// Bytes that wait.
+    pub waiting_bytes: u64,
+    /// Bytes sent.
+    pub sent_bytes: u64,
+    /// Connections that failed.
+    pub failed_connections: u64,
+}
+
+impl SinkCounters {
+    /// Counts an interval that was dropped.
+    pub fn count_dropped(&mut self, reason: &'static str) {
+        *self.dropped.entry(reason).or_default() += 1;
+    }
+}
+
+impl SinkStats {
+    /// Changes the counters of a receiver.
+    pub fn update(&self, receiver: &Arc<str>, change: impl FnOnce(&mut SinkCounters)) {
+        let mut receivers = self.receivers.lock().unwrap_or_else(PoisonError::into_inner);
+        change(receivers.entry(receiver.clone()).or_default());
+    }
+}
+
+/// The last interval, as `/figures` shows it.
+#[derive(Clone, Debug, Default)]
+pub struct LastInterval(Arc<Mutex<IntervalPage>>);
+
+/// The body of `/figures`.
+#[derive(Clone, Debug, Default, Serialize)]
+pub struct IntervalPage {
+    /// The director.
+    pub director: String,
+    /// The end of the interval, in seconds of the world's clock.
+    #[serde(rename = "at")]
+    pub ended_at_s: f64,
+    /// The length of the interval in seconds.
+    #[serde(rename = "length")]
+    pub length_s: f64,
+    /// The values of the interval.
+    #[serde(rename = "figures")]
+    pub samples: Vec<PageSample>,
+    /// The slowest and the failed of each stage.
+    pub causes: Vec<Cause>,
+}
+
+/// One value of the interval: name, labels, and the value, or the count and four quantiles of a distribution.
+#[derive(Clone, Debug, Serialize)]
+pub struct PageSample(String, Vec<Arc<str>>, Vec<f64>);
+
+impl PageSample {
+    fn new(sample: &Sample) -> PageSample {
+        let values = match sample.value {
+            Value::Count(count) => vec![count as f64],
+            Value::Gauge(value) => vec![value],
+            Value::Spread(count, quantiles) => std::iter::once(count as f64).chain(quantiles).collect(),
+        };
+        PageSample(sample.figure.entry().name.to_string(), sample.labels.clone(), values)
+    }
+}
+
+impl LastInterval {
+    /// The page as it is now.
+    pub fn page(&self) -> IntervalPage {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    }
+
+    fn replace(&self, page: IntervalPage) {
+        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = page;
+    }
+}
+
+/// Where the sinks receive intervals.
+pub type IntervalReceiver = Receiver<Arc<Interval>>;
+
+/// A value that is counted outside of the meter.
+struct ExternalValue {
+    figure: Figure,
+    labels: Vec<Arc<str>>,
+    value: u64,
+}
+
+impl ExternalValue {
+    fn new(figure: Figure, labels: Vec<Arc<str>>, value: u64) -> ExternalValue {
+        ExternalValue { figure, labels, value }
+    }
+
+    fn as_tuple(&self) -> (Figure, &[Arc<str>], u64) {
+        (self.figure, &self.labels, self.value)
+    }
+}
+
+/// The engine's end of the metrics.
+#[derive(Debug)]
+pub struct MetricsReporter {
+    /// Computes the values of an interval.
+    pub meter: Meter,
+    /// Recorded by the writers of the streams.
+    pub write_delays: WriteDelays,
+    /// Recorded by the connections of the collectors.
+    pub collector_activity: CollectorActivity,
+    /// Recorded by the sinks.
+    pub sink_stats: Arc<SinkStats>,
+    /// Shown by `/figures`.
+    pub last_interval: LastInterval,
+    intervals: Sender<Arc<Interval>>,
+    causes: Option<Causes>,
+    /// The director's name.
+    name: String,
+    /// Labels of the reasons why messages are invalid, in the order of [`INVALID_REASONS`].
+    invalid_labels: [Arc<str>; INVALID_REASONS.len()],
+    /// Valid responses of discovery so far, when last counted.
+    list_responses: u64,
+}
+
+/// Why messages are invalid.
+const INVALID_REASONS: [Invalid; 5] =
+    [Invalid::Form, Invalid::Range, Invalid::Name, Invalid::Turn, Invalid::Mark];
+
+impl MetricsReporter {
+    /// A reporter for intervals of this length, and where they are received.
+    pub fn new(
+        config: &Config,
+        interval: Duration,
+        causes: Option<Causes>,
+        now: Timestamp,
+        director: &Director,
+    ) -> (MetricsReporter, IntervalReceiver) {
+        let (intervals, receiver) = channel(MAX_WAITING_INTERVALS);
+        let length = Micros(interval.as_micros() as u64);
+        let reporter = MetricsReporter {
+            meter: Meter::new(now, length, director, &config.names.classes),
+            write_delays: WriteDelays::default(),
+            collector_activity: CollectorActivity::new(&config.settings.zones),
+            sink_stats: Arc::default(),
+            last_interval: LastInterval::default(),
+            intervals,
+            causes,
+            name: config.name.clone(),
+            invalid_labels: ["form", "range", "name", "turn", "mark"].map(Arc::from),
+            list_responses: 0,
+        };
+        (reporter, receiver)
+    }
+
+    /// Records the events that the decision module is about to handle.
+    pub fn record_events(&mut self, now: Timestamp, events: &[Event]) {
+        for event in events {
+            self.meter.told(now, event);
+        }
+    }
+
+    /// Records what was counted elsewhere during a call of the decision module, and hands on an interval that has ended.
+    pub fn finish_call(&mut self, now: Timestamp, director: &Director, metrics: &Metrics) {
+        self.record_list_responses(now, metrics);
+        for (zone, messages) in self.collector_activity.take() {
+            self.meter.collector(now, &zone, messages);
+        }
+        self.meter.look(now, director);
+        if now < self.meter.ends() {
+            return;
+        }
+        if let Some(interval) = self.end_interval(now, director, metrics) {
+            self.show(&interval);
+            if self.intervals.try_send(Arc::new(interval)).is_err() {
+                metrics.intervals_dropped_total.one();
+            }
+        }
+    }
+
+    fn record_list_responses(&mut self, now: Timestamp, metrics: &Metrics) {
+        let responses = metrics.list_answers_total.get();
+        if responses != self.list_responses {
+            self.list_responses = responses;
+            self.meter.listed(now);
+        }
+    }
+
+    fn end_interval(&mut self, now: Timestamp, director: &Director, metrics: &Metrics) -> Option<Interval> {
+        let write_delays = self.write_delays.take();
+        let mut totals = self.totals(metrics);
+        let mut gauges = Vec::new();
+        self.add_sink_values(&mut totals, &mut gauges);
+        let totals: Vec<_> = totals.iter().map(ExternalValue::as_tuple).collect();
+        let gauges: Vec<_> = gauges.iter().map(ExternalValue::as_tuple).collect();
+        self.meter.interval(now, director, &write_delays, &totals, &gauges)
+    }
+
+    /// Running totals of the whole director.
+    fn totals(&self, metrics: &Metrics) -> Vec<ExternalValue> {
+        let total = |figure, value| ExternalValue::new(figure, Vec::new(), value);
+        let mut totals = vec![
+            total(Figure::PeersIn, metrics.datagrams_in_total.get()),
+            total(Figure::PeersOut, metrics.datagrams_out_total.get()),
+            total(Figure::ReportsDropped, metrics.reports_dropped_total.get()),
+            total(Figure::CaptureLost, metrics.capture_calls_lost_total.get()),
+            total(Figure::Invariants, metrics.invariants_broken_total.get()),
+        ];
+        for (reason, label) in INVALID_REASONS.into_iter().zip(&self.invalid_labels) {
+            let value = metrics.invalid_so_far(reason);
+            totals.push(ExternalValue::new(Figure::Invalid, vec![label.clone()], value));
+        }
+        totals
+    }
+
+    /// Adds running totals and gauges of each receiver.
+    fn add_sink_values(&self, totals: &mut Vec<ExternalValue>, gauges: &mut Vec<ExternalValue>) {
+        let receivers = self.sink_stats.receivers.lock().unwrap_or_else(PoisonError::into_inner);
+        for (receiver, counters) in receivers.iter() {
+            let value = |figure, value| ExternalValue::new(figure, vec![receiver.clone()], value);
+            totals.push(value(Figure::SinkSent, counters.sent_bytes));
+            totals.push(value(Figure::SinkCuts, counters.failed_connections));
+            for (reason, count) in &counters.dropped {
+                let labels = vec![receiver.clone(), Arc::from(*reason)];
+                totals.push(ExternalValue::new(Figure::SinkDropped, labels, *count));
+            }
+            gauges.push(value(Figure::SinkWaiting, counters.waiting_bytes));
+        }
+    }
+
+    fn show(&self, interval: &Interval) {
+        self.last_interval.replace(IntervalPage {
+            director: self.name.clone(),
+            ended_at_s: interval.at.secs(),
+            length_s: interval.length.secs(),
+            samples: interval.samples.iter().map(PageSample::new).collect(),
+            causes: self.causes.as_ref().map(Causes::list).unwrap_or_default(),
+        });
+    }
+}
--- /dev/null
+++ b/crates/wingfold-node/src/run.rs
@@ -0,0 +1,95 @@
+//! The process around a director: signals, the configuration at the start and after reloads, exit codes.
+
+use crate::causes::Causes;
+use crate::config::{Config, ConfigError, First};
+use crate::error::{RunError, TaskEnd};
+use crate::log;
+use crate::reload::{self, Readings, Reloader};
+use crate::serve::{serve, Start};
+use std::future::Future;
+use std::io;
+use std::path::PathBuf;
+use std::process::ExitCode;
+use std::sync::Arc;
+use tokio::signal::unix::{signal, SignalKind};
+use tokio::sync::watch;
+use wingfold_settings::own::Own;
+
+/// The whole program: sets up the log, reads the configuration (of `file`, or else of the file that `GW_CONFIG` names) and
+/// serves. `read_own` reads the own settings again at SIGHUP.
+pub fn main(
+    file: Option<PathBuf>,
+    own: Own,
+    read_own: impl Fn() -> Result<Own, String> + Clone + Send + 'static,
+) -> ExitCode {
+    let keeps_causes = own.figures.as_ref().is_some_and(|figures| figures.causes);
+    let causes = keeps_causes.then(Causes::default);
+    let _log = log::start(&own.log, causes.clone());
+    let read_config = move |first| Config::from_env(file.as_deref(), first);
+    match block_on_run(Start { own, causes }, read_config, read_own) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            tracing::error!("{error}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+/// Runs a director on a runtime of its own, which has one thread.
+fn block_on_run(
+    start: Start,
+    read_config: impl Fn(First) -> Result<Config, ConfigError> + Clone + Send + 'static,
+    read_own: impl Fn() -> Result<Own, String> + Clone + Send + 'static,
+) -> Result<(), RunError> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let result = runtime.block_on(run(start, read_config, read_own));
+    // A blocking thread that hangs on a disk is left behind: waiting for it would hold up the end.
+    runtime.shutdown_background();
+    result
+}
+
+/// Serves as a director until SIGTERM or an interrupt. `read` reads the configuration, now and at each SIGHUP; its argument
+/// says whether variables or the file's keys take precedence. `read_own` reads the own settings at each SIGHUP. Both
+/// are called on blocking threads: a file that hangs holds up neither orders nor the end.
+pub async fn run(
+    start: Start,
+    read: impl Fn(First) -> Result<Config, ConfigError> + Clone + Send + 'static,
+    read_own: impl Fn() -> Result<Own, String> + Clone + Send + 'static,
+) -> Result<(), RunError> {
+    // Handlers are installed before anything else: a signal without one ends the process.
+    let hangup = signal(SignalKind::hangup())?;
+    let shutdown = shutdown_signal()?;
+    tokio::pin!(shutdown);
+
+    let read_first = read.clone();
+    let config = tokio::select! {
+        () = &mut shutdown => return Ok(()),
+        config = reload::on_blocking_thread(move || read_first(First::Variable)) => config,
+    };
+    let config = config.ok_or(RunError::Ended(TaskEnd::ReadingConfiguration))??;
+
+    let (config_sender, config) = watch::channel(Arc::new(config));
+    let sinks = start.own.figures.as_ref().map(|figures| figures.sinks.clone()).unwrap_or_default();
+    let (sinks_sender, sinks) = watch::channel(Arc::new(sinks));
+    let reloader = Reloader::new(config_sender, sinks_sender, start.own.clone());
+    let read_both = move || Readings { config: read(First::Key), own: read_own() };
+    let end = async {
+        tokio::select! {
+            () = shutdown => {}
+            () = reloader.run(hangup, read_both) => {}
+        }
+    };
+    serve(config, start, sinks, end).await
+}
+
+/// Waits for SIGTERM or an interrupt. The handlers are installed at once.
+fn shutdown_signal() -> io::Result<impl Future<Output = ()>> {
+    let mut terminate = signal(SignalKind::terminate())?;
+    let mut interrupt = signal(SignalKind::interrupt())?;
+    Ok(async move {
+        tokio::select! {
+            _ = terminate.recv() => tracing::info!("asked to end"),
+            _ = interrupt.recv() => tracing::info!("interrupted"),
+        }
+    })
+}
--- /dev/null
+++ b/crates/wingfold-node/src/sink/group.rs
@@ -0,0 +1,240 @@
+//! A group of receivers: one block of the settings. Renders intervals, and distributes their values where the block has
+//! several addresses.
+
+use super::tcp::TcpSink;
+use super::udp::UdpSink;
+use super::{ReceiverHealth, SinkContext, Work};
+use rand_chacha::ChaCha8Rng;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::mpsc::{channel, Sender};
+use tokio::task::JoinHandle;
+use wingfold_director::interface::Micros;
+use wingfold_figures::collectd::{self, Secrecy};
+use wingfold_figures::graphite::{self, Naming, Point};
+use wingfold_figures::receiver::{Receiver, Rules};
+use wingfold_figures::spread::Ring;
+use wingfold_figures::Interval;
+use wingfold_settings::own::{Collectd, Deal, Graphite, Protocol};
+
+/// Intervals that may wait for a task: it takes them at its next turn, and counts what it drops itself.
+const QUEUE_INTERVALS: usize = 16;
+
+/// How intervals are written.
+#[derive(Clone, PartialEq)]
+enum Renderer {
+    Graphite { naming: Naming, protocol: Protocol },
+    Collectd { director: String, packet_bytes: usize, secrecy: Secrecy },
+}
+
+impl Renderer {
+    fn is_udp(&self) -> bool {
+        match self {
+            Renderer::Graphite { protocol, .. } => *protocol == Protocol::Udp,
+            Renderer::Collectd { .. } => true,
+        }
+    }
+}
+
+/// One block of the settings.
+pub(super) struct GroupSettings<'a> {
+    pub(super) name: &'a str,
+    addresses: &'a [String],
+    /// Assigns names to addresses, where each value goes to one of them.
+    ring: Option<Ring>,
+    renderer: Renderer,
+    rules: &'a Rules,
+}
+
+impl<'a> GroupSettings<'a> {
+    pub(super) fn graphite(settings: &'a Graphite, context: &SinkContext) -> Self {
+        let naming = Naming {
+            prefix: settings.prefix.clone(),
+            director: context.director.clone(),
+            tags: settings.tags,
+        };
+        let ring = match settings.deal {
+            Deal::Hash => Some(Ring::new(&settings.addresses, micros(settings.settle))),
+            Deal::All => None,
+        };
+        GroupSettings {
+            name: &settings.name,
+            addresses: &settings.addresses,
+            ring,
+            renderer: Renderer::Graphite { naming, protocol: settings.protocol },
+            rules: &settings.rules,
+        }
+    }
+
+    pub(super) fn collectd(settings: &'a Collectd, context: &SinkContext) -> Self {
+        let renderer = Renderer::Collectd {
+            director: context.director.clone(),
+            packet_bytes: settings.packet,
+            secrecy: settings.secrecy.clone(),
+        };
+        GroupSettings {
+            name: &settings.name,
+            addresses: std::slice::from_ref(&settings.address),
+            ring: None,
+            renderer,
+            rules: &settings.rules,
+        }
+    }
+
+    /// The name of one receiver in counters and log lines.
+    fn label(&self, address: &str) -> Arc<str> {
+        if self.addresses.len() > 1 {
+            format!("{}-{address}", self.name).into()
+        } else {
+            self.name.into()
+        }
+    }
+}
+
+fn micros(time: Duration) -> Micros {
+    Micros(time.as_micros() as u64)
+}
+
+/// The task of one receiver, and the way to it. The task ends when it is aborted or its queue is closed.
+struct SinkHandle {
+    address: String,
+    queue: Sender<Work>,
+    health: Arc<ReceiverHealth>,
+    task: JoinHandle<()>,
+}
+
+impl SinkHandle {
+    /// Starts the task of the receiver at position `index` of its block.
+    fn start(settings: &GroupSettings<'_>, address: &str, index: usize, context: &SinkContext) -> Self {
+        let label = settings.label(address);
+        tracing::info!(receiver = &*label, address, "sink started");
+        let (queue, work) = channel(QUEUE_INTERVALS);
+        let health = Arc::new(ReceiverHealth::default());
+        // The receiver is in the counters from the start.
+        context.stats.update(&label, |_| ());
+        let task = if settings.renderer.is_udp() {
+            let sink = UdpSink::new(label, address.to_string(), work, context.stats.clone());
+            tokio::spawn(sink.run())
+        } else {
+            let seed = context.seed ^ fnv1a(address) ^ index as u64;
+            let core = Receiver::new(settings.rules.clone(), seed);
+            let sink = TcpSink::new(label, address.to_string(), work, core, context, health.clone());
+            tokio::spawn(sink.run())
+        };
+        SinkHandle { address: address.to_string(), queue, health, task }
+    }
+
+    fn give(&self, work: Work, context: &SinkContext) {
+        if self.queue.try_send(work).is_err() {
+            // The task has not had a turn for many intervals: the whole runtime is late.
+            let label = Arc::from(self.address.as_str());
+            context.stats.update(&label, |counters| counters.count_dropped("late"));
+        }
+    }
+}
+
+/// Spreads the seeds of receivers; it need not be the same anywhere else.
+fn fnv1a(text: &str) -> u64 {
+    const OFFSET_BASIS: u64 = 0xCBF2_9CE4_8422_2325;
+    const PRIME: u64 = 0x100_0000_01B3;
+    text.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
+}
+
+/// A group of receivers, running.
+pub(super) struct Group {
+    /// In the order of the settings.
+    sinks: Vec<SinkHandle>,
+    ring: Option<Ring>,
+    renderer: Renderer,
+}
+
+impl Group {
+    /// Starts the tasks of a group. Receivers of the predecessor at the same address go on, the others are aborted.
+    pub(super) fn start(
+        settings: GroupSettings<'_>,
+        predecessor: Option<Group>,
+        context: &SinkContext,
+    ) -> Group {
+        let mut old = predecessor.map(Group::into_sinks_by_address).unwrap_or_default();
+        let mut sinks = Vec::new();
+        for (index, address) in settings.addresses.iter().enumerate() {
+            let sink = match old.remove(address) {
+                Some(sink) => sink,
+                None => SinkHandle::start(&settings, address, index, context),
+            };
+            sinks.push(sink);
+        }
+        for sink in old.into_values() {
+            sink.task.abort();
+        }
+        Group { sinks, ring: settings.ring, renderer: settings.renderer }
+    }
+
+    fn into_sinks_by_address(self) -> BTreeMap<String, SinkHandle> {
+        self.sinks.into_iter().map(|sink| (sink.address.clone(), sink)).collect()
+    }
+
+    /// Whether intervals are written as these settings say.
+    pub(super) fn renders_like(&self, settings: &GroupSettings<'_>) -> bool {
+        self.renderer == settings.renderer
+    }
+
+    /// Ends all tasks, with what waits for them.
+    pub(super) fn abort(self) {
+        for sink in self.sinks {
+            sink.task.abort();
+        }
+    }
+
+    /// Renders an interval and gives it to the tasks.
+    pub(super) fn send(&mut self, interval: &Interval, context: &SinkContext, random: &mut ChaCha8Rng) {
+        match &self.renderer {
+            Renderer::Collectd { director, packet_bytes, secrecy } => {
+                let lists: Vec<collectd::List> = interval
+                    .samples
+                    .iter()
+                    .filter_map(|sample| collectd::list(director, interval, sample))
+                    .collect();
+                let packets = collectd::packets(&lists, *packet_bytes, secrecy, random);
+                self.sinks[0].give(Work::Datagrams(Arc::new(packets)), context);
+            }
+            Renderer::Graphite { naming, protocol } => {
+                let points = naming.points(interval);
+                let protocol = *protocol;
+                self.send_points(points, interval.number, protocol, context);
+            }
+        }
+    }
+
+    fn send_points(&mut self, points: Vec<Point>, interval: u64, protocol: Protocol, context: &SinkContext) {
+        let Some(ring) = &mut self.ring else {
+            let work = render_points(&points, interval, protocol);
+            for sink in &self.sinks {
+                sink.give(work.clone(), context);
+            }
+            return;
+        };
+        let now = context.clock.now();
+        for (index, sink) in self.sinks.iter().enumerate() {
+            ring.learn(now, index, sink.health.is_down(), sink.health.healthy_since());
+        }
+        let mut points_by_sink: Vec<Vec<Point>> = vec![Vec::new(); self.sinks.len()];
+        for point in points {
+            points_by_sink[ring.of(&point.path)].push(point);
+        }
+        for (sink, points) in self.sinks.iter().zip(&points_by_sink) {
+            if !points.is_empty() {
+                sink.give(render_points(points, interval, protocol), context);
+            }
+        }
+    }
+}
+
+fn render_points(points: &[Point], interval: u64, protocol: Protocol) -> Work {
+    match protocol {
+        Protocol::Plain => Work::Bytes { interval, bytes: graphite::plain(points) },
+        Protocol::Pickle => Work::Bytes { interval, bytes: graphite::pickle(points) },
+        Protocol::Udp => Work::Datagrams(Arc::new(graphite::datagrams(points))),
+    }
+}
--- /dev/null
+++ b/crates/wingfold-node/src/sink/tcp.rs
@@ -0,0 +1,211 @@
+//! The task of one receiver over TCP: carries out what the receiver's core says.
+
+use super::resolve::Resolver;
+use super::{ReceiverHealth, SinkClock, SinkContext, Work};
+use crate::or_never;
+use crate::reporting::SinkStats;
+use std::future::Future;
+use std::io;
+use std::pin::Pin;
+use std::sync::Arc;
+use tokio::io::AsyncWriteExt;
+use tokio::net::{TcpSocket, TcpStream};
+use tokio::sync::mpsc;
+use tokio::time::sleep_until;
+use wingfold_figures::receiver::{Dropped, Input, Order, Receiver};
+
+/// Bytes that the system may hold for a receiver besides its queue: they are in no counter, and a receiver that reads nothing
+/// would be found out only when the buffer is full.
+const SEND_BUFFER_BYTES: u32 = 16 << 10;
+/// Bytes read at once of what a receiver sends; they are thrown away.
+const READ_BUFFER_BYTES: usize = 256;
+
+type PendingConnection = Pin<Box<dyn Future<Output = io::Result<TcpStream>> + Send>>;
+
+/// Bytes that are being written.
+struct PendingWrite {
+    bytes: Arc<[u8]>,
+    /// How many of them have been written.
+    offset: usize,
+}
+
+impl PendingWrite {
+    fn remaining(&self) -> &[u8] {
+        &self.bytes[self.offset..]
+    }
+}
+
+/// One receiver over TCP.
+pub(super) struct TcpSink {
+    label: Arc<str>,
+    address: String,
+    queue: mpsc::Receiver<Work>,
+    core: Receiver,
+    clock: SinkClock,
+    stats: Arc<SinkStats>,
+    health: Arc<ReceiverHealth>,
+    resolver: Resolver,
+    connecting: Option<PendingConnection>,
+    connection: Option<TcpStream>,
+    writing: Option<PendingWrite>,
+}
+
+impl TcpSink {
+    pub(super) fn new(
+        label: Arc<str>,
+        address: String,
+        queue: mpsc::Receiver<Work>,
+        core: Receiver,
+        context: &SinkContext,
+        health: Arc<ReceiverHealth>,
+    ) -> Self {
+        TcpSink {
+            label,
+            address,
+            queue,
+            core,
+            clock: context.clock,
+            stats: context.stats.clone(),
+            health,
+            resolver: Resolver::default(),
+            connecting: None,
+            connection: None,
+            writing: None,
+        }
+    }
+
+    /// Serves the receiver until the queue is closed.
+    pub(super) async fn run(mut self) {
+        let mut orders = Vec::new();
+        while let Some(input) = self.next_input().await {
+            self.core.take(self.clock.now(), input, &mut orders);
+            for order in orders.drain(..) {
+                self.execute(order);
+            }
+            self.health.update(&self.core);
+            self.update_stats();
+        }
+    }
+
+    /// Waits for the next input of the core; `None` when the queue is closed.
+    async fn next_input(&mut self) -> Option<Input> {
+        loop {
+            let due = self.core.due().map(|at| self.clock.instant(at));
+            tokio::select! {
+                work = self.queue.recv() => match work {
+                    Some(Work::Bytes { interval, bytes }) => return Some(Input::Interval(interval, bytes)),
+                    Some(Work::Datagrams(_)) => {}
+                    None => return None,
+                },
+                connected = or_never(self.connecting.as_mut()) => return Some(self.finish_connecting(connected)),
+                written = or_never(self.connection.as_mut().map(|connection| {
+                    write_or_wait(connection, self.writing.as_ref())
+                })) => return Some(self.finish_write(written)),
+                () = or_never(due.map(sleep_until)) => return Some(Input::Tick),
+            }
+        }
+    }
+
+    fn finish_connecting(&mut self, connected: io::Result<TcpStream>) -> Input {
+        self.connecting = None;
+        match connected {
+            Ok(connection) => {
+                self.connection = Some(connection);
+                Input::Up
+            }
+            Err(error) => {
+                tracing::debug!(receiver = &*self.label, %error, "sink cannot connect");
+                Input::Down
+            }
+        }
+    }
+
+    fn finish_write(&mut self, written: io::Result<usize>) -> Input {
+        match written {
+            Ok(count) => {
+                self.advance_write(count);
+                Input::Took(count)
+            }
+            Err(error) => {
+                tracing::debug!(receiver = &*self.label, %error, "sink connection ended");
+                self.connection = None;
+                self.writing = None;
+                Input::Down
+            }
+        }
+    }
+
+    fn advance_write(&mut self, count: usize) {
+        let Some(write) = &mut self.writing else { return };
+        write.offset += count;
+        if write.remaining().is_empty() {
+            self.writing = None;
+        }
+    }
+
+    fn execute(&mut self, order: Order) {
+        match order {
+            Order::Dial => {
+                self.connecting = Some(Box::pin(connect(self.address.clone(), self.resolver.clone())));
+            }
+            Order::Write(bytes, offset) => self.writing = Some(PendingWrite { bytes, offset }),
+            Order::Hang => {
+                self.connecting = None;
+                self.connection = None;
+                self.writing = None;
+            }
+        }
+    }
+
+    fn update_stats(&self) {
+        let core = &self.core;
+        self.stats.update(&self.label, |counters| {
+            for (reason, count) in [Dropped::Full, Dropped::Large].iter().zip(core.counts.dropped) {
+                if count > 0 {
+                    counters.dropped.insert(reason.name(), count);
+                }
+            }
+            counters.waiting_bytes = core.waiting() as u64;
+            counters.sent_bytes = core.counts.sent;
+            counters.failed_connections = core.counts.cuts;
+        });
+    }
+}
+
+async fn connect(address: String, resolver: Resolver) -> io::Result<TcpStream> {
+    let address = resolver.resolve(&address).await?;
+    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
+    let connection = socket.connect(address).await?;
+    connection.set_nodelay(true)?;
+    Ok(connection)
+}
+
+/// Writes some of what is to be written, and returns how many bytes; with nothing to write, waits for the end of the
+/// connection.
+async fn write_or_wait(connection: &mut TcpStream, writing: Option<&PendingWrite>) -> io::Result<usize> {
+    let Some(write) = writing else { return Err(wait_for_end(connection).await) };
+    match connection.write(write.remaining()).await? {
+        0 => Err(ended_by_receiver()),
+        count => Ok(count),
+    }
+}
+
+/// Waits for the end of the connection. A receiver sends nothing: what it sends all the same is thrown away.
+async fn wait_for_end(connection: &TcpStream) -> io::Error {
+    loop {
+        if let Err(error) = connection.readable().await {
+            return error;
+        }
+        match connection.try_read(&mut [0; READ_BUFFER_BYTES]) {
+            Ok(0) => return ended_by_receiver(),
+            Ok(_) => {}
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            Err(error) => return error,
+        }
+    }
+}
+
+fn ended_by_receiver() -> io::Error {
+    io::Error::new(io::ErrorKind::ConnectionReset, "the receiver ended it")
+}
