--- a/crates/wingfold-node/src/causes.rs
+++ b/crates/wingfold-node/src/causes.rs
@@ -1,5 +1,5 @@
-//! Causes: the slowest and the failed of each stage, kept within a bound. The stages' spans are `tracing`'s; this layer
-//! looks on and remembers.
+//! Causes: the slowest and the failed of each stage, kept within a bound. The stages' spans are `tracing`'s; a layer of the
+//! subscriber observes them.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -12,51 +12,84 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::Layer;
 
-/// The target of stages' spans: nothing else is looked at.
+/// The target of stages' spans; no other span is observed.
 pub const TARGET: &str = "wingfold::stage";
-/// So many of the slowest, and of the failed, are kept of each stage.
+/// Number of the slowest, and of the failed, that are kept of each stage.
 const KEPT: usize = 8;
-/// A slow one of this long ago makes room for any newer one.
-const OLD: Duration = Duration::from_secs(300);
+/// A slow one that ended this long ago makes room for any newer one.
+const SLOW_EXPIRY: Duration = Duration::from_secs(300);
 
-/// One stage's work that was slow or failed.
+/// One run of a stage that was slow or failed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Cause {
-    /// The stage: take in, admit, route, send, relay, metrics.
+    /// The stage: take in, admit, route, send, relay, book.
     pub stage: &'static str,
-    /// The number of the module's call, where there is one.
+    /// The number of the decision module's call, where there is one.
     pub call: Option<u64>,
     /// How long it took, in microseconds.
     pub took_us: u64,
-    /// When it ended, in seconds of the world's clock.
-    pub at: f64,
+    /// When it ended, in seconds of Unix time.
+    #[serde(rename = "at")]
+    pub ended_at_s: f64,
     /// What failed.
     pub failed: Option<String>,
 }
 
+#[derive(Clone, Debug)]
+struct KeptCause {
+    ended: Instant,
+    cause: Cause,
+}
+
+/// What is kept of one stage.
 #[derive(Debug, Default)]
-struct Kept {
-    slow: Vec<(Instant, Cause)>,
-    failed: Vec<(Instant, Cause)>,
+struct StageCauses {
+    /// The slowest first.
+    slow: Vec<KeptCause>,
+    /// The oldest first.
+    failed: Vec<KeptCause>,
+}
+
+impl StageCauses {
+    fn keep_failed(&mut self, cause: KeptCause) {
+        if self.failed.len() == KEPT {
+            self.failed.remove(0);
+        }
+        self.failed.push(cause);
+    }
+
+    fn keep_slow(&mut self, new: KeptCause) {
+        if self.slow.len() == KEPT {
+            self.slow.retain(|kept| new.ended.duration_since(kept.ended) < SLOW_EXPIRY);
+        }
+        let is_full = self.slow.len() == KEPT;
+        if is_full && self.slow.last().is_some_and(|least| least.cause.took_us >= new.cause.took_us) {
+            return;
+        }
+        self.slow.push(new);
+        self.slow.sort_by_key(|kept| std::cmp::Reverse(kept.cause.took_us));
+        self.slow.truncate(KEPT);
+    }
 }
 
-/// What is kept, by stage.
+/// The causes kept, by stage: a layer for `tracing`'s subscriber.
 #[derive(Clone, Debug, Default)]
-pub struct Causes(Arc<Mutex<BTreeMap<&'static str, Kept>>>);
+pub struct Causes(Arc<Mutex<BTreeMap<&'static str, StageCauses>>>);
 
 /// What a span carries until it closes.
-struct Open {
-    began: Instant,
+struct OpenSpan {
+    started: Instant,
     call: Option<u64>,
     failed: Option<String>,
 }
 
-impl Visit for Open {
+impl Visit for OpenSpan {
     fn record_u64(&mut self, field: &Field, value: u64) {
         if field.name() == "call" {
             self.call = Some(value);
         }
     }
+
     fn record_debug(&mut self, field: &Field, value: &dyn std::fmt::Debug) {
         if field.name() == "failed" {
             self.failed = Some(crate::log::plain(&format!("{value:?}")));
@@ -65,69 +98,55 @@
 }
 
 impl Causes {
-    /// All that is kept, stage by stage: the failed first, then the slowest.
+    /// All that is kept, stage by stage: the failed first, newest first, then the slowest.
     pub fn list(&self) -> Vec<Cause> {
-        let kept = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let all = kept.values().flat_map(|stage| stage.failed.iter().rev().chain(&stage.slow));
-        all.map(|(_, cause)| cause.clone()).collect()
+        let stages = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let kept = stages.values().flat_map(|stage| stage.failed.iter().rev().chain(&stage.slow));
+        kept.map(|kept| kept.cause.clone()).collect()
     }
 
-    fn keep(&self, now: Instant, cause: Cause) {
-        let mut kept = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let stage = kept.entry(cause.stage).or_default();
-        if cause.failed.is_some() {
-            if stage.failed.len() == KEPT {
-                stage.failed.remove(0);
-            }
-            stage.failed.push((now, cause));
-            return;
-        }
-        if stage.slow.len() == KEPT {
-            stage.slow.retain(|(at, _)| now.duration_since(*at) < OLD);
+    fn keep(&self, cause: KeptCause) {
+        let mut stages = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let stage = stages.entry(cause.cause.stage).or_default();
+        if cause.cause.failed.is_some() {
+            stage.keep_failed(cause);
+        } else {
+            stage.keep_slow(cause);
         }
-        if stage.slow.len() == KEPT
-            && stage.slow.last().is_some_and(|(_, least)| least.took_us >= cause.took_us)
-        {
-            return;
-        }
-        stage.slow.push((now, cause));
-        stage.slow.sort_by_key(|(_, cause)| std::cmp::Reverse(cause.took_us));
-        stage.slow.truncate(KEPT);
     }
 }
 
 impl<S: Subscriber + for<'a> LookupSpan<'a>> Layer<S> for Causes {
     fn on_new_span(&self, attributes: &Attributes<'_>, id: &Id, context: Context<'_, S>) {
         let Some(span) = context.span(id).filter(|span| span.metadata().target() == TARGET) else { return };
-        let mut open = Open { began: Instant::now(), call: None, failed: None };
+        let mut open = OpenSpan { started: Instant::now(), call: None, failed: None };
         attributes.record(&mut open);
         span.extensions_mut().insert(open);
     }
 
     fn on_record(&self, id: &Id, values: &Record<'_>, context: Context<'_, S>) {
-        if let Some(span) = context.span(id) {
-            if let Some(open) = span.extensions_mut().get_mut::<Open>() {
-                values.record(open);
-            }
-        }
+        let Some(span) = context.span(id) else { return };
+        if let Some(open) = span.extensions_mut().get_mut::<OpenSpan>() {
+            values.record(open);
+        };
     }
 
     fn on_close(&self, id: Id, context: Context<'_, S>) {
         let Some(span) = context.span(&id) else { return };
-        let Some(open) = span.extensions_mut().remove::<Open>() else { return };
+        let Some(open) = span.extensions_mut().remove::<OpenSpan>() else { return };
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let cause = Cause {
             stage: span.metadata().name(),
             call: open.call,
-            took_us: open.began.elapsed().as_micros() as u64,
-            at: unix.as_secs_f64(),
+            took_us: open.started.elapsed().as_micros() as u64,
+            ended_at_s: unix.as_secs_f64(),
             failed: open.failed,
         };
-        self.keep(Instant::now(), cause);
+        self.keep(KeptCause { ended: Instant::now(), cause });
     }
 }
 
-/// A stage's span: `stage!("route", call = 7)`. It costs next to nothing where nobody looks on.
+/// A stage's span: `stage!("route", call = 7)`. It costs next to nothing where no layer observes it.
 #[macro_export]
 macro_rules! stage {
     ($name:literal $(, $field:ident = $value:expr)*) => {
@@ -135,8 +154,8 @@
     };
 }
 
-/// What the layer wants to see of all spans.
-pub fn wanted(metadata: &tracing::Metadata<'_>) -> bool {
+/// Whether the layer observes a span.
+pub fn is_stage(metadata: &tracing::Metadata<'_>) -> bool {
     metadata.is_span() && metadata.target() == TARGET && *metadata.level() <= Level::DEBUG
 }
 
--- a/crates/wingfold-node/src/causes/tests.rs
+++ b/crates/wingfold-node/src/causes/tests.rs
@@ -4,9 +4,9 @@
 #[test]
 fn the_slowest_and_the_failed_are_kept_within_a_bound() {
     let causes = Causes::default();
-    let layer = causes.clone().with_filter(tracing_subscriber::filter::filter_fn(wanted));
-    let looking = tracing_subscriber::registry().with(layer);
-    tracing::subscriber::with_default(looking, || {
+    let layer = causes.clone().with_filter(tracing_subscriber::filter::filter_fn(is_stage));
+    let subscriber = tracing_subscriber::registry().with(layer);
+    tracing::subscriber::with_default(subscriber, || {
         for call in 0..100u64 {
             let span = crate::stage!("route", call = call, failed = tracing::field::Empty);
             let _in = span.enter();
--- a/crates/wingfold-node/src/clock.rs
+++ b/crates/wingfold-node/src/clock.rs
@@ -1,36 +1,44 @@
-//! The time: Unix time read once at the start, and monotonic time since then. It never goes back, whatever is
-//! done to the system's clock, and a host's start that discovery tells in Unix time lies on the same scale.
+//! The time: Unix time read once at the start, and monotonic time since then. It never goes back, whatever is done to the
+//! system's clock, and a host's start that discovery gives in Unix time lies on the same scale.
 
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
-use wingfold_director::interface::Timestamp;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use wingfold_director::interface::{Micros, Timestamp};
 
-/// Tells the time.
+/// When a timer wakes that lies beyond the range of the system's clock: it looks again then.
+const FAR_FUTURE: Duration = Duration::from_secs(24 * 60 * 60);
+
+/// The director's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    unix: u64,
+    /// Unix time at the start, in microseconds.
+    started_at_us: u64,
     started: Instant,
 }
 
 impl Clock {
-    /// Reads the system's clocks.
+    /// Starts the clock at the system's Unix time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: unix.as_micros() as u64, started: Instant::now() }
+        Clock { started_at_us: unix.as_micros() as u64, started: Instant::now() }
     }
 
     /// The time now.
     pub fn now(&self) -> Timestamp {
-        Timestamp(self.unix + self.started.elapsed().as_micros() as u64)
+        Timestamp(self.started_at_us + self.started.elapsed().as_micros() as u64)
     }
 
-    /// When a time falls due on the runtime's clock; one that has passed is due at once.
+    /// The instant of a time on the runtime's clock; one before the start is that of the start.
     pub fn instant(&self, at: Timestamp) -> tokio::time::Instant {
-        let after = std::time::Duration::from_micros(at.0.saturating_sub(self.unix));
-        let due = self.started.checked_add(after);
-        // A time beyond what can be told apart is as good as a day away: the sleeper looks again then.
-        due.unwrap_or_else(|| self.started + std::time::Duration::from_secs(86_400)).into()
+        let after_start = Duration::from_micros(at.0.saturating_sub(self.started_at_us));
+        let instant = self.started.checked_add(after_start);
+        instant.unwrap_or_else(|| self.started + FAR_FUTURE).into()
     }
 }
 
+/// A duration in the decision module's unit.
+pub fn micros(duration: Duration) -> Micros {
+    Micros(duration.as_micros() as u64)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/wingfold-node/src/collectd.rs
+++ b/crates/wingfold-node/src/collectd.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Clock;
 use crate::inbox::{Inbox, News};
-use crate::metrics::{Count, Metrics};
+use crate::metrics::{MetricValue, Metrics};
 use crate::startup::CollectdSocket;
 use std::sync::Arc;
 use tokio::net::UdpSocket;
@@ -67,7 +67,7 @@
 }
 
 impl Metrics {
-    fn collectd_rejected(&self, reason: Refused) -> &Count {
+    fn collectd_rejected(&self, reason: Refused) -> &MetricValue {
         match reason {
             Refused::Form => &self.collectd_refused_form_total,
             Refused::Open => &self.collectd_refused_open_total,
--- a/crates/wingfold-node/src/discovery.rs
+++ b/crates/wingfold-node/src/discovery.rs
@@ -166,7 +166,7 @@
 
     fn start_call(&self, request: CallRequest) -> Call {
         self.metrics.list_calls_total.one();
-        Call::start(request, self.http.clone(), self.address, self.bounds.list_answer)
+        Call::start(request, self.http.clone(), self.address, self.bounds.list_response_time)
     }
 
     /// Handles the end of a call of the watch; after a success the next call follows.
@@ -179,7 +179,7 @@
         }
         let is_polling = delivery == Delivery::Unchanged && call.was_answered_early();
         let pause = if is_polling { EARLY_ANSWER_PAUSE } else { Duration::ZERO };
-        self.watch = Some(self.start_watch_call(pause, self.bounds.watch));
+        self.watch = Some(self.start_watch_call(pause, self.bounds.watch_wait));
         // This response includes whatever the abandoned calls could still bring.
         self.abandoned.clear();
     }
@@ -321,5 +321,5 @@
 
 /// Calls to discovery reuse their connection.
 fn http_client(bounds: &Bounds) -> HttpClient {
-    HttpClient::new(bounds.list_answer, bounds.watch, bounds.list_bytes)
+    HttpClient::new(bounds.list_response_time, bounds.watch_wait, bounds.max_list_bytes)
 }
--- a/crates/wingfold-node/src/engine.rs
+++ b/crates/wingfold-node/src/engine.rs
@@ -15,7 +15,7 @@
 use crate::metrics::Metrics;
 use crate::outbox::{Link, Slow};
 use crate::peers::PeerSocket;
-use crate::recorder::Dumps;
+use crate::recorder::CaptureDumper;
 use crate::reporting::MetricsReporter;
 use crate::tables::{Order, Tables};
 use crate::{log, or_never, stage};
@@ -69,7 +69,7 @@
     /// Writes each call down, where that is switched on.
     pub tap: Option<Tap<Mailbox>>,
     /// Writes out what a capture in memory holds.
-    pub dumps: Option<Dumps>,
+    pub dumps: Option<CaptureDumper>,
     /// Counts for receivers of figures, where that is switched on.
     pub figures: Option<MetricsReporter>,
 }
@@ -292,7 +292,7 @@
         if let Some(dumps) =
             self.dumps.as_ref().filter(|_| self.metrics.invariants_broken_total.get() > broken)
         {
-            dumps.invariant();
+            dumps.dump_after_invariant();
         }
     }
 
--- a/crates/wingfold-node/src/engine/tests.rs
+++ b/crates/wingfold-node/src/engine/tests.rs
@@ -22,7 +22,7 @@
         discovery: tokio::sync::mpsc::unbounded_channel().0,
         post: None,
         addresses: EndpointAddresses::default(),
-        most_hosts: config.bounds.hosts,
+        most_hosts: config.bounds.max_hosts,
         refusals: Seldom::default(),
         channel: Channel { pace: 1e6, overhead: 4.0, most: 1e6, ..Channel::default() },
         metrics,
--- a/crates/wingfold-node/src/health_check.rs
+++ b/crates/wingfold-node/src/health_check.rs
@@ -59,9 +59,9 @@
 impl HealthChecker {
     /// A health checker within these bounds.
     pub fn new(bounds: &Bounds, inbox: Inbox, metrics: Arc<Metrics>) -> Self {
-        let http = HttpClient::new(bounds.connect, IDLE_TIMEOUT, MAX_REPORT_BYTES);
-        let permits = Arc::new(Semaphore::new(bounds.probes));
-        HealthChecker { http, timeout: bounds.probe, permits, inbox, metrics }
+        let http = HttpClient::new(bounds.health_check_connect_timeout, IDLE_TIMEOUT, MAX_REPORT_BYTES);
+        let permits = Arc::new(Semaphore::new(bounds.max_health_checks));
+        HealthChecker { http, timeout: bounds.health_check_timeout, permits, inbox, metrics }
     }
 
     /// Starts the health check of a host and returns at once; the outcome arrives in the inbox. It has failed if the host
--- a/crates/wingfold-node/src/log/tests.rs
+++ b/crates/wingfold-node/src/log/tests.rs
@@ -5,8 +5,8 @@
     let (seldom, start) = (Seldom::default(), Instant::now());
     let after = |secs: u64| seldom.line_at(start + Duration::from_secs(secs));
     let written = (0..1000).filter(|_| after(1).is_some()).count();
-    assert_eq!(written, LINES_A_SPAN as usize);
-    assert_eq!(after(12), Some(1000 - u64::from(LINES_A_SPAN)));
+    assert_eq!(written, LINES_PER_SPAN as usize);
+    assert_eq!(after(12), Some(1000 - u64::from(LINES_PER_SPAN)));
     assert_eq!(after(12), Some(0));
 }
 
--- a/crates/wingfold-node/src/metrics.rs
+++ b/crates/wingfold-node/src/metrics.rs
@@ -1,54 +1,60 @@
-//! Books what happened: counters for `/metrics`, and the check of what must always hold.
+//! Counters for `/metrics`, and the check of invariants.
 
 use crate::message::Invalid;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// One figure of the metrics.
+/// One value of the metrics: a counter or a gauge.
 #[derive(Debug, Default)]
-pub struct Count(AtomicU64);
+pub struct MetricValue(AtomicU64);
 
-impl Count {
-    /// Counts one.
+impl MetricValue {
+    /// Adds one to a counter.
     pub fn one(&self) {
         self.add(1);
     }
-    /// Counts several.
-    pub fn add(&self, more: u64) {
-        self.0.fetch_add(more, Ordering::Relaxed);
+
+    /// Adds to a counter.
+    pub fn add(&self, count: u64) {
+        self.0.fetch_add(count, Ordering::Relaxed);
     }
-    /// Notes a figure that goes up and down.
-    pub fn set(&self, to: u64) {
-        self.0.store(to, Ordering::Relaxed);
+
+    /// Sets a gauge.
+    pub fn set(&self, value: u64) {
+        self.0.store(value, Ordering::Relaxed);
     }
-    /// Keeps the largest figure seen.
-    pub fn at_least(&self, seen: u64) {
-        self.0.fetch_max(seen, Ordering::Relaxed);
+
+    /// Raises a gauge that holds the largest value so far.
+    pub fn at_least(&self, value: u64) {
+        self.0.fetch_max(value, Ordering::Relaxed);
     }
-    /// The figure now.
+
+    /// The value now.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
 macro_rules! metrics {
-    ($($name:ident: $kind:literal, $what:literal;)*) => {
-        /// The figures of one director, shared by all of its stages.
+    ($($name:ident: $kind:literal, $help:literal;)*) => {
+        /// The metrics of one director, shared by all of its stages. Each field is exported under its name, with `wingfold_`
+        /// before it.
         #[derive(Debug, Default)]
         pub struct Metrics {
-            $(#[doc = $what] pub $name: Count,)*
+            $(#[doc = $help] pub $name: MetricValue,)*
         }
 
         impl Metrics {
-            /// The figures in the Prometheus text format.
+            /// All values in the Prometheus text format.
             pub fn text(&self) -> String {
-                let mut out = String::new();
+                let mut text = String::new();
                 $(
-                    let (name, value) = (concat!("wingfold_", stringify!($name)), self.$name.get());
-                    let _ = writeln!(out, concat!("# HELP {} ", $what), name);
-                    let _ = writeln!(out, concat!("# TYPE {} ", $kind, "\n{} {}"), name, name, value);
+                    let name = concat!("wingfold_", stringify!($name));
+                    let value = self.$name.get();
+                    let _ = writeln!(text, concat!("# HELP {} ", $help), name);
+                    let _ = writeln!(text, concat!("# TYPE {} ", $kind, "\n{} {}"), name, name, value);
                 )*
-                out
+                text
             }
         }
     };
@@ -120,7 +126,7 @@
     requests_http_total: "counter", "HTTP requests answered.";
 }
 
-/// States what must hold: debug builds stop, release builds count and log it.
+/// Checks what must hold: debug builds panic where it does not, release builds count and log it.
 #[macro_export]
 macro_rules! invariant {
     ($metrics:expr, $holds:expr, $($text:tt)+) => {{
@@ -134,18 +140,18 @@
 }
 
 impl Metrics {
-    /// Counts a message that was dropped, by its reason.
-    pub fn invalid(&self, why: Invalid) {
-        self.invalid_for(why).one();
+    /// Counts an invalid message that was dropped.
+    pub fn invalid(&self, reason: Invalid) {
+        self.invalid_for(reason).one();
     }
 
-    /// Messages dropped for a reason so far.
-    pub fn invalid_so_far(&self, why: Invalid) -> u64 {
-        self.invalid_for(why).get()
+    /// Invalid messages dropped for a reason so far.
+    pub fn invalid_so_far(&self, reason: Invalid) -> u64 {
+        self.invalid_for(reason).get()
     }
 
-    fn invalid_for(&self, why: Invalid) -> &Count {
-        match why {
+    fn invalid_for(&self, reason: Invalid) -> &MetricValue {
+        match reason {
             Invalid::Form => &self.messages_invalid_form_total,
             Invalid::Range => &self.messages_invalid_range_total,
             Invalid::Name => &self.messages_invalid_name_total,
@@ -154,13 +160,13 @@
         }
     }
 
-    /// Messages of clients that were dropped, by reason: form, range, name, turn, mark.
+    /// Invalid messages by reason: form/range/name/turn/mark.
     fn invalid_counts(&self) -> String {
         let reasons = [Invalid::Form, Invalid::Range, Invalid::Name, Invalid::Turn, Invalid::Mark];
-        reasons.map(|why| self.invalid_for(why).get().to_string()).join("/")
+        reasons.map(|reason| self.invalid_for(reason).get().to_string()).join("/")
     }
 
-    /// Writes the main figures to the log, as one line.
+    /// Logs the main counters as one line.
     pub fn log(&self) {
         tracing::info!(
             joined = self.streams_joined.get(),
--- a/crates/wingfold-node/src/ops.rs
+++ b/crates/wingfold-node/src/ops.rs
@@ -1,8 +1,9 @@
-//! What operators ask for: `/healthz` and `/metrics`, by axum, on the same listener as the proxies' protocol.
+//! HTTP for operators: `/healthz`, `/metrics`, `/figures` and `/capture/dump`, by axum, on the same listener as the proxies'
+//! protocol.
 
 use crate::admission::Admission;
 use crate::metrics::Metrics;
-use crate::recorder::Dumps;
+use crate::recorder::CaptureDumper;
 use crate::reporting::LastInterval;
 use axum::extract::State;
 use axum::http::{header, HeaderMap, StatusCode};
@@ -15,62 +16,73 @@
 use std::sync::Arc;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// A request's head holds a few lines; hyper needs so much at least.
-const HEAD_BYTES: usize = 8 << 10;
+/// Bytes buffered of a request, the least that hyper allows: its head holds a few lines.
+const MAX_BUFFER_BYTES: usize = 8 << 10;
 
-/// The pages; `dumps` only where a capture in memory may be asked for.
-pub fn router(metrics: Arc<Metrics>, dumps: Option<Dumps>, shown: Option<LastInterval>) -> Router {
-    let pages =
-        Router::new().route("/healthz", get(health)).route("/metrics", get(counters)).with_state(metrics);
-    let pages = match shown {
-        None => pages,
-        Some(shown) => pages.merge(Router::new().route("/figures", get(figures)).with_state(shown)),
-    };
-    match dumps.filter(Dumps::asked) {
-        None => pages,
-        Some(dumps) => pages.merge(Router::new().route("/capture/dump", post(dump)).with_state(dumps)),
+/// The routes; `/figures` only where intervals are kept, `/capture/dump` only where dumps may be requested.
+pub fn router(
+    metrics: Arc<Metrics>,
+    dumper: Option<CaptureDumper>,
+    last_interval: Option<LastInterval>,
+) -> Router {
+    let mut router = Router::new()
+        .route("/healthz", get(get_health))
+        .route("/metrics", get(get_metrics))
+        .with_state(metrics);
+    if let Some(last_interval) = last_interval {
+        router = router.merge(Router::new().route("/figures", get(get_interval)).with_state(last_interval));
     }
-}
-
-/// The last interval and what was slow or failed, for `wingfold figures watch`.
-async fn figures(State(shown): State<LastInterval>) -> impl IntoResponse {
-    let text = serde_json::to_string(&shown.page()).unwrap_or_default();
-    ([(header::CONTENT_TYPE, "application/json")], text)
-}
-
-/// Has the capture in memory written out, for those who know the token. It is answered at once: the disk may be slow.
-async fn dump(State(dumps): State<Dumps>, headers: HeaderMap) -> (StatusCode, String) {
-    let token =
-        headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok()?.strip_prefix("Bearer "));
-    match token.is_some_and(|token| dumps.admits(token)) {
-        false => (StatusCode::UNAUTHORIZED, "the token is missing or wrong\n".into()),
-        true => match dumps.write("asked for") {
-            Some(folder) => (StatusCode::ACCEPTED, format!("being written to {}\n", folder.display())),
-            None => (StatusCode::TOO_MANY_REQUESTS, "written out less than ten seconds ago\n".into()),
-        },
+    if let Some(dumper) = dumper.filter(CaptureDumper::accepts_requests) {
+        router = router.merge(Router::new().route("/capture/dump", post(post_dump)).with_state(dumper));
     }
+    router
 }
 
 /// 200 once the decision module has answered for the first time.
-async fn health(State(metrics): State<Arc<Metrics>>) -> (StatusCode, &'static str) {
+async fn get_health(State(metrics): State<Arc<Metrics>>) -> (StatusCode, &'static str) {
     metrics.requests_http_total.one();
-    match metrics.answers_total.get() {
-        0 => (StatusCode::SERVICE_UNAVAILABLE, "starting\n"),
-        _ => (StatusCode::OK, "ok\n"),
+    if metrics.answers_total.get() == 0 {
+        (StatusCode::SERVICE_UNAVAILABLE, "starting\n")
+    } else {
+        (StatusCode::OK, "ok\n")
     }
 }
 
-async fn counters(State(metrics): State<Arc<Metrics>>) -> impl IntoResponse {
+/// All counters in the Prometheus text format.
+async fn get_metrics(State(metrics): State<Arc<Metrics>>) -> impl IntoResponse {
     metrics.requests_http_total.one();
     ([(header::CONTENT_TYPE, "text/plain; version=0.0.4")], metrics.text())
 }
 
-/// Serves one connection whose first bytes begin a request. It keeps its place among the unidentified connections, and its caller
-/// ends it with their deadline.
+/// The last interval and the causes, for `wingfold figures watch`.
+async fn get_interval(State(last_interval): State<LastInterval>) -> impl IntoResponse {
+    let text = serde_json::to_string(&last_interval.page()).unwrap_or_default();
+    ([(header::CONTENT_TYPE, "application/json")], text)
+}
+
+/// Has the capture in memory dumped, for those who know the token. Answers at once: the disk may be slow.
+async fn post_dump(State(dumper): State<CaptureDumper>, headers: HeaderMap) -> (StatusCode, String) {
+    if !bearer_token(&headers).is_some_and(|token| dumper.is_authorized(token)) {
+        return (StatusCode::UNAUTHORIZED, "the token is missing or wrong\n".into());
+    }
+    match dumper.dump("asked for") {
+        Some(folder) => (StatusCode::ACCEPTED, format!("being written to {}\n", folder.display())),
+        None => (StatusCode::TOO_MANY_REQUESTS, "written out less than ten seconds ago\n".into()),
+    }
+}
+
+fn bearer_token(headers: &HeaderMap) -> Option<&str> {
+    headers.get(header::AUTHORIZATION)?.to_str().ok()?.strip_prefix("Bearer ")
+}
+
+/// Serves one connection whose first bytes begin a request. It keeps its place among the unidentified connections, and its
+/// caller ends it with their deadline.
 pub async fn serve(connection: impl AsyncRead + AsyncWrite + Unpin, admission: &Arc<Admission>) {
     let service = TowerToHyperService::new(admission.router.clone());
     let mut server = http1::Builder::new();
-    server.timer(TokioTimer::new()).header_read_timeout(admission.bounds.naming).max_buf_size(HEAD_BYTES);
+    server.timer(TokioTimer::new());
+    server.header_read_timeout(admission.bounds.naming);
+    server.max_buf_size(MAX_BUFFER_BYTES);
     if let Err(error) = server.serve_connection(TokioIo::new(connection), service).await {
         tracing::debug!(%error, "HTTP connection ended");
     }
--- a/crates/wingfold-node/src/parts.rs
+++ b/crates/wingfold-node/src/parts.rs
@@ -12,7 +12,7 @@
 use crate::list::EndpointAddresses;
 use crate::metrics::Metrics;
 use crate::peers::PeerSocket;
-use crate::recorder::{self, Dumps};
+use crate::recorder::{self, CaptureDumper, Recording};
 use crate::reporting::{IntervalReceiver, MetricsReporter};
 use crate::serve::Start;
 use crate::sink::SinkDispatcher;
@@ -21,7 +21,7 @@
 use crate::{log, ops};
 use std::sync::Arc;
 use tokio::net::TcpListener;
-use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::watch;
 use wingfold_director::interface::Settings;
 use wingfold_director::Director;
@@ -48,8 +48,8 @@
     pub peers: Option<Arc<PeerSocket>>,
     /// Sends intervals of metrics to the sinks, where that is switched on.
     pub sinks: Option<SinkDispatcher>,
-    /// Writes out what a capture in memory holds, where that is switched on.
-    pub dumps: Option<Dumps>,
+    /// Dumps and ends the capture, where that is switched on.
+    pub dumper: Option<CaptureDumper>,
 }
 
 impl Parts {
@@ -64,73 +64,90 @@
         metrics: &Arc<Metrics>,
     ) -> Result<Parts, RunError> {
         let (inbox, engine_inbox) = inbox::inbox(config.bounds.reports, metrics.clone());
-        let (tap, dumps) = match start.own.capture {
-            Some(capture) => recorder::start(capture, config, clock.now(), metrics.clone()).map(Some)?,
+        let recording = match start.own.capture {
+            Some(capture) => Some(recorder::start(capture, config, clock.now(), metrics.clone())?),
             None => None,
-        }
-        .unzip();
+        };
+        let dumper = recording.as_ref().map(|recording| recording.dumper.clone());
         let director = Director::new(config.settings.clone(), config.seed);
-        let (reporter, intervals) = match &start.own.figures {
-            Some(figures) => {
-                Some(MetricsReporter::new(config, figures.interval, start.causes, clock.now(), &director))
-            }
-            None => None,
-        }
-        .unzip();
-        let admission = build_admission(config, &inbox, metrics, dumps.clone(), reporter.as_ref());
+        let reporting = start.own.figures.map(|figures| {
+            MetricsReporter::new(config, figures.interval, start.causes, clock.now(), &director)
+        });
+        let (reporter, intervals) = reporting.unzip();
+        let admission = build_admission(config, &inbox, metrics, dumper.clone(), reporter.as_ref());
         log_missing_places(&config.bounds);
-        let (command_sender, commands) = unbounded_channel();
         let sinks = build_sinks(config, intervals, reporter.as_ref());
-        let engine = Engine {
-            tables: Tables::new(&config.names.classes),
-            director,
-            clock,
-            discovery: command_sender,
-            prober: HealthChecker::new(&config.bounds, inbox.clone(), metrics.clone()),
-            post: sockets.peers.clone(),
-            addresses: EndpointAddresses::default(),
-            most_hosts: config.bounds.hosts,
-            refusals: log::Seldom::default(),
-            channel: send_channel(&config.settings),
-            metrics: metrics.clone(),
-            links: Default::default(),
-            timers: Default::default(),
-            calls: 0,
-            tap,
-            dumps: dumps.clone(),
-            figures: reporter,
-        };
-        let discovery = DiscoveryClient::new(reloads, inbox.clone(), metrics.clone());
         let collectd = sockets
             .collectd
             .map(|collectd| CollectdReceiver::new(collectd, clock, inbox.clone(), metrics.clone()));
+        let (command_sender, commands) = unbounded_channel();
+        let outputs =
+            EngineOutputs { commands: command_sender, peers: sockets.peers.clone(), recording, reporter };
         Ok(Parts {
-            engine,
+            engine: build_engine(config, director, clock, &inbox, metrics, outputs),
+            discovery: DiscoveryClient::new(reloads, inbox.clone(), metrics.clone()),
             inbox,
             engine_inbox,
-            discovery,
             commands,
             listener: sockets.listener,
             admission,
             collectd,
             peers: sockets.peers,
             sinks,
-            dumps,
+            dumper,
         })
     }
 }
 
+/// Where the engine passes on what the decision module orders, and what records its calls.
+struct EngineOutputs {
+    commands: UnboundedSender<DiscoveryCommand>,
+    peers: Option<Arc<PeerSocket>>,
+    recording: Option<Recording>,
+    reporter: Option<MetricsReporter>,
+}
+
+fn build_engine(
+    config: &Config,
+    director: Director,
+    clock: Clock,
+    inbox: &Inbox,
+    metrics: &Arc<Metrics>,
+    outputs: EngineOutputs,
+) -> Engine {
+    let (tap, dumps) = outputs.recording.map(|recording| (recording.tap, recording.dumper)).unzip();
+    Engine {
+        tables: Tables::new(&config.names.classes),
+        director,
+        clock,
+        discovery: outputs.commands,
+        prober: HealthChecker::new(&config.bounds, inbox.clone(), metrics.clone()),
+        post: outputs.peers,
+        addresses: EndpointAddresses::default(),
+        most_hosts: config.bounds.max_hosts,
+        refusals: log::Seldom::default(),
+        channel: send_channel(&config.settings),
+        metrics: metrics.clone(),
+        links: Default::default(),
+        timers: Default::default(),
+        calls: 0,
+        tap,
+        dumps,
+        figures: outputs.reporter,
+    }
+}
+
 fn build_admission(
     config: &Config,
     inbox: &Inbox,
     metrics: &Arc<Metrics>,
-    dumps: Option<Dumps>,
+    dumper: Option<CaptureDumper>,
     reporter: Option<&MetricsReporter>,
 ) -> Arc<Admission> {
     let last_interval = reporter.map(|reporter| reporter.last_interval.clone());
     let write_delays = reporter.map(|reporter| reporter.write_delays.clone());
     let activity = reporter.map(|reporter| reporter.collector_activity.clone()).unwrap_or_default();
-    let router = ops::router(metrics.clone(), dumps, last_interval);
+    let router = ops::router(metrics.clone(), dumper, last_interval);
     let recorders = (write_delays, activity);
     Arc::new(Admission::new(config, inbox.clone(), metrics.clone(), router, recorders))
 }
--- a/crates/wingfold-node/src/recorder.rs
+++ b/crates/wingfold-node/src/recorder.rs
@@ -1,6 +1,7 @@
-//! Starts the capture where it is switched on, and writes out what a capture in memory holds when somebody asks or an
-//! invariant fails. The engine only ever leaves something in a bounded queue.
+//! Starts the capture where it is switched on, and dumps what a capture in memory holds when somebody asks or an invariant
+//! fails. The engine only ever puts records into a bounded queue.
 
+use crate::clock::micros;
 use crate::config::Config;
 use crate::metrics::Metrics;
 use crate::RunError;
@@ -10,35 +11,67 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use wingfold_archive::{Disk, Folder, Handle, Mailbox, Memory, Plan};
 use wingfold_capture::{Head, Limits, Tap};
-use wingfold_director::interface::{Micros, Timestamp};
+use wingfold_director::interface::Timestamp;
 use wingfold_settings::own::{Capture, Target};
 
-/// A planned restart leaves 0.7 s: the capture has less than half of it to end well.
-const END: Duration = Duration::from_millis(300);
-/// What is written out again within this time would be much the same.
-const APART: Duration = Duration::from_secs(10);
-/// How often the writer's own figures are read.
-const LOOK: Duration = Duration::from_millis(500);
+/// Time for the capture's end: a planned restart leaves 0.7 s, and this is less than half of it.
+const END_TIMEOUT: Duration = Duration::from_millis(300);
+/// Least time between two dumps: within it, the second would be much the same.
+const DUMP_INTERVAL: Duration = Duration::from_secs(10);
+/// Period at which the writer's counters are read.
+const COUNTERS_PERIOD: Duration = Duration::from_millis(500);
 
-/// Writes out what a capture in memory holds.
+/// A capture that has been started.
+pub struct Recording {
+    /// Records the calls of the decision module.
+    pub tap: Tap<Mailbox>,
+    /// Dumps and ends the capture.
+    pub dumper: CaptureDumper,
+}
+
+/// Dumps what a capture in memory holds, and ends the capture.
 #[derive(Clone, Debug)]
-pub struct Dumps {
+pub struct CaptureDumper {
     handle: Handle,
+    /// The director's name.
     name: String,
+    /// Where dumps go; `None` for a capture in a folder, or without a place for dumps.
     folder: Option<PathBuf>,
+    /// Who knows it may ask for a dump.
     token: Option<String>,
     metrics: Arc<Metrics>,
-    last: Arc<Mutex<Option<Instant>>>,
+    last_dump: Arc<Mutex<Option<Instant>>>,
 }
 
-/// Starts the writer.
+/// Starts the writer, which has a thread of its own until [`CaptureDumper::end`], and the task that reads its counters for as
+/// long as the runtime lives.
 pub fn start(
     capture: Capture,
     config: &Config,
     now: Timestamp,
     metrics: Arc<Metrics>,
-) -> Result<(Tap<Mailbox>, Dumps), RunError> {
-    let head = Head {
+) -> Result<Recording, RunError> {
+    let plan = Plan { head: head(config, now), limits: limits(&capture), queue: capture.queue };
+    let (disk, folder): (Box<dyn Disk>, _) = match &capture.target {
+        Target::Folder(root) => (Box::new(Folder::new(root, &config.name)), None),
+        Target::Memory(bytes) => (Box::new(Memory::new(*bytes)), capture.dump),
+    };
+    let (mailbox, handle) = wingfold_archive::start(disk, plan, |line| tracing::warn!("{line}"))?;
+    tracing::info!(target = ?capture.target, queue = capture.queue, "capture: on");
+    let dumper = CaptureDumper {
+        handle,
+        name: config.name.clone(),
+        folder,
+        token: capture.token,
+        metrics,
+        last_dump: Arc::default(),
+    };
+    tokio::spawn(dumper.clone().read_counters());
+    Ok(Recording { tap: Tap::new(mailbox), dumper })
+}
+
+fn head(config: &Config, now: Timestamp) -> Head {
+    Head {
         build: build(),
         name: config.name.clone(),
         run: now,
@@ -47,93 +80,96 @@
         settings: config.settings.clone(),
         classes: config.names.classes.clone(),
         ..Head::default()
-    };
-    let micros = |time: Duration| Micros(time.as_micros() as u64);
-    let limits = Limits {
+    }
+}
+
+fn limits(capture: &Capture) -> Limits {
+    Limits {
         segment_bytes: capture.segment_bytes,
         segment_age: micros(capture.segment_age),
         keep_segments: capture.keep,
         keep_bytes: capture.keep_bytes,
         flush: micros(capture.flush),
         ..Limits::default()
-    };
-    let (disk, folder): (Box<dyn Disk>, _) = match &capture.target {
-        Target::Folder(root) => (Box::new(Folder::new(root, &config.name)), None),
-        Target::Memory(bytes) => (Box::new(Memory::new(*bytes)), capture.dump),
-    };
-    let plan = Plan { head, limits, queue: capture.queue };
-    let (mailbox, handle) = wingfold_archive::start(disk, plan, |line| tracing::warn!("{line}"))?;
-    tracing::info!(target = ?capture.target, queue = capture.queue, "capture: on");
-    let (name, last) = (config.name.clone(), Arc::default());
-    let dumps = Dumps { handle, name, folder, token: capture.token, metrics, last };
-    tokio::spawn(dumps.clone().metrics());
-    Ok((Tap::new(mailbox), dumps))
+    }
 }
 
-/// The build as captures name it: the version, and whether checks are in it.
+/// The build as captures name it: the version, and whether debug assertions are compiled in.
 pub fn build() -> String {
     let checks = if cfg!(debug_assertions) { " debug" } else { "" };
     format!("wingfold {}{checks}", env!("CARGO_PKG_VERSION"))
 }
 
-impl Dumps {
-    /// Whether anybody may ask for it.
-    pub fn asked(&self) -> bool {
+impl CaptureDumper {
+    /// Whether dumps may be requested over HTTP.
+    pub fn accepts_requests(&self) -> bool {
         self.folder.is_some() && self.token.is_some()
     }
 
-    /// Whether this is the token; told without telling how much of it was right.
-    pub fn admits(&self, token: &str) -> bool {
+    /// Whether a request with this token may have a dump. The time it takes does not depend on how much of the token is
+    /// right.
+    pub fn is_authorized(&self, token: &str) -> bool {
         let Some(known) = &self.token else { return false };
-        let differs = known.bytes().zip(token.bytes()).fold(0, |differs, (a, b)| differs | (a ^ b));
-        known.len() == token.len() && differs == 0
+        let difference = known.bytes().zip(token.bytes()).fold(0, |difference, (a, b)| difference | (a ^ b));
+        known.len() == token.len() && difference == 0
     }
 
-    /// An invariant has failed: what led to it is written out.
-    pub fn invariant(&self) {
-        self.write("an invariant failed");
+    /// Dumps what led to an invariant that failed.
+    pub fn dump_after_invariant(&self) {
+        self.dump("an invariant failed");
     }
 
-    /// Has the ring written out; gives the folder, or `None` where that is not set up or was done just now.
-    pub fn write(&self, why: &str) -> Option<PathBuf> {
+    /// Dumps what the capture in memory holds. Returns the folder it is being written to; `None` where that is not set up or
+    /// was done just now.
+    pub fn dump(&self, reason: &str) -> Option<PathBuf> {
         let root = self.folder.as_ref()?;
-        {
-            let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
-            if last.is_some_and(|last| last.elapsed() < APART) {
-                return None;
-            }
-            *last = Some(Instant::now());
+        if !self.begin_dump() {
+            return None;
         }
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-        let folder = root.join(format!("{}-{unix}", wingfold_archive::folder::folder_name(&self.name)));
-        let answer = self.handle.dump(folder.clone());
-        let (metrics, to, why) = (self.metrics.clone(), folder.clone(), why.to_string());
-        // The writer answers in its own time; whoever asked does not wait for it.
-        tokio::task::spawn_blocking(move || match answer.recv() {
+        let unix_s = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
+        let folder = root.join(format!("{}-{unix_s}", wingfold_archive::folder::folder_name(&self.name)));
+        let result = self.handle.dump(folder.clone());
+        let metrics = self.metrics.clone();
+        let to = folder.clone();
+        let reason = reason.to_string();
+        // Nobody waits for this thread: the writer answers in its own time, or when it has ended.
+        tokio::task::spawn_blocking(move || match result.recv() {
             Ok(Ok(segments)) => {
                 metrics.capture_dumps_total.one();
-                tracing::info!(segments, to = %to.display(), why, "capture: written out");
+                tracing::info!(segments, to = %to.display(), reason, "capture: written out");
+            }
+            Ok(Err(error)) => {
+                tracing::warn!(%error, to = %to.display(), reason, "capture: not written out");
             }
-            Ok(Err(error)) => tracing::warn!(%error, to = %to.display(), why, "capture: not written out"),
-            Err(_) => tracing::warn!(why, "capture: its writer has ended"),
+            Err(_) => tracing::warn!(reason, "capture: its writer has ended"),
         });
         Some(folder)
     }
 
-    /// Ends the capture; false if the disk did not let it in time.
+    /// Records the time of a dump; false if the last one was just now.
+    fn begin_dump(&self) -> bool {
+        let mut last_dump = self.last_dump.lock().unwrap_or_else(PoisonError::into_inner);
+        if last_dump.is_some_and(|at| at.elapsed() < DUMP_INTERVAL) {
+            return false;
+        }
+        *last_dump = Some(Instant::now());
+        true
+    }
+
+    /// Ends the capture; false if the disk did not take the end in time.
     pub fn end(&self) -> bool {
-        self.handle.end(END)
+        self.handle.end(END_TIMEOUT)
     }
 
-    /// Books the writer's figures for good.
-    async fn metrics(self) {
+    /// Copies the writer's counters into the metrics; never returns.
+    async fn read_counters(self) {
         loop {
-            tokio::time::sleep(LOOK).await;
-            let told = &self.handle.told;
-            self.metrics.capture_bytes_total.set(told.written.load(Ordering::Relaxed));
-            self.metrics.capture_held_bytes.set(told.held.load(Ordering::Relaxed) as u64);
-            self.metrics.capture_waiting_bytes.set(told.waiting.load(Ordering::Relaxed) as u64);
-            self.metrics.capture_failures_total.set(told.failures.load(Ordering::Relaxed));
+            tokio::time::sleep(COUNTERS_PERIOD).await;
+            let counters = &self.handle.told;
+            self.metrics.capture_bytes_total.set(counters.written.load(Ordering::Relaxed));
+            self.metrics.capture_held_bytes.set(counters.held.load(Ordering::Relaxed) as u64);
+            self.metrics.capture_waiting_bytes.set(counters.waiting.load(Ordering::Relaxed) as u64);
+            self.metrics.capture_failures_total.set(counters.failures.load(Ordering::Relaxed));
         }
     }
 }
--- a/crates/wingfold-node/src/recorder/tests.rs
+++ b/crates/wingfold-node/src/recorder/tests.rs
@@ -16,21 +16,21 @@
     );
     let capture = wingfold_settings::own::Own::read("own", &own).unwrap().capture.unwrap();
     let metrics = Arc::new(Metrics::default());
-    let (mut tap, dumps) = start(capture, &config, Timestamp(0), metrics.clone()).unwrap();
-    assert!(!dumps.asked(), "nobody may ask without a token");
+    let Recording { mut tap, dumper } = start(capture, &config, Timestamp(0), metrics.clone()).unwrap();
+    assert!(!dumper.accepts_requests(), "nobody may ask without a token");
     let mut director = Director::new(config.settings, config.seed);
     let mut actions = Vec::new();
     tap.before(Timestamp(1), &director);
     director.handle(Timestamp(1), &[Event::TimerFired(0)], &mut actions);
     tap.after(Timestamp(1), &[Event::TimerFired(0)], &actions, director.digest());
-    dumps.invariant();
-    dumps.invariant();
+    dumper.dump_after_invariant();
+    dumper.dump_after_invariant();
     let begun = Instant::now();
     while metrics.capture_dumps_total.get() == 0 {
         assert!(begun.elapsed() < Duration::from_secs(60), "it is written out");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    assert!(dumps.write("again").is_none());
+    assert!(dumper.dump("again").is_none());
     let folders: Vec<_> = std::fs::read_dir(&root).unwrap().map(|entry| entry.unwrap().path()).collect();
     assert_eq!(folders.len(), 1);
     let archive = wingfold_archive::Archive::open(&folders[0]).unwrap();
--- a/crates/wingfold-node/src/reporting.rs
+++ b/crates/wingfold-node/src/reporting.rs
@@ -2,6 +2,7 @@
 //! Nothing here waits: an interval is dropped where the sinks lag behind.
 
 use crate::causes::{Cause, Causes};
+use crate::clock::micros;
 use crate::config::Config;
 use crate::message::Invalid;
 use crate::metrics::Metrics;
@@ -12,7 +13,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc::{channel, Receiver, Sender};
-use wingfold_director::interface::{Event, Micros, Timestamp, ZoneId};
+use wingfold_director::interface::{Event, Timestamp, ZoneId};
 use wingfold_director::Director;
 use wingfold_figures::{Figure, Interval, Meter, Sample, Value};
 
@@ -212,9 +213,8 @@
         director: &Director,
     ) -> (MetricsReporter, IntervalReceiver) {
         let (intervals, receiver) = channel(MAX_WAITING_INTERVALS);
-        let length = Micros(interval.as_micros() as u64);
         let reporter = MetricsReporter {
-            meter: Meter::new(now, length, director, &config.names.classes),
+            meter: Meter::new(now, micros(interval), director, &config.names.classes),
             write_delays: WriteDelays::default(),
             collector_activity: CollectorActivity::new(&config.settings.zones),
             sink_stats: Arc::default(),
--- a/crates/wingfold-node/src/serve.rs
+++ b/crates/wingfold-node/src/serve.rs
@@ -10,7 +10,7 @@
 use crate::metrics::Metrics;
 use crate::or_never;
 use crate::parts::Parts;
-use crate::recorder::Dumps;
+use crate::recorder::CaptureDumper;
 use crate::startup::{collectd_in, reserve_resources, Sockets};
 use std::future::Future;
 use std::sync::Arc;
@@ -74,7 +74,7 @@
     tracing::info!(name = config.name, listen = %config.listen, "serving");
     let result = tokio::select! {
         () = end => {
-            end_capture(parts.dumps.as_ref());
+            end_capture(parts.dumper.as_ref());
             return Ok(());
         }
         result = tokio::spawn(engine.run(engine_inbox)) => result,
@@ -95,8 +95,8 @@
 }
 
 /// Ends the capture, if the disk lets it, within the time that a planned restart leaves.
-fn end_capture(dumps: Option<&Dumps>) {
-    if dumps.is_some_and(|dumps| !dumps.end()) {
+fn end_capture(dumper: Option<&CaptureDumper>) {
+    if dumper.is_some_and(|dumper| !dumper.end()) {
         tracing::warn!("capture: the disk did not take the end in time");
     }
 }
--- a/crates/wingfold-node/src/sink/group.rs
+++ b/crates/wingfold-node/src/sink/group.rs
@@ -4,13 +4,12 @@
 use super::tcp::TcpSink;
 use super::udp::UdpSink;
 use super::{ReceiverHealth, SinkContext, Work};
+use crate::clock::micros;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::sync::mpsc::{channel, Sender};
 use tokio::task::JoinHandle;
-use wingfold_director::interface::Micros;
 use wingfold_figures::collectd::{self, Secrecy};
 use wingfold_figures::graphite::{self, Naming, Point};
 use wingfold_figures::receiver::{Receiver, Rules};
@@ -92,10 +91,6 @@
     }
 }
 
-fn micros(time: Duration) -> Micros {
-    Micros(time.as_micros() as u64)
-}
-
 /// The task of one receiver, and the way to it. The task ends when it is aborted or its queue is closed.
 struct SinkHandle {
     address: String,
