--- a/crates/wingfold-node/src/admission.rs
+++ b/crates/wingfold-node/src/admission.rs
@@ -1,13 +1,13 @@
 //! Admission of connections: the limits that all connections are checked against, and the slots that they hold.
 
 use crate::config::{Bounds, Config};
-use crate::figures::{Delays, Pulse};
 use crate::frame::FrameBudget;
 use crate::inbox::InboundSender;
 use crate::log::RateLimitedLog;
 use crate::message::{self, InvalidReason, Outbound, UsageReport};
 use crate::metrics::Metrics;
 use crate::outbox::ConnectionSender;
+use crate::reporting::{CollectorActivity, WriteDelays};
 use axum::Router;
 use bytes::Bytes;
 use std::collections::BTreeMap;
@@ -34,9 +34,9 @@
     /// Limits the log lines about unidentified connections.
     pub unidentified_log: RateLimitedLog,
     /// Records the time from a decision to its last written byte, where metrics are exported.
-    pub delays: Option<Delays>,
+    pub delays: Option<WriteDelays>,
     /// Counts the messages of each zone's collector.
-    pub pulse: Pulse,
+    pub pulse: CollectorActivity,
     /// Serves HTTP.
     pub router: Router,
     zones: Vec<Arc<str>>,
@@ -92,8 +92,8 @@
         inbox: InboundSender,
         metrics: Arc<Metrics>,
         router: Router,
-        delays: Option<Delays>,
-        pulse: Pulse,
+        delays: Option<WriteDelays>,
+        pulse: CollectorActivity,
     ) -> Self {
         Admission {
             bounds: config.bounds.clone(),
--- a/crates/wingfold-node/src/client.rs
+++ b/crates/wingfold-node/src/client.rs
@@ -71,7 +71,7 @@
         };
         // Any message shows that the collector is alive, also an invalid one.
         if let Some(zone) = collects_from {
-            admission.pulse.beat(zone);
+            admission.pulse.record(zone);
         }
         if let Ok(Inbound::Ping) = message {
             match sender.send(vec![admission.pong.clone()]) {
--- a/crates/wingfold-node/src/engine.rs
+++ b/crates/wingfold-node/src/engine.rs
@@ -15,17 +15,17 @@
 pub use timers::Timers;
 
 use crate::clock::Clock;
-use crate::discovery::Ask;
-use crate::figures::Figures;
+use crate::discovery::DiscoveryCommand;
+use crate::health_check::HealthChecker;
 use crate::inbox::InboundReceiver;
-use crate::list::Addresses;
+use crate::list::EndpointAddresses;
 use crate::log::RateLimitedLog;
 use crate::metrics::Metrics;
 use crate::or_never;
 use crate::outbox::ConnectionSender;
-use crate::peers::Post;
-use crate::probe::Prober;
-use crate::recorder::Dumps;
+use crate::peers::PeerSocket;
+use crate::recorder::CaptureDumper;
+use crate::reporting::MetricsReporter;
 use crate::tables::Tables;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -45,13 +45,13 @@
     /// Translates table actions into updates for each stream.
     pub tables: Tables,
     /// Takes requests for the endpoint list.
-    pub discovery: UnboundedSender<Ask>,
+    pub discovery: UnboundedSender<DiscoveryCommand>,
     /// Sends health checks.
-    pub prober: Prober,
+    pub prober: HealthChecker,
     /// Sends datagrams to other directors, where the settings allow it.
-    pub peer_sender: Option<Arc<Post>>,
+    pub peer_sender: Option<Arc<PeerSocket>>,
     /// The known hosts and where they answer health checks.
-    pub addresses: Addresses,
+    pub addresses: EndpointAddresses,
     /// Number of hosts that may be known at once.
     pub max_hosts: usize,
     /// Limits the log lines about rejected hosts.
@@ -69,9 +69,9 @@
     /// Records each call, where that is configured.
     pub tap: Option<Tap<Mailbox>>,
     /// Writes out what a capture in memory holds.
-    pub dumps: Option<Dumps>,
+    pub dumps: Option<CaptureDumper>,
     /// Counts for metrics receivers, where they are configured.
-    pub figures: Option<Figures>,
+    pub figures: Option<MetricsReporter>,
 }
 
 impl Engine {
--- a/crates/wingfold-node/src/engine/actions.rs
+++ b/crates/wingfold-node/src/engine/actions.rs
@@ -1,7 +1,7 @@
 //! Calls the decision module and carries out its actions.
 
 use super::Engine;
-use crate::discovery::Ask;
+use crate::discovery::DiscoveryCommand;
 use crate::message::{self, Outbound, ProxyUpdatePart};
 use crate::outbox::SlowReader;
 use crate::tables::ProxyUpdate;
@@ -48,7 +48,7 @@
         actions: &mut Vec<Action>,
     ) -> Vec<ProxyUpdate> {
         if let Some(figures) = &mut self.figures {
-            figures.told(now, events);
+            figures.record_events(now, events);
         }
         if let Some(tap) = &mut self.tap {
             tap.before(now, &self.director);
@@ -124,7 +124,7 @@
         );
         let in_entries = part.entries.iter().map(|entry| &entry.host);
         let mut hosts = in_entries.chain(&part.ejected).chain(&part.restored);
-        let all_listed = hosts.all(|host| self.addresses.of(host).is_some());
+        let all_listed = hosts.all(|host| self.addresses.get(host).is_some());
         invariant!(self.metrics, all_listed, "an update names a host that discovery has never listed");
     }
 
@@ -132,12 +132,12 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             // Discovery's task ends only with the director.
-            Action::WatchEndpoints(watch) => drop(self.discovery.send(Ask::Watch(watch))),
-            Action::FetchEndpoints => drop(self.discovery.send(Ask::Fetch)),
+            Action::WatchEndpoints(watch) => drop(self.discovery.send(DiscoveryCommand::SetWatching(watch))),
+            Action::FetchEndpoints => drop(self.discovery.send(DiscoveryCommand::Fetch)),
             Action::SetTimer { at, token } => self.timers.set(at, token),
             Action::CheckHealth(host) => {
-                let target = self.addresses.of(&host.0).cloned();
-                self.prober.probe(host, target);
+                let target = self.addresses.get(&host.0).cloned();
+                self.prober.check(host, target);
             }
             Action::SendToPeer { to, message } => {
                 if let Some(peer_sender) = &self.peer_sender {
@@ -145,7 +145,7 @@
                 }
             }
             Action::EvictHost(host) => {
-                self.addresses.forget(&host.0);
+                self.addresses.remove(&host.0);
                 self.tables.evict_host(&host);
             }
             // A notice quotes names from outside.
@@ -169,14 +169,14 @@
         if let Some(figures) = &mut self.figures {
             let _stage = stage!("book", call = self.calls).entered();
             figures.meter.answered(duration_us, totals.messages, totals.lines, totals.queued_lines);
-            figures.after(now, &self.director, &self.metrics);
+            figures.finish_call(now, &self.director, &self.metrics);
         }
     }
 
     /// Writes out the calls that led to a broken invariant.
     fn dump_capture(&self) {
         if let Some(dumps) = &self.dumps {
-            dumps.invariant();
+            dumps.dump_after_invariant();
         }
     }
 }
--- a/crates/wingfold-node/src/engine/inbound.rs
+++ b/crates/wingfold-node/src/engine/inbound.rs
@@ -2,7 +2,7 @@
 
 use super::Engine;
 use crate::inbox::InboundEvent;
-use crate::list::Listing;
+use crate::list::EndpointListResponse;
 use crate::message::InvalidReason;
 use crate::outbox::ConnectionSender;
 use crate::stage;
@@ -81,12 +81,17 @@
     }
 
     /// Learns the hosts of an endpoint list, and passes on those that there is room for.
-    fn apply_endpoint_list(&mut self, kind: EndpointListKind, mut list: Listing, events: &mut Vec<Event>) {
-        let rejected = self.addresses.learn(&mut list, self.max_hosts);
+    fn apply_endpoint_list(
+        &mut self,
+        kind: EndpointListKind,
+        mut list: EndpointListResponse,
+        events: &mut Vec<Event>,
+    ) {
+        let rejected = self.addresses.update(&mut list, self.max_hosts);
         if rejected > 0 {
             self.record_rejected_hosts(rejected);
         }
-        let endpoints = list.entries();
+        let endpoints = list.to_endpoints();
         if kind != EndpointListKind::Changes {
             self.metrics.list_hosts.set(endpoints.len() as u64);
         }
@@ -109,7 +114,7 @@
     /// Whether a host still is the process that a health check was sent to. The load of one that was replaced says
     /// nothing about its successor of the same name.
     fn is_current_incarnation(&self, host: &HostId, incarnation: u64) -> bool {
-        self.addresses.of(&host.0).is_some_and(|target| target.life == incarnation)
+        self.addresses.get(&host.0).is_some_and(|target| target.incarnation == incarnation)
     }
 
     /// Passes a required event on. Acknowledgements are checked here, where the pending barriers are known.
@@ -126,7 +131,7 @@
     /// Passes a report on. Its host is checked here, where the listed hosts are known.
     fn apply_report(&mut self, event: Event, events: &mut Vec<Event>) {
         if let Event::LoadReport { host, .. } | Event::HealthChecked { host, .. } = &event {
-            if self.addresses.of(&host.0).is_none() {
+            if self.addresses.get(&host.0).is_none() {
                 self.metrics.invalid(InvalidReason::Name);
                 return;
             }
--- a/crates/wingfold-node/src/engine/tests.rs
+++ b/crates/wingfold-node/src/engine/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::inbox::InboundEvent;
-use crate::{inbox, list::Listing, outbox, probe, Config, First};
+use crate::{health_check, inbox, list::EndpointListResponse, outbox, Config, First};
 use serde_json::json;
 use wingfold_director::interface::{EndpointListKind, Timestamp, ZoneId};
 use wingfold_standins as standin;
@@ -17,13 +17,13 @@
     let (inbox, _) = inbox::channel(10, metrics.clone());
     Engine {
         tables: Tables::new(&config.names.classes),
-        prober: probe::Prober::new(&config.bounds, inbox, metrics.clone()),
+        prober: health_check::HealthChecker::new(&config.bounds, inbox, metrics.clone()),
         director: Director::new(config.settings, config.seed),
         clock: Clock::start(),
         discovery: tokio::sync::mpsc::unbounded_channel().0,
         peer_sender: None,
-        addresses: Addresses::default(),
-        max_hosts: config.bounds.hosts,
+        addresses: EndpointAddresses::default(),
+        max_hosts: config.bounds.max_hosts,
         rejected_hosts_log: RateLimitedLog::default(),
         send_queue: SendQueueAccount::new(1e6, 4.0, 1e6),
         metrics,
@@ -54,7 +54,7 @@
         let mut servers = vec![entry(second, "active")];
         servers.extend(second.checked_sub(6).map(|old| entry(old, "left")));
         let list = json!({"version": second, "full": false, "servers": servers}).to_string();
-        let list = Listing::read(list.as_bytes()).unwrap();
+        let list = EndpointListResponse::read(list.as_bytes()).unwrap();
         let list = InboundEvent::EndpointList { kind: EndpointListKind::Changes, list };
         engine.apply_inbound_event(list, &mut events);
         let proxy = ProxyId(second % 8);
--- a/crates/wingfold-node/src/inbox.rs
+++ b/crates/wingfold-node/src/inbox.rs
@@ -3,7 +3,7 @@
 //! Sending never waits. Load and usage reports beyond a bound are dropped and counted; every other event always has
 //! room, because its number is bounded by its source (one connection, one call of discovery, one health check).
 
-use crate::list::Listing;
+use crate::list::EndpointListResponse;
 use crate::metrics::Metrics;
 use crate::outbox::ConnectionSender;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -39,7 +39,7 @@
         /// Whether the list is complete, holds changes, or was remembered.
         kind: EndpointListKind,
         /// The endpoints.
-        list: Listing,
+        list: EndpointListResponse,
     },
     /// A health check has ended.
     HealthChecked {
--- a/crates/wingfold-node/src/outbox.rs
+++ b/crates/wingfold-node/src/outbox.rs
@@ -1,8 +1,8 @@
 //! The send queue of one connection: bounded by what its reader may leave unread, and drained by a writer that runs
 //! beside the reader of the same connection.
 
-use crate::figures::Delays;
 use crate::frame;
+use crate::reporting::WriteDelays;
 use bytes::Bytes;
 use futures_util::SinkExt;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -41,7 +41,7 @@
 pub struct ConnectionWriter {
     frames: UnboundedReceiver<QueuedFrame>,
     queued_bytes: Arc<AtomicUsize>,
-    delays: Option<Delays>,
+    delays: Option<WriteDelays>,
 }
 
 /// The reader of a connection leaves too much unread.
@@ -55,7 +55,7 @@
 pub fn channel(
     connection_id: u64,
     max_queued_bytes: usize,
-    delays: Option<Delays>,
+    delays: Option<WriteDelays>,
 ) -> (ConnectionSender, ConnectionWriter) {
     let (sender, receiver) = unbounded_channel();
     let queued_bytes = Arc::new(AtomicUsize::new(0));
@@ -130,7 +130,7 @@
             SinkExt::<Bytes>::flush(&mut writer).await?;
             for decided_at in decisions.drain(..) {
                 if let Some(delays) = &self.delays {
-                    delays.written(decided_at);
+                    delays.record(decided_at);
                 }
             }
         }
--- /dev/null
+++ b/crates/wingfold-node/src/parts.rs
@@ -0,0 +1,178 @@
+//! The parts of a director, built and not yet running.
+
+use crate::admission::Admission;
+use crate::clock::Clock;
+use crate::collectd::CollectdReceiver;
+use crate::config::{Bounds, Config};
+use crate::discovery::{DiscoveryClient, DiscoveryCommand};
+use crate::engine::{Engine, SendQueueAccount, Timers};
+use crate::error::RunError;
+use crate::health_check::HealthChecker;
+use crate::inbox::{self, InboundReceiver, InboundSender};
+use crate::list::EndpointAddresses;
+use crate::metrics::Metrics;
+use crate::peers::PeerSocket;
+use crate::recorder::{self, CaptureDumper, Recording};
+use crate::reporting::{IntervalReceiver, MetricsReporter};
+use crate::serve::Start;
+use crate::sink::SinkDispatcher;
+use crate::startup::Sockets;
+use crate::tables::Tables;
+use crate::{log, ops};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
+use tokio::sync::watch;
+use wingfold_director::interface::Settings;
+use wingfold_director::Director;
+
+/// Everything that a director consists of. Each part is run by one task of `serve`.
+pub struct Parts {
+    /// Owns the decision module.
+    pub engine: Engine,
+    /// Where the readers leave what they took in.
+    pub inbox: InboundSender,
+    /// The engine's end of the inbox.
+    pub engine_inbox: InboundReceiver,
+    /// The client of discovery.
+    pub discovery: DiscoveryClient,
+    /// The engine's commands to it.
+    pub commands: UnboundedReceiver<DiscoveryCommand>,
+    /// Accepts connections.
+    pub listener: TcpListener,
+    /// What the connections share.
+    pub admission: Arc<Admission>,
+    /// Receives collectd's packets, where that is switched on.
+    pub collectd: Option<CollectdReceiver>,
+    /// Exchanges messages with other directors, where the settings allow it.
+    pub peers: Option<Arc<PeerSocket>>,
+    /// Sends intervals of metrics to the sinks, where that is switched on.
+    pub sinks: Option<SinkDispatcher>,
+    /// Dumps and ends the capture, where that is switched on.
+    pub dumper: Option<CaptureDumper>,
+}
+
+impl Parts {
+    /// Builds the parts for a configuration; `reloads` brings those that follow it. Starts the capture's writer, and the task
+    /// that reads its counters.
+    pub fn build(
+        config: &Config,
+        start: Start,
+        sockets: Sockets,
+        reloads: watch::Receiver<Arc<Config>>,
+        clock: Clock,
+        metrics: &Arc<Metrics>,
+    ) -> Result<Parts, RunError> {
+        let (inbox, engine_inbox) = inbox::channel(config.bounds.reports, metrics.clone());
+        let recording = match start.own.capture {
+            Some(capture) => Some(recorder::start(capture, config, clock.now(), metrics.clone())?),
+            None => None,
+        };
+        let dumper = recording.as_ref().map(|recording| recording.dumper.clone());
+        let director = Director::new(config.settings.clone(), config.seed);
+        let reporting = start.own.figures.map(|figures| {
+            MetricsReporter::new(config, figures.interval, start.causes, clock.now(), &director)
+        });
+        let (reporter, intervals) = reporting.unzip();
+        let admission = build_admission(config, &inbox, metrics, dumper.clone(), reporter.as_ref());
+        log_missing_places(&config.bounds);
+        let sinks = build_sinks(config, intervals, reporter.as_ref());
+        let collectd = sockets
+            .collectd
+            .map(|collectd| CollectdReceiver::new(collectd, clock, inbox.clone(), metrics.clone()));
+        let (command_sender, commands) = unbounded_channel();
+        let outputs =
+            EngineOutputs { commands: command_sender, peers: sockets.peers.clone(), recording, reporter };
+        Ok(Parts {
+            engine: build_engine(config, director, clock, &inbox, metrics, outputs),
+            discovery: DiscoveryClient::new(reloads, inbox.clone(), metrics.clone()),
+            inbox,
+            engine_inbox,
+            commands,
+            listener: sockets.listener,
+            admission,
+            collectd,
+            peers: sockets.peers,
+            sinks,
+            dumper,
+        })
+    }
+}
+
+/// Where the engine passes on what the decision module orders, and what records its calls.
+struct EngineOutputs {
+    commands: UnboundedSender<DiscoveryCommand>,
+    peers: Option<Arc<PeerSocket>>,
+    recording: Option<Recording>,
+    reporter: Option<MetricsReporter>,
+}
+
+fn build_engine(
+    config: &Config,
+    director: Director,
+    clock: Clock,
+    inbox: &InboundSender,
+    metrics: &Arc<Metrics>,
+    outputs: EngineOutputs,
+) -> Engine {
+    let (tap, dumps) = outputs.recording.map(|recording| (recording.tap, recording.dumper)).unzip();
+    Engine {
+        tables: Tables::new(&config.names.classes),
+        director,
+        clock,
+        discovery: outputs.commands,
+        prober: HealthChecker::new(&config.bounds, inbox.clone(), metrics.clone()),
+        peer_sender: outputs.peers,
+        addresses: EndpointAddresses::default(),
+        max_hosts: config.bounds.max_hosts,
+        rejected_hosts_log: log::RateLimitedLog::default(),
+        send_queue: send_queue_account(&config.settings),
+        metrics: metrics.clone(),
+        connections: BTreeMap::new(),
+        timers: Timers::default(),
+        calls: 0,
+        tap,
+        dumps,
+        figures: outputs.reporter,
+    }
+}
+
+fn build_admission(
+    config: &Config,
+    inbox: &InboundSender,
+    metrics: &Arc<Metrics>,
+    dumper: Option<CaptureDumper>,
+    reporter: Option<&MetricsReporter>,
+) -> Arc<Admission> {
+    let last_interval = reporter.map(|reporter| reporter.last_interval.clone());
+    let write_delays = reporter.map(|reporter| reporter.write_delays.clone());
+    let activity = reporter.map(|reporter| reporter.collector_activity.clone()).unwrap_or_default();
+    let router = ops::router(metrics.clone(), dumper, last_interval);
+    Arc::new(Admission::new(config, inbox.clone(), metrics.clone(), router, write_delays, activity))
+}
+
+fn build_sinks(
+    config: &Config,
+    intervals: Option<IntervalReceiver>,
+    reporter: Option<&MetricsReporter>,
+) -> Option<SinkDispatcher> {
+    let stats = reporter?.sink_stats.clone();
+    Some(SinkDispatcher::new(intervals?, config.name.clone(), config.seed, stats))
+}
+
+fn log_missing_places(bounds: &Bounds) {
+    let places = bounds.connections;
+    let clients = bounds.named;
+    if places < clients {
+        tracing::warn!(places, clients, "key `limits.sockets`: too few for all that may join");
+    }
+}
+
+fn send_queue_account(settings: &Settings) -> SendQueueAccount {
+    SendQueueAccount::new(
+        settings.send_rate_lines_per_s,
+        settings.message_overhead_lines,
+        settings.max_queued_lines,
+    )
+}
