--- a/crates/wingfold-node/src/discovery/validation.rs
+++ b/crates/wingfold-node/src/discovery/validation.rs
@@ -94,3 +94,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/wingfold-node/src/metrics.rs
+++ b/crates/wingfold-node/src/metrics.rs
@@ -181,7 +181,7 @@
             probes = self.probes_total.get(),
             probes_failed = self.probes_failed_total.get(),
             invariants_broken = self.invariants_broken_total.get(),
-            "figures"
+            "metrics"
         );
     }
 }
--- a/crates/wingfold-node/src/reload.rs
+++ b/crates/wingfold-node/src/reload.rs
@@ -92,9 +92,7 @@
     /// Hands the settings of sinks on; all other own settings wait for a restart.
     fn apply_own(&mut self, new: Own) {
         if new.memory() > self.reserved_bytes || new.descriptors() > self.reserved_descriptors {
-            tracing::warn!(
-                "reload: receivers of figures need more than was set aside, which takes effect at a restart"
-            );
+            tracing::warn!("reload: sinks need more than was set aside, which takes effect at a restart");
             return;
         }
         for key in self.own.needs_restart(&new) {
@@ -102,7 +100,7 @@
         }
         let (Some(current), Some(new)) = (&mut self.own.figures, new.figures) else { return };
         if current.sinks != new.sinks {
-            tracing::info!("reload: receivers of figures have changed");
+            tracing::info!("reload: sinks have changed");
             current.sinks = new.sinks;
             // Nobody receives them where the start switched the sinks off.
             let _ = self.sinks.send(Arc::new(current.sinks.clone()));
--- a/crates/wingfold-node/src/startup.rs
+++ b/crates/wingfold-node/src/startup.rs
@@ -40,7 +40,7 @@
 pub fn collectd_in(config: &Config, own: &Own) -> Option<CollectdIn> {
     let collectd_in = own.figures.as_ref()?.intake.clone()?;
     if config.settings.load_report_source != LoadReportSource::Never {
-        tracing::warn!("key `collectd_in`: the platform's own reports tell loads, so it is not used");
+        tracing::warn!("key `collectd_in`: not used, because the platform's load reports take precedence");
         return None;
     }
     Some(collectd_in)
