--- a/crates/wingfold-director/src/incremental/host_index.rs
+++ b/crates/wingfold-director/src/incremental/host_index.rs
@@ -119,7 +119,7 @@
     }
 
     /// By position: the zone of a host, as a position among `zones`.
-    pub(crate) fn homes(&self) -> &[usize] {
+    pub(crate) fn zone_indices(&self) -> &[usize] {
         &self.zone_of_host
     }
 
--- a/crates/wingfold-director/src/incremental/host_rows.rs
+++ b/crates/wingfold-director/src/incremental/host_rows.rs
@@ -39,7 +39,7 @@
     /// Whether the zone has statistics of the host.
     pub(crate) is_known: bool,
     /// Whether it is on its first probation.
-    pub(crate) new: bool,
+    pub(crate) first_probation: bool,
     /// How often its weight is halved.
     pub(crate) weight_halvings: u32,
     /// Its health.
@@ -125,7 +125,7 @@
     pub(crate) fn of(stats: &ZoneHostStats) -> StatsRow {
         StatsRow {
             is_known: true,
-            new: stats.first_probation,
+            first_probation: stats.first_probation,
             weight_halvings: stats.weight_halvings,
             health: stats.health,
             consecutive_failures: stats.consecutive_failures,
@@ -174,7 +174,7 @@
     }
 
     /// What the zone has observed of each host, by position.
-    pub(crate) fn paths(&self) -> &[StatsRow] {
+    pub(crate) fn stats(&self) -> &[StatsRow] {
         &self.stats
     }
 
--- a/crates/wingfold-director/src/policy/outlier_detection.rs
+++ b/crates/wingfold-director/src/policy/outlier_detection.rs
@@ -183,7 +183,7 @@
 
     /// How a probation ends, if it does now.
     fn probation_result(&self, stats: &StatsRow, until: Timestamp) -> Option<HealthTransition> {
-        let needed_successes = if stats.new { 1.0 } else { 2.0 };
+        let needed_successes = if stats.first_probation { 1.0 } else { 2.0 };
         if stats.consecutive_useless >= PROBATION_USELESS_ATTEMPTS {
             Some(HealthTransition::EjectAgain)
         } else if self.now >= until || stats.recent_successes >= needed_successes {
@@ -287,7 +287,7 @@
     fn zone_reachability(&self, zone: &Zone) -> Vec<ZoneReachability> {
         let host_index = &self.memo.host_index;
         let mut reachability = vec![ZoneReachability::default(); host_index.zones().len()];
-        for (row, host_zone) in zone.memo.rows.paths().iter().zip(host_index.homes()) {
+        for (row, host_zone) in zone.memo.rows.stats().iter().zip(host_index.zone_indices()) {
             if row.is_known && self.is_in_current_period(row.decayed_at) {
                 reachability[*host_zone].add_host(row.consecutive_failures);
             }
@@ -302,7 +302,7 @@
         if rows.consecutive_failures_of(suspects) >= UNREACHABLE_ZONE_FAILURES {
             return self.now;
         }
-        let ends = suspects.iter().map(|index| match rows.paths()[*index].health {
+        let ends = suspects.iter().map(|index| match rows.stats()[*index].health {
             HealthState::Ejected { until } | HealthState::Probation { until } if until > self.now => until,
             _ => NEVER,
         });
--- a/crates/wingfold-director/src/policy/subsetting.rs
+++ b/crates/wingfold-director/src/policy/subsetting.rs
@@ -137,7 +137,7 @@
         if !loss_is_common || !has_spare_capacity {
             return false;
         }
-        let stats = zone.memo.rows.paths().iter();
+        let stats = zone.memo.rows.stats().iter();
         let attempts = stats.map(|row| row.recent_successes + row.recent_failures);
         let reported_hosts = attempts.filter(|attempts| *attempts >= MIN_REPORTED_ATTEMPTS).count() as f64;
         let ready_hosts = self.ready_hosts().count() as f64;
--- a/crates/wingfold-director/src/queries.rs
+++ b/crates/wingfold-director/src/queries.rs
@@ -66,7 +66,7 @@
         let ids = self.memo.host_index.ids();
         let mut sums = vec![AttemptStats::default(); ids.len()];
         for zone in zones.values() {
-            for (sum, row) in sums.iter_mut().zip(zone.memo.rows.paths()) {
+            for (sum, row) in sums.iter_mut().zip(zone.memo.rows.stats()) {
                 if row.fresh.attempts > 0.0 {
                     sum.add(row.fresh);
                 }
--- a/crates/wingfold-node/src/accept.rs
+++ b/crates/wingfold-node/src/accept.rs
@@ -48,12 +48,12 @@
 
 /// Spawns the task of a connection, or drops the connection if there is no slot for it.
 fn admit(connection: TcpStream, address: SocketAddr, admission: &Arc<Admission>) {
-    admission.metrics.connections_total.one();
+    admission.metrics.connections_total.increment();
     match admission.admit() {
         Ok((slot, unidentified)) => {
             tokio::spawn(handle_connection(connection, address, slot, unidentified, admission.clone()));
         }
-        Err(NoFreeSlot) => admission.metrics.connections_refused_total.one(),
+        Err(NoFreeSlot) => admission.metrics.connections_refused_total.increment(),
     }
 }
 
@@ -107,10 +107,10 @@
 fn count_close(is_identified: bool, reason: &CloseReason, admission: &Admission) {
     let metrics = &admission.metrics;
     match reason {
-        CloseReason::Silent if is_identified => metrics.clients_silent_total.one(),
-        CloseReason::Silent => metrics.unidentified_expired_total.one(),
-        CloseReason::SlowReader => metrics.readers_slow_total.one(),
-        reason if reason.is_protocol_error() => metrics.messages_bad_total.one(),
+        CloseReason::Silent if is_identified => metrics.clients_silent_total.increment(),
+        CloseReason::Silent => metrics.unidentified_expired_total.increment(),
+        CloseReason::SlowReader => metrics.readers_slow_total.increment(),
+        reason if reason.is_protocol_error() => metrics.messages_bad_total.increment(),
         _ => {}
     }
 }
@@ -159,7 +159,7 @@
     unidentified: UnidentifiedSlot,
     admission: &Arc<Admission>,
 ) -> Result<Identified, CloseReason> {
-    let deadline = Instant::now() + admission.bounds.naming;
+    let deadline = Instant::now() + admission.bounds.identification_timeout;
     connection.set_nodelay(true)?;
     let (read_half, write_half) = connection.into_split();
     // What is ready to be read goes first, also at the moment of the eviction or of the deadline: a proxy whose first
@@ -195,7 +195,7 @@
         first_bytes,
         read_half,
         admission.budget.clone(),
-        admission.bounds.silence,
+        admission.bounds.idle_timeout,
         admission.metrics.clone(),
     );
     loop {
--- a/crates/wingfold-node/src/accept/tests.rs
+++ b/crates/wingfold-node/src/accept/tests.rs
@@ -12,7 +12,7 @@
     let nowhere = "127.0.0.1:1".parse().unwrap();
     let text = standin::config(nowhere, nowhere, json!(null)).to_string();
     let mut config = Config::read(&text, First::Key, |_| None).unwrap();
-    (config.bounds.connections, config.bounds.unidentified) = (connections, unidentified);
+    (config.bounds.max_connections, config.bounds.max_unidentified) = (connections, unidentified);
     let metrics = Arc::new(Metrics::default());
     let (inbox, receiver) = inbox::channel(100_000, metrics.clone());
     let router = ops::router(metrics.clone(), None, None);
--- a/crates/wingfold-node/src/admission.rs
+++ b/crates/wingfold-node/src/admission.rs
@@ -101,7 +101,7 @@
             inbox,
             metrics,
             pong: message::encode(&Outbound::Pong),
-            budget: FrameBudget::new(config.bounds.long_messages),
+            budget: FrameBudget::new(config.bounds.max_long_message_bytes),
             unidentified_log: RateLimitedLog::default(),
             delays,
             pulse,
@@ -149,15 +149,15 @@
 
     /// Whether the next connection needs the slot of another.
     pub fn is_full(&self) -> bool {
-        lock(&self.unidentified).len() >= self.bounds.unidentified
-            || self.open_connections.load(Ordering::Relaxed) >= self.bounds.connections
+        lock(&self.unidentified).len() >= self.bounds.max_unidentified
+            || self.open_connections.load(Ordering::Relaxed) >= self.bounds.max_connections
     }
 
     /// Closes one unidentified connection, by [`EvictionRank`]; returns false if there is none.
     pub fn evict_unidentified(&self) -> bool {
         let Some((_, evicted)) = lock(&self.unidentified).pop_first() else { return false };
         evicted.notify_one();
-        self.metrics.unidentified_evicted_total.one();
+        self.metrics.unidentified_evicted_total.increment();
         true
     }
 
@@ -166,7 +166,7 @@
         let connection_id = connection.connection_id;
         let mut collectors = lock(&self.collectors);
         let connections = collectors.entry(zone.clone()).or_default();
-        if connections.len() >= self.bounds.collectors_a_zone {
+        if connections.len() >= self.bounds.max_collectors_per_zone {
             connections.remove(0).close();
         }
         connections.push(connection);
--- a/crates/wingfold-node/src/client/tests.rs
+++ b/crates/wingfold-node/src/client/tests.rs
@@ -30,7 +30,7 @@
         first_bytes,
         read_half,
         admission.budget.clone(),
-        bounds.silence,
+        bounds.idle_timeout,
         admission.metrics.clone(),
     );
     let hello = ProxyHello { proxy: 3, zone: "a".into(), requests_per_s: 1.0 };
--- a/crates/wingfold-node/src/collectd.rs
+++ b/crates/wingfold-node/src/collectd.rs
@@ -45,7 +45,7 @@
             match self.intake.take(self.clock.now(), &buffer[..length]) {
                 Ok(loads) => self.deliver(loads),
                 Err(reason) => {
-                    self.metrics.collectd_rejected(reason).one();
+                    self.metrics.collectd_rejected(reason).increment();
                     tracing::debug!(%from, %reason, "collectd: packet rejected");
                 }
             }
@@ -57,7 +57,7 @@
 
     /// Delivers loads like the outcomes of health checks: no zone has reached the host, only its load is known.
     fn deliver(&self, loads: Vec<(String, HostLoad)>) {
-        self.metrics.collectd_in_total.one();
+        self.metrics.collectd_in_total.increment();
         for (host, load) in loads {
             let host = HostId(host.into());
             let event = Event::HealthChecked { host, outcome: HealthCheckOutcome::Ok, load };
--- a/crates/wingfold-node/src/collector.rs
+++ b/crates/wingfold-node/src/collector.rs
@@ -22,8 +22,8 @@
         Ok(zone) => zone,
         Err(reason) => return CloseReason::Invalid(reason),
     };
-    admission.metrics.collectors_total.one();
-    let (sender, writer) = outbox::channel(connection_id, admission.bounds.unread, None);
+    admission.metrics.collectors_total.increment();
+    let (sender, writer) = outbox::channel(connection_id, admission.bounds.max_unread_bytes, None);
     let _slot = admission.register_collector(&zone, sender.clone());
     let connection = ClientConnection {
         admission: &admission,
--- a/crates/wingfold-node/src/config/bounds.rs
+++ b/crates/wingfold-node/src/config/bounds.rs
@@ -44,27 +44,27 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     /// Connections at the listener: the descriptors less those for health checks and for what is always open.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Proxies and collectors that may be here at once, by the settings.
-    pub named: usize,
+    pub max_clients: usize,
     /// Connections that have not named their client: what the clients leave of the above, no more than a quarter of it, and
     /// a few in any case: a proxy is an unidentified connection until its first message is read.
-    pub unidentified: usize,
+    pub max_unidentified: usize,
     /// Time from accepting a connection until it has named its client: the protocol lets one be closed that has not joined
     /// within a second.
-    pub naming: Duration,
+    pub identification_timeout: Duration,
     /// Connections of one zone's collector: it has one, and a broken one may not be seen to end at once.
-    pub collectors_a_zone: usize,
+    pub max_collectors_per_zone: usize,
     /// A named connection on which nothing came for so long has ended silently. A proxy sends its usage each period, but only
     /// where there was some, and one that is cut off for being idle must connect and be assigned again: this is hundreds
     /// of periods. Meanwhile a silent one costs a descriptor that is reserved for it.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
     /// Bytes that may wait for one reader: as much as the protocol lets a client leave unread.
-    pub unread: usize,
+    pub max_unread_bytes: usize,
     /// Bytes of messages that are not short, on all connections together: a quarter of the memory.
-    pub long_messages: usize,
+    pub max_long_message_bytes: usize,
     /// Load reports and usage that may wait for the decision module: what the settings let arrive in ten seconds.
-    pub reports: usize,
+    pub max_queued_reports: usize,
     /// How long a call of the watch waits at discovery: half of the time in which it must be asked again, so that a call
     /// which falls silent is found out inside that time.
     pub watch_wait: Duration,
@@ -121,15 +121,15 @@
         let poll_within = poll_within(settings);
         let waiting_reports = settings.max_report_lines_per_s * WAITING_REPORTS_S;
         Bounds {
-            connections,
-            named,
-            unidentified: connections.saturating_sub(named).min(connections / 4).max(MIN_CONNECTIONS),
-            naming: IDENTIFICATION_TIMEOUT,
-            collectors_a_zone: COLLECTORS_PER_ZONE,
-            silence: (duration(settings.report_period) * SILENCE_PERIODS).max(MIN_SILENCE),
-            unread: MAX_UNREAD_BYTES,
-            long_messages: limits.quarter_of_memory_bytes(),
-            reports: waiting_reports.clamp(MIN_WAITING_REPORTS, MAX_WAITING_REPORTS) as usize,
+            max_connections: connections,
+            max_clients: named,
+            max_unidentified: connections.saturating_sub(named).min(connections / 4).max(MIN_CONNECTIONS),
+            identification_timeout: IDENTIFICATION_TIMEOUT,
+            max_collectors_per_zone: COLLECTORS_PER_ZONE,
+            idle_timeout: (duration(settings.report_period) * SILENCE_PERIODS).max(MIN_SILENCE),
+            max_unread_bytes: MAX_UNREAD_BYTES,
+            max_long_message_bytes: limits.quarter_of_memory_bytes(),
+            max_queued_reports: waiting_reports.clamp(MIN_WAITING_REPORTS, MAX_WAITING_REPORTS) as usize,
             watch_wait: poll_within / 2,
             list_response_time: MAX_LIST_RESPONSE_TIME.min(poll_within / 4),
             max_list_bytes: limits.eighth_of_memory_bytes(),
@@ -152,10 +152,10 @@
             ));
         }
         let ratio_left = 1.0 - bytes as f64 / self.memory_bytes.max(1) as f64;
-        let min_connections = self.unidentified.min(self.connections);
+        let min_connections = self.max_unidentified.min(self.max_connections);
         Ok(Bounds {
-            connections: self.connections.saturating_sub(descriptors).max(min_connections),
-            long_messages: (self.long_messages as f64 * ratio_left) as usize,
+            max_connections: self.max_connections.saturating_sub(descriptors).max(min_connections),
+            max_long_message_bytes: (self.max_long_message_bytes as f64 * ratio_left) as usize,
             max_list_bytes: (self.max_list_bytes as f64 * ratio_left) as usize,
             ..self.clone()
         })
--- a/crates/wingfold-node/src/discovery.rs
+++ b/crates/wingfold-node/src/discovery.rs
@@ -128,7 +128,7 @@
         self.address = address;
         self.cached.version = None;
         self.http = http_client(&self.bounds);
-        self.metrics.list_moves_total.one();
+        self.metrics.list_moves_total.increment();
         self.inbox.send(InboundEvent::Required(Event::DiscoveryMoved));
     }
 
@@ -165,7 +165,7 @@
     }
 
     fn start_call(&self, request: CallRequest) -> Call {
-        self.metrics.list_calls_total.one();
+        self.metrics.list_calls_total.increment();
         Call::start(request, self.http.clone(), self.address, self.bounds.list_response_time)
     }
 
@@ -239,7 +239,7 @@
             entries = response.endpoints.len(),
             "endpoint list received on an abandoned call"
         );
-        self.metrics.list_late_total.one();
+        self.metrics.list_late_total.increment();
         self.inbox.send(InboundEvent::EndpointList { kind: EndpointListKind::Changes, list: response });
     }
 
@@ -250,7 +250,7 @@
             Ok(response) => self.deliver_accepted(response, deliver_unchanged),
             Err(error) => {
                 tracing::warn!(%error, "discovery call failed");
-                self.metrics.list_failures_total.one();
+                self.metrics.list_failures_total.increment();
                 self.inbox.send(InboundEvent::Required(Event::EndpointListFailed));
                 Delivery::Failed
             }
--- a/crates/wingfold-node/src/engine/actions.rs
+++ b/crates/wingfold-node/src/engine/actions.rs
@@ -59,7 +59,7 @@
             tap.after(now, events, actions, self.director.digest());
             self.metrics.capture_calls_lost_total.set(tap.lost());
         }
-        self.metrics.events_most.at_least(events.len() as u64);
+        self.metrics.events_most.raise_to(events.len() as u64);
         events.clear();
         self.tables.apply(actions)
     }
@@ -70,7 +70,7 @@
         let lines = updates.iter().map(ProxyUpdate::queue_lines).sum();
         let queued_lines = self.send_queue.enqueue(now, messages, lines);
         self.metrics.channel_lines.set(queued_lines as u64);
-        self.metrics.channel_lines_most.at_least(queued_lines as u64);
+        self.metrics.channel_lines_most.raise_to(queued_lines as u64);
         let limit = self.send_queue.max_queued_lines();
         invariant!(
             self.metrics,
@@ -104,11 +104,11 @@
         let frames = update.parts.into_iter().map(encode).collect();
         if let Err(SlowReader) = connection.send_decision(frames, decided_at) {
             tracing::warn!(proxy = update.proxy.0, "slow reader, closing its stream");
-            self.metrics.readers_slow_total.one();
+            self.metrics.readers_slow_total.increment();
             connection.close();
             return;
         }
-        self.metrics.messages_out_total.one();
+        self.metrics.messages_out_total.increment();
         self.metrics.parts_out_total.add(parts as u64);
         self.metrics.lines_out_total.add(lines as u64);
     }
@@ -164,7 +164,7 @@
     /// Counts a decision and its duration, and passes them to the metrics receivers.
     fn record_decision(&mut self, now: Timestamp, started_at: Instant, totals: SendTotals) {
         let duration_us = started_at.elapsed().as_micros() as u64;
-        self.metrics.answers_total.one();
+        self.metrics.answers_total.increment();
         self.metrics.answer_us_total.add(duration_us);
         if let Some(figures) = &mut self.figures {
             let _stage = stage!("book", call = self.calls).entered();
--- a/crates/wingfold-node/src/engine/inbound.rs
+++ b/crates/wingfold-node/src/engine/inbound.rs
@@ -31,7 +31,7 @@
                 if self.is_current_incarnation(&host, incarnation) {
                     events.push(Event::HealthChecked { host, outcome, load });
                 } else {
-                    self.metrics.probes_overtaken_total.one();
+                    self.metrics.probes_overtaken_total.increment();
                 }
             }
             InboundEvent::Required(event) => self.apply_required(event, events),
@@ -51,12 +51,12 @@
     ) {
         let current = self.connections.get(&proxy);
         if current.is_some_and(|current| current.connection_id > connection.connection_id) {
-            self.metrics.streams_overtaken_total.one();
+            self.metrics.streams_overtaken_total.increment();
             connection.close();
             return;
         }
         if let Some(replaced) = self.connections.insert(proxy, connection) {
-            self.metrics.streams_replaced_total.one();
+            self.metrics.streams_replaced_total.increment();
             replaced.close();
             self.record_disconnect(proxy, events);
         }
@@ -76,7 +76,7 @@
 
     fn record_disconnect(&mut self, proxy: ProxyId, events: &mut Vec<Event>) {
         self.tables.proxy_disconnected(proxy);
-        self.metrics.streams_left_total.one();
+        self.metrics.streams_left_total.increment();
         events.push(Event::ProxyDisconnected(proxy));
     }
 
--- a/crates/wingfold-node/src/engine/timers.rs
+++ b/crates/wingfold-node/src/engine/timers.rs
@@ -59,9 +59,9 @@
 
     /// Records how late the next timer is, and logs it if the process must have stalled.
     fn record_lateness(&self, late: Duration) {
-        self.metrics.timer_late_us_most.at_least(late.as_micros() as u64);
+        self.metrics.timer_late_us_most.raise_to(late.as_micros() as u64);
         if late >= STALL_THRESHOLD {
-            self.metrics.standstills_total.one();
+            self.metrics.standstills_total.increment();
             tracing::warn!(late_ms = late.as_millis() as u64, "process stalled");
         }
     }
--- a/crates/wingfold-node/src/health_check.rs
+++ b/crates/wingfold-node/src/health_check.rs
@@ -67,7 +67,7 @@
     /// Starts the health check of a host and returns at once; the outcome arrives in the inbox. It has failed if the host
     /// is not known or too many are under way. Its task ends by itself, no later than the timeout.
     pub fn check(&self, host: HostId, target: Option<HealthCheckTarget>) {
-        self.metrics.probes_total.one();
+        self.metrics.probes_total.increment();
         let permit = self.permits.clone().try_acquire_owned().ok();
         let incarnation = target.as_ref().map_or(0, |target| target.incarnation);
         let (Some(target), Some(permit)) = (target, permit) else {
@@ -84,7 +84,7 @@
 
     fn deliver(&self, host: HostId, incarnation: u64, result: HealthCheckResult) {
         if result.outcome != HealthCheckOutcome::Ok {
-            self.metrics.probes_failed_total.one();
+            self.metrics.probes_failed_total.increment();
         }
         self.inbox.send(InboundEvent::HealthChecked {
             host,
--- a/crates/wingfold-node/src/inbox.rs
+++ b/crates/wingfold-node/src/inbox.rs
@@ -94,7 +94,7 @@
     pub fn send(&self, event: InboundEvent) {
         if event.is_report() {
             if self.queued_reports.load(Ordering::Relaxed) >= self.max_queued_reports {
-                self.metrics.reports_dropped_total.one();
+                self.metrics.reports_dropped_total.increment();
                 return;
             }
             self.queued_reports.fetch_add(1, Ordering::Relaxed);
--- a/crates/wingfold-node/src/incoming.rs
+++ b/crates/wingfold-node/src/incoming.rs
@@ -85,7 +85,7 @@
         let frame = timeout(self.max_silence, self.frames.next()).await;
         let frame = frame.map_err(|_| CloseReason::Silent)?;
         let bytes = frame.ok_or(CloseReason::ClosedByClient)??;
-        self.metrics.messages_in_total.one();
+        self.metrics.messages_in_total.increment();
         match message::decode(&bytes) {
             Ok(message) => Ok(Ok(message)),
             Err(DecodeError::Invalid(reason)) => Ok(Err(reason)),
--- a/crates/wingfold-node/src/metrics.rs
+++ b/crates/wingfold-node/src/metrics.rs
@@ -10,7 +10,7 @@
 
 impl MetricValue {
     /// Adds one to a counter.
-    pub fn one(&self) {
+    pub fn increment(&self) {
         self.add(1);
     }
 
@@ -25,7 +25,7 @@
     }
 
     /// Raises a gauge that holds the largest value so far.
-    pub fn at_least(&self, value: u64) {
+    pub fn raise_to(&self, value: u64) {
         self.0.fetch_max(value, Ordering::Relaxed);
     }
 
@@ -133,7 +133,7 @@
         let holds = $holds;
         debug_assert!(holds, $($text)+);
         if !holds {
-            $metrics.invariants_broken_total.one();
+            $metrics.invariants_broken_total.increment();
             tracing::error!("invariant broken: {}", format_args!($($text)+));
         }
     }};
@@ -142,7 +142,7 @@
 impl Metrics {
     /// Counts an invalid message that was dropped.
     pub fn invalid(&self, reason: InvalidReason) {
-        self.invalid_for(reason).one();
+        self.invalid_for(reason).increment();
     }
 
     /// Invalid messages dropped for a reason so far.
--- a/crates/wingfold-node/src/metrics/tests.rs
+++ b/crates/wingfold-node/src/metrics/tests.rs
@@ -4,8 +4,8 @@
 fn every_figure_stands_in_the_text_with_its_kind() {
     let metrics = Metrics::default();
     metrics.list_calls_total.add(3);
-    metrics.channel_lines_most.at_least(7);
-    metrics.channel_lines_most.at_least(5);
+    metrics.channel_lines_most.raise_to(7);
+    metrics.channel_lines_most.raise_to(5);
     let text = metrics.text();
     assert!(text.contains("# TYPE wingfold_list_calls_total counter\nwingfold_list_calls_total 3\n"));
     assert!(text.contains("# TYPE wingfold_channel_lines_most gauge\nwingfold_channel_lines_most 7\n"));
--- a/crates/wingfold-node/src/ops.rs
+++ b/crates/wingfold-node/src/ops.rs
@@ -40,7 +40,7 @@
 
 /// 200 once the decision module has answered for the first time.
 async fn get_health(State(metrics): State<Arc<Metrics>>) -> (StatusCode, &'static str) {
-    metrics.requests_http_total.one();
+    metrics.requests_http_total.increment();
     if metrics.answers_total.get() == 0 {
         (StatusCode::SERVICE_UNAVAILABLE, "starting\n")
     } else {
@@ -50,7 +50,7 @@
 
 /// All counters in the Prometheus text format.
 async fn get_metrics(State(metrics): State<Arc<Metrics>>) -> impl IntoResponse {
-    metrics.requests_http_total.one();
+    metrics.requests_http_total.increment();
     ([(header::CONTENT_TYPE, "text/plain; version=0.0.4")], metrics.text())
 }
 
@@ -81,7 +81,7 @@
     let service = TowerToHyperService::new(admission.router.clone());
     let mut server = http1::Builder::new();
     server.timer(TokioTimer::new());
-    server.header_read_timeout(admission.bounds.naming);
+    server.header_read_timeout(admission.bounds.identification_timeout);
     server.max_buf_size(MAX_BUFFER_BYTES);
     if let Err(error) = server.serve_connection(TokioIo::new(connection), service).await {
         tracing::debug!(%error, "HTTP connection ended");
--- a/crates/wingfold-node/src/parts.rs
+++ b/crates/wingfold-node/src/parts.rs
@@ -64,7 +64,7 @@
         clock: Clock,
         metrics: &Arc<Metrics>,
     ) -> Result<Parts, RunError> {
-        let (inbox, engine_inbox) = inbox::channel(config.bounds.reports, metrics.clone());
+        let (inbox, engine_inbox) = inbox::channel(config.bounds.max_queued_reports, metrics.clone());
         let recording = match start.own.capture {
             Some(capture) => Some(recorder::start(capture, config, clock.now(), metrics.clone())?),
             None => None,
@@ -162,8 +162,8 @@
 }
 
 fn log_missing_places(bounds: &Bounds) {
-    let places = bounds.connections;
-    let clients = bounds.named;
+    let places = bounds.max_connections;
+    let clients = bounds.max_clients;
     if places < clients {
         tracing::warn!(places, clients, "key `limits.sockets`: too few for all that may join");
     }
--- a/crates/wingfold-node/src/peers.rs
+++ b/crates/wingfold-node/src/peers.rs
@@ -36,7 +36,7 @@
             return;
         }
         match self.socket.try_send_to(message, address) {
-            Ok(_) => self.metrics.datagrams_out_total.one(),
+            Ok(_) => self.metrics.datagrams_out_total.increment(),
             Err(error) => tracing::debug!(to = %address, %error, "peer message lost"),
         }
     }
@@ -60,11 +60,11 @@
             };
             match self.sender_of(from) {
                 Some(sender) if length <= MAX_DATAGRAM_BYTES => {
-                    self.metrics.datagrams_in_total.one();
+                    self.metrics.datagrams_in_total.increment();
                     let message = buffer[..length].to_vec();
                     inbox.send(InboundEvent::Required(Event::PeerMessage { from: sender, message }));
                 }
-                _ => self.metrics.datagrams_bad_total.one(),
+                _ => self.metrics.datagrams_bad_total.increment(),
             }
         }
     }
--- a/crates/wingfold-node/src/recorder.rs
+++ b/crates/wingfold-node/src/recorder.rs
@@ -135,7 +135,7 @@
         // Nobody waits for this thread: the writer answers in its own time, or when it has ended.
         tokio::task::spawn_blocking(move || match result.recv() {
             Ok(Ok(segments)) => {
-                metrics.capture_dumps_total.one();
+                metrics.capture_dumps_total.increment();
                 tracing::info!(segments, to = %to.display(), reason, "capture: written out");
             }
             Ok(Err(error)) => {
--- a/crates/wingfold-node/src/reporting.rs
+++ b/crates/wingfold-node/src/reporting.rs
@@ -253,7 +253,7 @@
         if let Some(interval) = self.end_interval(now, director, metrics) {
             self.show(&interval);
             if self.intervals.try_send(Arc::new(interval)).is_err() {
-                metrics.intervals_dropped_total.one();
+                metrics.intervals_dropped_total.increment();
             }
         }
     }
--- a/crates/wingfold-node/src/startup.rs
+++ b/crates/wingfold-node/src/startup.rs
@@ -23,8 +23,8 @@
 /// the descriptors do not suffice for both, the sinks are switched off.
 pub fn reserve_resources(config: &mut Config, own: &mut Own) -> Result<(), ConfigError> {
     let bounds = config.bounds.less(own.memory(), own.descriptors())?;
-    let suffice_without = config.bounds.connections >= config.bounds.named;
-    let suffice = bounds.connections >= bounds.named;
+    let suffice_without = config.bounds.max_connections >= config.bounds.max_clients;
+    let suffice = bounds.max_connections >= bounds.max_clients;
     if own.figures.is_some() && suffice_without && !suffice {
         // Clients go first: the metrics are a help, and orders are the work.
         tracing::warn!(
--- a/crates/wingfold-node/src/stream.rs
+++ b/crates/wingfold-node/src/stream.rs
@@ -37,7 +37,8 @@
         _ => return CloseReason::Invalid(InvalidReason::Name),
     };
     let proxy = ProxyId(hello.proxy);
-    let (sender, writer) = outbox::channel(connection_id, admission.bounds.unread, admission.delays.clone());
+    let (sender, writer) =
+        outbox::channel(connection_id, admission.bounds.max_unread_bytes, admission.delays.clone());
     let _disconnect = DisconnectOnDrop { proxy, connection_id, inbox: admission.inbox.clone() };
     admission.inbox.send(InboundEvent::ProxyConnected {
         proxy,
@@ -45,7 +46,7 @@
         requests_per_s: hello.requests_per_s,
         connection: sender.clone(),
     });
-    admission.metrics.streams_joined_total.one();
+    admission.metrics.streams_joined_total.increment();
     let connection = ClientConnection {
         admission: &admission,
         reader,
