--- /dev/null
+++ b/crates/wingfold-capture/tests/notice_wording.rs
@@ -0,0 +1,213 @@
+//! Replays compare the texts of notices byte by byte. Captures of earlier builds hold them in the original wording and do
+//! not say so in their heads; captures that are written from now on hold them as the director renders them.
+use serde::Serialize;
+use std::path::Path;
+use wingfold_capture::block::{self, Block, Kind};
+use wingfold_capture::model::pack;
+use wingfold_capture::replay::{Mode, Replayer, What};
+use wingfold_capture::{
+    entries, reader, Call, Do, Entry, Head, Item, Limits, NoticeWording, Queue, Scribe, Tap,
+};
+use wingfold_director::interface::*;
+use wingfold_director::Director;
+
+/// The bytes of all captures that earlier builds recorded.
+fn kept_captures() -> Vec<Vec<u8>> {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../captures");
+    let folders = std::fs::read_dir(root).unwrap().map(|entry| entry.unwrap().path());
+    folders.map(|folder| std::fs::read(folder.join("capture.wfcap")).unwrap()).collect()
+}
+
+/// Writes a segment in memory.
+struct MemoryQueue {
+    writer: Scribe,
+    work: Vec<Do>,
+    bytes: Vec<u8>,
+}
+
+impl MemoryQueue {
+    fn new(head: Head) -> MemoryQueue {
+        let writer = Scribe::new(head, Limits::default(), Vec::new());
+        MemoryQueue { writer, work: Vec::new(), bytes: Vec::new() }
+    }
+
+    fn collect(&mut self) {
+        for operation in self.work.drain(..) {
+            if let Do::Append(bytes, _) = operation {
+                self.bytes.extend(bytes);
+            }
+        }
+    }
+}
+
+impl Queue for MemoryQueue {
+    fn room(&self, _: usize) -> bool {
+        true
+    }
+
+    fn put(&mut self, item: Item) -> bool {
+        self.writer.take(item, &mut self.work);
+        self.collect();
+        true
+    }
+
+    fn wants_checkpoint(&self) -> bool {
+        self.writer.wants_checkpoint()
+    }
+
+    fn end(&mut self) -> std::io::Result<()> {
+        self.writer.end(&mut self.work);
+        self.collect();
+        Ok(())
+    }
+}
+
+fn endpoint(number: u64, readiness: Readiness) -> Endpoint {
+    Endpoint {
+        host: HostId(format!("h{number}").into()),
+        machine_type: "box".into(),
+        zone: ZoneId("east".into()),
+        readiness,
+        weight: 1.0,
+        started_at: None,
+    }
+}
+
+/// A capture that this build records with a default head. Its first notice comes in call 12.
+fn capture_recorded_now() -> Vec<u8> {
+    let settings = Settings { zones: vec![ZoneId("east".into())], ..Settings::default() };
+    let head = Head { settings: settings.clone(), seed: 3, ..Head::default() };
+    let mut director = Director::new(settings, head.seed);
+    let mut recorder = Tap::new(MemoryQueue::new(head));
+    for number in 1..=20 {
+        let events = match number {
+            3 => vec![Event::EndpointList {
+                kind: EndpointListKind::Changes,
+                endpoints: (0..4).map(|host| endpoint(host, Readiness::Ready)).collect(),
+            }],
+            12 => vec![Event::EndpointList {
+                kind: EndpointListKind::Changes,
+                endpoints: vec![endpoint(2, Readiness::Draining)],
+            }],
+            _ => vec![Event::TimerFired(0)],
+        };
+        let (now, mut actions) = (Timestamp(number * 250_000), Vec::new());
+        recorder.before(now, &director);
+        director.handle(now, &events, &mut actions);
+        recorder.after(now, &events, &actions, director.digest());
+    }
+    recorder.queue().end().unwrap();
+    std::mem::take(&mut recorder.queue().bytes)
+}
+
+fn has_notice(call: &Call) -> bool {
+    call.actions().unwrap().iter().any(|action| matches!(action, Action::Notice(_)))
+}
+
+/// The number of the first call of a capture that has a notice.
+fn first_call_with_notice(bytes: &[u8]) -> Option<u64> {
+    entries(bytes).find_map(|entry| match entry {
+        Entry::Call(call) if has_notice(&call) => Some(call.number),
+        _ => None,
+    })
+}
+
+/// Replays a capture after a change of its entries.
+fn replay_changed(bytes: &[u8], change: impl Fn(&mut Entry)) -> Replayer {
+    let mut replayer = Replayer::new(Mode::Strict);
+    for mut entry in entries(bytes) {
+        change(&mut entry);
+        replayer.feed(entry).unwrap();
+    }
+    assert!(replayer.report.calls > 0 && replayer.report.damage.is_empty());
+    replayer
+}
+
+/// Replaces the first notice of a call by one whose text has one more character.
+fn change_notice(entry: &mut Entry, number: u64) {
+    let Entry::Call(call) = entry else { return };
+    if call.number != number {
+        return;
+    }
+    let mut actions = call.actions().unwrap();
+    let notice = actions.iter_mut().find(|action| matches!(action, Action::Notice(_))).unwrap();
+    let Action::Notice(text) = notice else { unreachable!("it was just found") };
+    *text = Notice::Recorded(format!("{text}."));
+    call.actions = pack(&actions);
+}
+
+/// The call of the first difference, which must be one of its actions.
+fn call_with_different_actions(replayer: &Replayer) -> Option<u64> {
+    let first = replayer.first.as_ref()?;
+    assert!(matches!(first.what, What::Actions { .. }), "{first:?}");
+    Some(first.number)
+}
+
+#[test]
+fn a_head_without_the_wording_means_the_original_one() {
+    /// A head as builds up to 0.1.0 wrote it.
+    #[derive(Serialize)]
+    struct EarlierHead {
+        build: String,
+        name: String,
+        run: Timestamp,
+        segment: u64,
+        seed: u64,
+        settings: Settings,
+        classes: Vec<String>,
+    }
+    let Head { build, name, run, segment, seed, settings, classes, .. } = Head::default();
+    let earlier = EarlierHead { build, name, run, segment, seed, settings, classes };
+    let encoded = block::encode(Kind::Head, 0, &rmp_serde::to_vec_named(&earlier).unwrap());
+    assert_eq!(reader::head(&encoded).unwrap().notice_wording, NoticeWording::Original);
+    let present = block::encode(Kind::Head, 0, &rmp_serde::to_vec_named(&Head::default()).unwrap());
+    assert_eq!(reader::head(&present).unwrap().notice_wording, NoticeWording::KeyValue);
+}
+
+#[test]
+fn kept_captures_are_compared_in_the_original_wording() {
+    let field = b"notice_wording";
+    let mut with_notices = 0;
+    for bytes in kept_captures() {
+        let contents = Block::at(&bytes, 0).unwrap().contents().unwrap();
+        assert!(!contents.windows(field.len()).any(|window| window == field), "an earlier build wrote it");
+        assert_eq!(reader::head(&bytes).unwrap().notice_wording, NoticeWording::Original);
+        let Some(number) = first_call_with_notice(&bytes) else { continue };
+        with_notices += 1;
+        assert_eq!(call_with_different_actions(&replay_changed(&bytes, |_| ())), None);
+        let claimed = replay_changed(&bytes, |entry| {
+            if let Entry::Head(head) = entry {
+                head.notice_wording = NoticeWording::KeyValue;
+            }
+        });
+        assert_eq!(call_with_different_actions(&claimed), Some(number));
+    }
+    assert!(with_notices >= 5, "{with_notices} captures hold notices");
+}
+
+#[test]
+fn a_changed_notice_is_a_difference_in_either_wording() {
+    let mut captures = kept_captures();
+    captures.push(capture_recorded_now());
+    for bytes in captures {
+        let Some(number) = first_call_with_notice(&bytes) else { continue };
+        let replayer = replay_changed(&bytes, |entry| change_notice(entry, number));
+        assert_eq!(call_with_different_actions(&replayer), Some(number));
+        assert_eq!(replayer.report.differences, 1);
+    }
+}
+
+#[test]
+fn a_capture_recorded_now_is_compared_as_the_director_renders_notices() {
+    let bytes = capture_recorded_now();
+    assert_eq!(reader::head(&bytes).unwrap().notice_wording, NoticeWording::KeyValue);
+    assert_eq!(first_call_with_notice(&bytes), Some(12));
+    let replayer = replay_changed(&bytes, |_| ());
+    assert_eq!((replayer.report.calls, replayer.report.differences), (20, 0));
+    let claimed = replay_changed(&bytes, |entry| {
+        if let Entry::Head(head) = entry {
+            head.notice_wording = NoticeWording::Original;
+        }
+    });
+    assert_eq!(call_with_different_actions(&claimed), Some(12));
+}
