--- a/crates/wingfold/src/replay.rs
+++ b/crates/wingfold/src/replay.rs
@@ -7,8 +7,8 @@
 use std::io::IsTerminal;
 use std::path::PathBuf;
 use std::time::Instant;
-use wingfold_archive::{Archive, Source};
-use wingfold_capture::replay::{Difference, Mode, Replayer, Unusable, What};
+use wingfold_archive::{Archive, SegmentFile};
+use wingfold_capture::replay::{Damage, Difference, DifferenceKind, ReplayError, ReplayMode, Replayer};
 use wingfold_capture::{entries, Head};
 use wingfold_director::interface::{Action, Timestamp};
 
@@ -57,14 +57,14 @@
 }
 
 /// Runs a replayer over segments; `look` sees every call that was replayed, before and after it was.
-pub fn over(sources: &[&Source], replayer: &mut Replayer) -> Result<(), (PathBuf, String)> {
+pub fn over(sources: &[&SegmentFile], replayer: &mut Replayer) -> Result<(), (PathBuf, String)> {
     let bar = bar(sources.iter().map(|source| source.meta.bytes).sum());
     for source in sources {
         let failed = |problem: String| (source.path.clone(), problem);
         let bytes = source.read().map_err(|problem| failed(problem.to_string()))?;
         for entry in entries(&bytes) {
-            replayer.feed(entry).map_err(|problem: Unusable| failed(problem.to_string()))?;
-            if replayer.done() {
+            replayer.feed(entry).map_err(|problem: ReplayError| failed(problem.to_string()))?;
+            if replayer.is_done() {
                 break;
             }
         }
@@ -89,9 +89,9 @@
     fn replay(&self) -> Result<Outcome, String> {
         let archive = Archive::open(&self.path).map_err(|problem| problem.to_string())?;
         let (from, until) = span(&archive, self.from.as_deref(), self.until.as_deref())?;
-        let mode = if self.compare { Mode::Compare } else { Mode::Strict };
-        let mut replayer = Replayer::new(mode).within(from, until);
-        let sources: Vec<&Source> = archive.within(from, until).collect();
+        let mode = if self.compare { ReplayMode::Compare } else { ReplayMode::Strict };
+        let mut replayer = Replayer::new(mode).between(from, until);
+        let sources: Vec<&SegmentFile> = archive.within(from, until).collect();
         let begun = Instant::now();
         over(&sources, &mut replayer).map_err(|(path, problem)| format!("{}: {problem}", path.display()))?;
         let took = begun.elapsed().as_secs_f64();
@@ -112,7 +112,7 @@
         for path in &archive.unreadable {
             println!("unreadable: {}", path.display());
         }
-        for (segment, offset, fault) in &report.damage {
+        for Damage { segment, offset, fault } in &report.damage {
             println!("segment {segment}, byte {offset}: {fault}");
         }
         for gap in &report.gaps {
@@ -127,12 +127,12 @@
         });
         println!(
             "{}: {} calls with {} events{span}, {} states compared, {:.0} s in {took:.2} s",
-            head.name, report.calls, report.events, report.states, report.secs
+            head.director, report.calls, report.events, report.compared_states, report.duration_s
         );
-        if report.skipped > 0 {
-            println!("{} calls could not be replayed: what they follow from is lost", report.skipped);
+        if report.skipped_calls > 0 {
+            println!("{} calls could not be replayed: what they follow from is lost", report.skipped_calls);
         }
-        match &replayer.first {
+        match &replayer.first_difference {
             None => println!("equal: every answer, every table, every state"),
             Some(first) => {
                 println!("different: {} calls", report.differences);
@@ -140,13 +140,14 @@
             }
         }
         if self.compare {
-            for ((zone, mask), tables) in replayer.apart() {
-                let secs = tables.iter().map(|(_, apart)| apart.secs).fold(0.0, f64::max);
-                let all: f64 = tables.iter().map(|(_, apart)| apart.secs).sum();
+            for ((zone, mask), tables) in replayer.divergences() {
+                let secs = tables.iter().map(|(_, apart)| apart.total_s).fold(0.0, f64::max);
+                let all: f64 = tables.iter().map(|(_, apart)| apart.total_s).sum();
                 let first = tables.iter().filter_map(|(_, apart)| apart.first).min().unwrap_or_default();
-                let moved = tables.iter().map(|(_, apart)| apart.moved).fold(0.0, f64::max);
-                let lines = tables.iter().map(|(_, apart)| apart.lines).max().unwrap_or(0);
-                let levels = if tables.iter().any(|(_, apart)| apart.levels) { ", levels too" } else { "" };
+                let moved = tables.iter().map(|(_, apart)| apart.max_moved_share).fold(0.0, f64::max);
+                let lines = tables.iter().map(|(_, apart)| apart.max_entries).max().unwrap_or(0);
+                let levels =
+                    if tables.iter().any(|(_, apart)| apart.admission_differs) { ", levels too" } else { "" };
                 println!(
                     "{} {}: {} tables differ from {} on, the longest for {secs:.1} s ({all:.1} s in all), up to {lines} \
                      lines and {:.0} % of the weight{levels}",
@@ -162,10 +163,10 @@
 
     fn tell_json(&self, replayer: &Replayer, took: f64) {
         let report = &replayer.report;
-        let apart = replayer.apart().into_iter().flat_map(|((zone, mask), tables)| {
-            let row = move |(table, apart): (wingfold_director::interface::TableId, wingfold_capture::mirror::Apart)| {
+        let apart = replayer.divergences().into_iter().flat_map(|((zone, mask), tables)| {
+            let row = move |(table, apart): (wingfold_director::interface::TableId, wingfold_capture::replay_state::Divergence)| {
                 serde_json::json!({"zone": &*zone.0, "classes": mask, "table": table.0, "first_s": apart.first.map(Timestamp::secs),
-                    "secs": apart.secs, "lines": apart.lines, "moved": apart.moved, "levels": apart.levels})
+                    "secs": apart.total_s, "lines": apart.max_entries, "moved": apart.max_moved_share, "levels": apart.admission_differs})
             };
             tables.into_iter().map(row)
         });
@@ -178,37 +179,49 @@
         let damage: Vec<_> = report
             .damage
             .iter()
-            .map(|(s, o, f)| serde_json::json!({"segment": s, "offset": o, "fault": f.to_string()}))
+            .map(|damage| {
+                let fault = damage.fault.to_string();
+                serde_json::json!({"segment": damage.segment, "offset": damage.offset, "fault": fault})
+            })
             .collect();
-        let first = replayer.first.as_ref().map(|first| {
-            let what = match first.what {
-                What::Actions { .. } => "actions",
-                What::Tables { .. } => "tables",
-                What::State => "state",
+        let first = replayer.first_difference.as_ref().map(|first| {
+            let what = match first.kind {
+                DifferenceKind::Actions { .. } => "actions",
+                DifferenceKind::Tables { .. } => "tables",
+                DifferenceKind::State => "state",
             };
-            serde_json::json!({"call": first.number, "at_s": first.at.secs(), "what": what})
+            serde_json::json!({"call": first.call, "at_s": first.at.secs(), "what": what})
         });
         println!(
             "{}",
-            serde_json::json!({"name": replayer.head().name, "builds": report.builds, "calls": report.calls, "events": report.events,
-                "states": report.states, "skipped": report.skipped, "gaps": gaps, "damage": damage, "differences": report.differences,
-                "first": first, "secs": report.secs, "took_s": took, "apart": apart})
+            serde_json::json!({"name": replayer.head().director, "builds": report.builds, "calls": report.calls, "events": report.events,
+                "states": report.compared_states, "skipped": report.skipped_calls, "gaps": gaps, "damage": damage, "differences": report.differences,
+                "first": first, "secs": report.duration_s, "took_s": took, "apart": apart})
         );
     }
 }
 
 /// The first difference: the call, what the module was told, what it answered then and now.
 pub fn tell_difference(head: &Head, first: &Difference) {
-    println!("first at call {}, {}:", first.number, say::time(first.at));
-    match &first.what {
-        What::Tables { was, is } => println!("  the tables: {was:016x} then, {is:016x} now"),
-        What::State => println!("  the state before this call, with equal tables and answers up to it"),
-        What::Actions { events, was, is } => {
+    println!("first at call {}, {}:", first.call, say::time(first.at));
+    match &first.kind {
+        DifferenceKind::Tables { recorded, replayed } => {
+            println!("  the tables: {recorded:016x} then, {replayed:016x} now")
+        }
+        DifferenceKind::State => {
+            println!("  the state before this call, with equal tables and answers up to it")
+        }
+        DifferenceKind::Actions { events, recorded, replayed } => {
             for event in events {
                 println!("  told: {}", say::event(head, event));
             }
-            let bytes = |action: &Action| wingfold_capture::model::pack(std::slice::from_ref(action));
-            let same = was.iter().zip(is).take_while(|(was, is)| bytes(was) == bytes(is)).count();
+            let bytes =
+                |action: &Action| wingfold_capture::model::encode_actions(std::slice::from_ref(action));
+            let same = recorded
+                .iter()
+                .zip(replayed)
+                .take_while(|(recorded, replayed)| bytes(recorded) == bytes(replayed))
+                .count();
             if same > 0 {
                 println!("  the same: {same} orders");
             }
@@ -217,8 +230,8 @@
                     println!("  {word}: {}", say::action(head, action));
                 }
             };
-            show("then", was);
-            show("now", is);
+            show("then", recorded);
+            show("now", replayed);
         }
     }
 }
--- a/crates/wingfold/src/say.rs
+++ b/crates/wingfold/src/say.rs
@@ -51,7 +51,7 @@
 
 /// The classes of a mask by their names.
 pub fn classes(head: &Head, mask: ClassMask) -> String {
-    let all = head.classes.len().max(head.settings.classes.len());
+    let all = head.class_names.len().max(head.settings.classes.len());
     let named = (0..all.min(64)).filter(|at| mask.0 >> at & 1 == 1).map(|at| class(head, at));
     let named: Vec<String> = named.collect();
     if mask.0 == 0 || named.len() == all {
@@ -63,7 +63,7 @@
 
 /// A class by its name.
 pub fn class(head: &Head, at: usize) -> String {
-    head.classes.get(at).cloned().unwrap_or_else(|| format!("class {at}"))
+    head.class_names.get(at).cloned().unwrap_or_else(|| format!("class {at}"))
 }
 
 fn sums(sums: &AttemptCounts) -> String {
--- a/crates/wingfold/src/why.rs
+++ b/crates/wingfold/src/why.rs
@@ -6,9 +6,9 @@
 use clap::Args;
 use std::path::PathBuf;
 use std::time::Duration;
-use wingfold_archive::{Archive, Source};
-use wingfold_capture::replay::{Mode, Replayer};
-use wingfold_capture::why::{Answer, HostWhy, Move, Onlooker, Question};
+use wingfold_archive::{Archive, SegmentFile};
+use wingfold_capture::explain::{Explanation, HostChange, HostExplanation, Question, ReplayObserver};
+use wingfold_capture::replay::{ReplayMode, Replayer};
 use wingfold_capture::{entries, Head};
 use wingfold_director::inspect::HostStatus;
 use wingfold_director::interface::{HostId, Micros, ProxyId, Readiness, Timestamp, ZoneId};
@@ -63,18 +63,18 @@
         let back = Micros(back.as_micros() as u64);
         let question = Question {
             at,
-            back,
+            lookback: back,
             zone: self.zone.as_deref().map(|zone| ZoneId(zone.into())),
             host: self.host.as_deref().map(|host| HostId(host.into())),
             proxy: self.proxy.map(ProxyId),
         };
         let (mut replayer, mut onlooker) =
-            (Replayer::new(Mode::Strict).within(Timestamp(0), at), Onlooker::new(question));
+            (Replayer::new(ReplayMode::Strict).between(Timestamp(0), at), ReplayObserver::new(question));
         // From the segment that holds the beginning of the span on: each starts from a state of its own.
         let begins = Timestamp(at.0.saturating_sub(back.0));
-        let mut sources: Vec<&Source> = archive.within(begins, at).collect();
+        let mut sources: Vec<&SegmentFile> = archive.within(begins, at).collect();
         if sources.is_empty() {
-            sources.extend(archive.sources.iter().rfind(|source| source.meta.first.1 <= at));
+            sources.extend(archive.segments.iter().rfind(|source| source.meta.first.at <= at));
         }
         let bar = bar(sources.iter().map(|source| source.meta.bytes).sum());
         for source in &sources {
@@ -85,9 +85,9 @@
                     .map_err(|problem| format!("{}: {problem}", source.path.display()))?;
                 let fed = fed.map(|(call, actions)| (call, actions.to_vec()));
                 if let (Some((call, actions)), Some(director)) = (fed, replayer.director()) {
-                    onlooker.look(&call, &actions, director);
+                    onlooker.observe(&call, &actions, director);
                 }
-                if replayer.done() {
+                if replayer.is_done() {
                     break;
                 }
             }
@@ -114,7 +114,7 @@
                 say::time(at)
             ));
         };
-        let answer = onlooker.answer(&replayer, director);
+        let answer = onlooker.explain(&replayer, director);
         self.known(&answer)?;
         if replayer.report.differences > 0 {
             eprintln!("note: this build answers {} calls otherwise than they were answered; what follows is this build's view", replayer.report.differences);
@@ -129,7 +129,7 @@
     }
 
     /// A name that nobody knows is a mistake to be told, not an empty answer.
-    fn known(&self, answer: &Answer) -> Result<(), String> {
+    fn known(&self, answer: &Explanation) -> Result<(), String> {
         if !answer.hosts.is_empty() {
             return Ok(());
         }
@@ -143,12 +143,12 @@
     }
 }
 
-fn tell(head: &Head, answer: &Answer, whole: bool, class: Option<usize>) {
+fn tell(head: &Head, answer: &Explanation, whole: bool, class: Option<usize>) {
     let fleet = &answer.fleet;
     println!(
         "{} at call {}, {}: {} hosts, {} proxies joined, {:.0} % of the work let in, median loss {:.1} %, median answer {}, \
          load {:.2}, {:.0} lines in the channel",
-        answer.name,
+        answer.director,
         answer.call,
         say::time(answer.at),
         fleet.hosts,
@@ -172,7 +172,7 @@
             zone.leading_score.map_or("no score yet".into(), |lead| format!("score {lead:.0}")),
             levels.join(", ")
         );
-        let may = |host: &&HostWhy| {
+        let may = |host: &&HostExplanation| {
             let class = class.and_then(|at| head.settings.classes.get(at));
             class.is_none_or(|class| {
                 let view = &host.view;
@@ -204,7 +204,7 @@
     }
 }
 
-fn share(host: &HostWhy) -> String {
+fn share(host: &HostExplanation) -> String {
     let held: Vec<f64> = host.shares.iter().map(|(_, share)| *share).collect();
     let least = held.iter().copied().fold(f64::INFINITY, f64::min);
     let most = held.iter().copied().fold(0.0, f64::max);
@@ -215,7 +215,7 @@
     }
 }
 
-fn line(host: &HostWhy) -> String {
+fn line(host: &HostExplanation) -> String {
     let view = &host.view;
     let score = view.score.map_or("no score".into(), |score| format!("score {score:.0}"));
     let cold = if view.is_warming_up {
@@ -226,7 +226,7 @@
     format!("{}; {score}, {}{cold}", share(host), standing(view.status))
 }
 
-fn story(head: &Head, host: &HostWhy) {
+fn story(head: &Head, host: &HostExplanation) {
     let view = &host.view;
     println!(
         "  {} of {} ({}), as zone {} sees it:",
@@ -280,15 +280,15 @@
         let share = host.shares.iter().find(|(of, _)| of == table).map_or(0.0, |(_, share)| *share);
         println!("      table {}: {weight} ({:.2} % of it)", table.0, 100.0 * share);
     }
-    match host.moves.is_empty() {
+    match host.changes.is_empty() {
         true => println!("    nothing moved it in the time looked at"),
         false => println!("    what moved it:"),
     }
-    host.moves.iter().for_each(|one| tell_move(head, one));
+    host.changes.iter().for_each(|one| tell_move(head, one));
 }
 
-fn tell_move(head: &Head, one: &Move) {
-    let turned = one.standing.map(|(was, is)| match was {
+fn tell_move(head: &Head, one: &HostChange) {
+    let turned = one.status.map(|(was, is)| match was {
         Some(was) => format!("from {} to {}", standing(was), standing(is)),
         None => standing(is),
     });
@@ -300,9 +300,9 @@
         100.0 * one.share.0,
         100.0 * one.share.1
     );
-    one.noted.iter().for_each(|text| println!("        it noted: {text}"));
-    let skip = one.heard.len().saturating_sub(8);
-    for (at, event) in one.heard.iter().skip(skip) {
+    one.notices.iter().for_each(|text| println!("        it noted: {text}"));
+    let skip = one.recent_events.len().saturating_sub(8);
+    for (at, event) in one.recent_events.iter().skip(skip) {
         println!("        {}: {}", say::time(*at), say::event(head, event));
     }
 }
