--- a/crates/wingfold-node/src/engine.rs
+++ b/crates/wingfold-node/src/engine.rs
@@ -31,8 +31,8 @@
 use std::sync::Arc;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::sleep_until;
-use wingfold_archive::Mailbox;
-use wingfold_capture::Tap;
+use wingfold_archive::WriterQueue;
+use wingfold_capture::Recorder;
 use wingfold_director::interface::ProxyId;
 use wingfold_director::Director;
 
@@ -47,7 +47,7 @@
     /// Takes requests for the endpoint list.
     pub discovery: UnboundedSender<DiscoveryCommand>,
     /// Sends health checks.
-    pub prober: HealthChecker,
+    pub health_checker: HealthChecker,
     /// Sends datagrams to other directors, where the settings allow it.
     pub peer_sender: Option<Arc<PeerSocket>>,
     /// The known hosts and where they answer health checks.
@@ -67,11 +67,11 @@
     /// Calls of the decision module so far. Log lines of a decision carry the number of its call, as captures do.
     pub calls: u64,
     /// Records each call, where that is configured.
-    pub tap: Option<Tap<Mailbox>>,
+    pub recorder: Option<Recorder<WriterQueue>>,
     /// Writes out what a capture in memory holds.
-    pub dumps: Option<CaptureDumper>,
+    pub capture_dumper: Option<CaptureDumper>,
     /// Counts for metrics receivers, where they are configured.
-    pub figures: Option<MetricsReporter>,
+    pub metrics_reporter: Option<MetricsReporter>,
 }
 
 impl Engine {
--- a/crates/wingfold-node/src/engine/actions.rs
+++ b/crates/wingfold-node/src/engine/actions.rs
@@ -47,17 +47,17 @@
         events: &mut Vec<Event>,
         actions: &mut Vec<Action>,
     ) -> Vec<ProxyUpdate> {
-        if let Some(figures) = &mut self.figures {
-            figures.record_events(now, events);
+        if let Some(reporter) = &mut self.metrics_reporter {
+            reporter.record_events(now, events);
         }
-        if let Some(tap) = &mut self.tap {
-            tap.before(now, &self.director);
+        if let Some(recorder) = &mut self.recorder {
+            recorder.before_call(now, &self.director);
         }
         let _stage = stage!("route", call = self.calls).entered();
         self.director.handle(now, events, actions);
-        if let Some(tap) = &mut self.tap {
-            tap.after(now, events, actions, self.director.digest());
-            self.metrics.capture_calls_lost_total.set(tap.lost());
+        if let Some(recorder) = &mut self.recorder {
+            recorder.after_call(now, events, actions, self.director.digest());
+            self.metrics.capture_calls_lost_total.set(recorder.dropped_calls());
         }
         self.metrics.events_most.raise_to(events.len() as u64);
         events.clear();
@@ -137,7 +137,7 @@
             Action::SetTimer { at, token } => self.timers.set(at, token),
             Action::CheckHealth(host) => {
                 let target = self.addresses.get(&host.0).cloned();
-                self.prober.check(host, target);
+                self.health_checker.check(host, target);
             }
             Action::SendToPeer { to, message } => {
                 if let Some(peer_sender) = &self.peer_sender {
@@ -166,17 +166,17 @@
         let duration_us = started_at.elapsed().as_micros() as u64;
         self.metrics.answers_total.increment();
         self.metrics.answer_us_total.add(duration_us);
-        if let Some(figures) = &mut self.figures {
+        if let Some(reporter) = &mut self.metrics_reporter {
             let _stage = stage!("book", call = self.calls).entered();
-            figures.meter.answered(duration_us, totals.messages, totals.lines, totals.queued_lines);
-            figures.finish_call(now, &self.director, &self.metrics);
+            reporter.meter.answered(duration_us, totals.messages, totals.lines, totals.queued_lines);
+            reporter.finish_call(now, &self.director, &self.metrics);
         }
     }
 
     /// Writes out the calls that led to a broken invariant.
     fn dump_capture(&self) {
-        if let Some(dumps) = &self.dumps {
-            dumps.dump_after_invariant();
+        if let Some(capture_dumper) = &self.capture_dumper {
+            capture_dumper.dump_after_invariant();
         }
     }
 }
--- a/crates/wingfold-node/src/recorder.rs
+++ b/crates/wingfold-node/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Starts the capture where it is switched on, and dumps what a capture in memory holds when somebody asks or an invariant
+//! Starts the capture where it is switched on, and capture_dumper what a capture in memory holds when somebody asks or an invariant
 //! fails. The engine only ever puts records into a bounded queue.
 
 use crate::clock::micros;
@@ -9,14 +9,14 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use wingfold_archive::{Disk, Folder, Handle, Mailbox, Memory, Plan};
-use wingfold_capture::{Head, Limits, Tap};
+use wingfold_archive::{MemoryStore, SegmentFolder, SegmentStore, WriterConfig, WriterHandle, WriterQueue};
+use wingfold_capture::{Head, Recorder, SegmentLimits};
 use wingfold_director::interface::Timestamp;
 use wingfold_settings::own::{Capture, Target};
 
 /// Time for the capture's end: a planned restart leaves 0.7 s, and this is less than half of it.
 const END_TIMEOUT: Duration = Duration::from_millis(300);
-/// Least time between two dumps: within it, the second would be much the same.
+/// Least time between two capture_dumper: within it, the second would be much the same.
 const DUMP_INTERVAL: Duration = Duration::from_secs(10);
 /// Period at which the writer's counters are read.
 const COUNTERS_PERIOD: Duration = Duration::from_millis(500);
@@ -24,7 +24,7 @@
 /// A capture that has been started.
 pub struct Recording {
     /// Records the calls of the decision module.
-    pub tap: Tap<Mailbox>,
+    pub recorder: Recorder<WriterQueue>,
     /// Dumps and ends the capture.
     pub dumper: CaptureDumper,
 }
@@ -32,10 +32,10 @@
 /// Dumps what a capture in memory holds, and ends the capture.
 #[derive(Clone, Debug)]
 pub struct CaptureDumper {
-    handle: Handle,
+    handle: WriterHandle,
     /// The director's name.
     name: String,
-    /// Where dumps go; `None` for a capture in a folder, or without a place for dumps.
+    /// Where capture_dumper go; `None` for a capture in a folder, or without a place for capture_dumper.
     folder: Option<PathBuf>,
     /// Who knows it may ask for a dump.
     token: Option<String>,
@@ -51,46 +51,47 @@
     now: Timestamp,
     metrics: Arc<Metrics>,
 ) -> Result<Recording, RunError> {
-    let plan = Plan { head: head(config, now), limits: limits(&capture), queue: capture.queue };
-    let (disk, folder): (Box<dyn Disk>, _) = match &capture.target {
-        Target::Folder(root) => (Box::new(Folder::new(root, &config.name)), None),
-        Target::Memory(bytes) => (Box::new(Memory::new(*bytes)), capture.dump),
+    let writer_config =
+        WriterConfig { head: head(config, now), limits: limits(&capture), queue_bytes: capture.queue };
+    let (store, dump_folder): (Box<dyn SegmentStore>, _) = match &capture.target {
+        Target::Folder(root) => (Box::new(SegmentFolder::new(root, &config.name)), None),
+        Target::Memory(bytes) => (Box::new(MemoryStore::new(*bytes)), capture.dump),
     };
-    let (mailbox, handle) = wingfold_archive::start(disk, plan, |line| tracing::warn!("{line}"))?;
+    let (queue, handle) = wingfold_archive::spawn(store, writer_config, |line| tracing::warn!("{line}"))?;
     tracing::info!(target = ?capture.target, queue = capture.queue, "capture: on");
     let dumper = CaptureDumper {
         handle,
         name: config.name.clone(),
-        folder,
+        folder: dump_folder,
         token: capture.token,
         metrics,
         last_dump: Arc::default(),
     };
     tokio::spawn(dumper.clone().read_counters());
-    Ok(Recording { tap: Tap::new(mailbox), dumper })
+    Ok(Recording { recorder: Recorder::new(queue), dumper })
 }
 
 fn head(config: &Config, now: Timestamp) -> Head {
     Head {
         build: build(),
-        name: config.name.clone(),
-        run: now,
+        director: config.name.clone(),
+        incarnation: now,
         segment: 0,
         seed: config.seed,
         settings: config.settings.clone(),
-        classes: config.names.classes.clone(),
+        class_names: config.names.classes.clone(),
         ..Head::default()
     }
 }
 
-fn limits(capture: &Capture) -> Limits {
-    Limits {
+fn limits(capture: &Capture) -> SegmentLimits {
+    SegmentLimits {
         segment_bytes: capture.segment_bytes,
         segment_age: micros(capture.segment_age),
         keep_segments: capture.keep,
         keep_bytes: capture.keep_bytes,
         flush: micros(capture.flush),
-        ..Limits::default()
+        ..SegmentLimits::default()
     }
 }
 
@@ -101,7 +102,7 @@
 }
 
 impl CaptureDumper {
-    /// Whether dumps may be requested over HTTP.
+    /// Whether capture_dumper may be requested over HTTP.
     pub fn accepts_requests(&self) -> bool {
         self.folder.is_some() && self.token.is_some()
     }
@@ -165,10 +166,10 @@
     async fn read_counters(self) {
         loop {
             tokio::time::sleep(COUNTERS_PERIOD).await;
-            let counters = &self.handle.told;
-            self.metrics.capture_bytes_total.set(counters.written.load(Ordering::Relaxed));
-            self.metrics.capture_held_bytes.set(counters.held.load(Ordering::Relaxed) as u64);
-            self.metrics.capture_waiting_bytes.set(counters.waiting.load(Ordering::Relaxed) as u64);
+            let counters = &self.handle.metrics;
+            self.metrics.capture_bytes_total.set(counters.written_bytes.load(Ordering::Relaxed));
+            self.metrics.capture_held_bytes.set(counters.memory_bytes.load(Ordering::Relaxed) as u64);
+            self.metrics.capture_waiting_bytes.set(counters.queued_bytes.load(Ordering::Relaxed) as u64);
             self.metrics.capture_failures_total.set(counters.failures.load(Ordering::Relaxed));
         }
     }
