--- a/crates/wingfold-archive/benches/cost.rs
+++ b/crates/wingfold-archive/benches/cost.rs
@@ -1,5 +1,5 @@
-//! What a capture costs the engine: the same days without one, with one on a healthy disk, and with a disk that stands
-//! still, in turn, for several seeds. `cargo bench -p wingfold-archive --bench cost [-- CALLS]`.
+//! What a capture costs the director: the same days without one, with one on a healthy disk, and with a disk that hangs,
+//! in turn, for several seeds. `cargo bench -p wingfold-archive --bench cost [-- CALLS]`.
 
 use hdrhistogram::Histogram;
 use std::io;
@@ -12,19 +12,19 @@
 use wingfold_director::interface::*;
 use wingfold_director::Director;
 
-const QUEUE: usize = 8 << 20;
+const QUEUE_BYTES: usize = 8 << 20;
 
 struct Size {
     proxies: u32,
     hosts: u32,
     zones: usize,
-    conn_idle: u64,
+    connection_idle_us: u64,
 }
 
-/// A disk that never comes back from its first work.
-struct Frozen;
+/// A store that hangs at its first operation.
+struct HangingStore;
 
-impl SegmentStore for Frozen {
+impl SegmentStore for HangingStore {
     fn open(&mut self) -> io::Result<Vec<SegmentMeta>> {
         Ok(Vec::new())
     }
@@ -36,18 +36,18 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum How {
+enum CaptureMode {
     Off,
     On,
-    Frozen,
+    Hanging,
 }
 
 fn settings(size: &Size) -> Settings {
-    let class = |aim: u64, effect| Class {
-        latency_objective: Micros(aim),
-        deadline: Micros(3 * aim),
+    let class = |objective_us: u64, repeat_safety| Class {
+        latency_objective: Micros(objective_us),
+        deadline: Micros(3 * objective_us),
         priority_weight: 1.0,
-        repeat_safety: effect,
+        repeat_safety,
         own_zone_only: false,
         allowed_zones: Vec::new(),
         allowed_machine_types: Vec::new(),
@@ -77,19 +77,19 @@
         overload_factor: 4.0,
         overload_duration: Micros(3_000_000),
         poll_within: Micros(10_000_000),
-        connection_idle_timeout: Micros(size.conn_idle),
+        connection_idle_timeout: Micros(size.connection_idle_us),
         ..Settings::default()
     }
 }
 
-/// The events of a day: sums of each zone for each host and usage of each proxy once a second, in four calls.
-struct Day {
+/// The events of a day: load reports of each zone on each host and usage of each proxy once a second, in four calls.
+struct GeneratedDay {
     size: Size,
     state: u64,
     call: u64,
 }
 
-impl Day {
+impl GeneratedDay {
     fn random(&mut self) -> f64 {
         self.state = self.state.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(1);
         (self.state >> 11) as f64 / (1u64 << 53) as f64
@@ -129,12 +129,12 @@
                 let slow = if (u64::from(at) * 7 + call / 60).is_multiple_of(29) { 6.0 } else { 1.0 };
                 let mean = Micros(((0.08 + 0.06 * self.random()) * slow * 1e6) as u64);
                 let total = 1 + (self.random() * 8.0) as u64;
-                let lost = u64::from(self.random() < 0.02);
+                let failed = u64::from(self.random() < 0.02);
                 let load = HostLoad { utilization: Some(0.4 + 0.3 * self.random()), ..HostLoad::default() };
                 events.push(Event::LoadReport {
                     zone: zone(from),
                     host: host(at),
-                    attempts: AttemptCounts { total, failed: lost, period: over },
+                    attempts: AttemptCounts { total, failed, period: over },
                     mean_latency: mean,
                     load,
                 });
@@ -148,7 +148,7 @@
                 requests: AttemptCounts { total, failed: 0, period: over },
             });
         }
-        // A host drains or starts now and then.
+        // A host drains or starts from time to time.
         if call % 40 == 20 {
             let at = (self.random() * f64::from(self.size.hosts)) as u32;
             let readiness = if call % 80 == 20 { Readiness::Draining } else { Readiness::Ready };
@@ -171,8 +171,8 @@
 struct Cost {
     calls: Histogram<u64>,
     mean_us: f64,
-    /// The tap's own part of the time of a call.
-    tapped: f64,
+    /// The share of the recorder in the time of a call, as a ratio.
+    recorder_share: f64,
     cpu_s: f64,
     events: u64,
     bytes: u64,
@@ -188,61 +188,62 @@
     (ticks(11) + ticks(12)) / 100.0
 }
 
-fn run(size: Size, seed: u64, calls: u64, how: How) -> Cost {
-    let set = settings(&size);
+fn run(size: Size, seed: u64, calls: u64, how: CaptureMode) -> Cost {
+    let settings_of_size = settings(&size);
     let folder = std::env::temp_dir().join(format!("wingfold-cost-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
-    let head = Head { settings: set.clone(), seed, director: "n".into(), ..Head::default() };
-    let plan = WriterConfig { head, limits: SegmentLimits::default(), queue_bytes: QUEUE };
+    let head = Head { settings: settings_of_size.clone(), seed, director: "n".into(), ..Head::default() };
+    let config = WriterConfig { head, limits: SegmentLimits::default(), queue_bytes: QUEUE_BYTES };
     let disk: Option<Box<dyn SegmentStore>> = match how {
-        How::Off => None,
-        How::On => Some(Box::new(SegmentFolder::new(&folder, "n"))),
-        How::Frozen => Some(Box::new(Frozen)),
+        CaptureMode::Off => None,
+        CaptureMode::On => Some(Box::new(SegmentFolder::new(&folder, "n"))),
+        CaptureMode::Hanging => Some(Box::new(HangingStore)),
     };
-    let started = disk.map(|disk| wingfold_archive::spawn(disk, plan, |_| ()).expect("a thread starts"));
-    let (mut tap, handle): (Option<Recorder<WriterQueue>>, _) = match started {
+    let started = disk.map(|disk| wingfold_archive::spawn(disk, config, |_| ()).expect("a thread starts"));
+    let (mut recorder, handle): (Option<Recorder<WriterQueue>>, _) = match started {
         None => (None, None),
-        Some((mailbox, handle)) => (Some(Recorder::new(mailbox)), Some(handle)),
+        Some((queue, handle)) => (Some(Recorder::new(queue)), Some(handle)),
     };
-    let mut day = Day { size, state: seed, call: 0 };
-    let mut director = Director::new(set, seed);
+    let mut day = GeneratedDay { size, state: seed, call: 0 };
+    let mut director = Director::new(settings_of_size, seed);
     let mut histogram = Histogram::new_with_bounds(1, 60_000_000_000, 3).expect("these bounds are sound");
-    let (mut actions, mut total, mut tapped, mut events) = (Vec::new(), Duration::ZERO, Duration::ZERO, 0);
+    let (mut actions, mut total, mut recorder_time, mut events) =
+        (Vec::new(), Duration::ZERO, Duration::ZERO, 0);
     let mut checkpoint = (0, Duration::ZERO);
     let before = cpu();
     for number in 0..calls {
-        let (now, told) = day.next();
-        events += told.len() as u64;
+        let (now, day_events) = day.next();
+        events += day_events.len() as u64;
         actions.clear();
-        let begun = Instant::now();
-        if let Some(tap) = &mut tap {
-            tap.before_call(now, &director);
+        let started_at = Instant::now();
+        if let Some(recorder) = &mut recorder {
+            recorder.before_call(now, &director);
         }
         let module = Instant::now();
-        director.handle(now, &told, &mut actions);
+        director.handle(now, &day_events, &mut actions);
         let module = module.elapsed();
-        if let Some(tap) = &mut tap {
-            tap.after_call(now, &told, &actions, director.digest());
+        if let Some(recorder) = &mut recorder {
+            recorder.after_call(now, &day_events, &actions, director.digest());
         }
-        let took = begun.elapsed();
-        // The first call lays every table: it is no usual one.
+        let elapsed = started_at.elapsed();
+        // The first call fills every table, which is unusual.
         if number > 0 {
-            histogram.saturating_record(took.as_nanos() as u64);
-            total += took;
-            tapped += took - module;
+            histogram.saturating_record(elapsed.as_nanos() as u64);
+            total += elapsed;
+            recorder_time += elapsed - module;
         }
-        if number == calls / 2 && how == How::Off {
-            let begun = Instant::now();
+        if number == calls / 2 && how == CaptureMode::Off {
+            let started_at = Instant::now();
             checkpoint.0 = director.checkpoint().len();
-            checkpoint.1 = begun.elapsed();
+            checkpoint.1 = started_at.elapsed();
         }
     }
     let cpu_s = cpu() - before;
     let (mut bytes, mut replay) = (0, 0.0);
-    if let Some(handle) = handle.filter(|_| how == How::On) {
+    if let Some(handle) = handle.filter(|_| how == CaptureMode::On) {
         handle.end(Duration::from_secs(60));
         let mut replayer = Replayer::new(ReplayMode::Strict);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         for path in
             wingfold_archive::folder::segment_files(&folder.join("n")).expect("it was written").into_values()
         {
@@ -255,12 +256,12 @@
             "{:?}",
             replayer.report
         );
-        replay = replayer.report.duration_s / begun.elapsed().as_secs_f64();
+        replay = replayer.report.duration_s / started_at.elapsed().as_secs_f64();
     }
     let _ = std::fs::remove_dir_all(&folder);
     let mean_us = total.as_secs_f64() * 1e6 / (calls - 1) as f64;
-    let tapped = tapped.as_secs_f64() / total.as_secs_f64();
-    Cost { calls: histogram, mean_us, tapped, cpu_s, events, bytes, checkpoint, replay }
+    let recorder_share = recorder_time.as_secs_f64() / total.as_secs_f64();
+    Cost { calls: histogram, mean_us, recorder_share, cpu_s, events, bytes, checkpoint, replay }
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -270,23 +271,23 @@
 
 fn main() {
     let asked = std::env::args().filter_map(|argument| argument.parse::<u64>().ok()).next();
-    for (proxies, hosts, zones, conn_idle, calls, seeds) in
+    for (proxies, hosts, zones, connection_idle_us, calls, seeds) in
         [(60, 30, 3, 0, 4000, 21), (635, 511, 4, 4_000_000, 160, 5)]
     {
         let calls = asked.unwrap_or(calls);
         println!("{proxies} proxies x {hosts} hosts, {calls} calls a run, seeds 1 to {seeds}");
         let mut rows: Vec<[Cost; 3]> = Vec::new();
         for seed in 1..=seeds {
-            let one = |how| run(Size { proxies, hosts, zones, conn_idle }, seed, calls, how);
-            // Not always in the same order: a machine that grows slower must not look like a cost.
+            let one = |how| run(Size { proxies, hosts, zones, connection_idle_us }, seed, calls, how);
+            // The order varies, so that a machine that becomes slower does not look like a cost.
             let row = match seed % 2 {
                 0u64 => {
-                    let off = one(How::Off);
-                    [off, one(How::On), one(How::Frozen)]
+                    let off = one(CaptureMode::Off);
+                    [off, one(CaptureMode::On), one(CaptureMode::Hanging)]
                 }
                 _ => {
-                    let (frozen, on) = (one(How::Frozen), one(How::On));
-                    [one(How::Off), on, frozen]
+                    let (frozen, on) = (one(CaptureMode::Hanging), one(CaptureMode::On));
+                    [one(CaptureMode::Off), on, frozen]
                 }
             };
             rows.push(row);
@@ -298,7 +299,7 @@
             };
             let quantile = |q: f64| move |cost: &Cost| cost.calls.value_at_quantile(q) as f64 / 1e3;
             println!(
-                "  {name:<12} mean {:.1} us ({:.3}), p50 {:.1} us ({:.3}), p99 {:.1} us ({:.3}), max {:.0} us; the tap itself {:.2} %; CPU of the process ({:.3})",
+                "  {name:<12} mean {:.1} us ({:.3}), p50 {:.1} us ({:.3}), p99 {:.1} us ({:.3}), max {:.0} us; the recorder itself {:.2} %; CPU of the process ({:.3})",
                 of(&|cost| cost.mean_us),
                 ratio(&|cost| cost.mean_us),
                 of(&quantile(0.5)),
@@ -306,7 +307,7 @@
                 of(&quantile(0.99)),
                 ratio(&quantile(0.99)),
                 of(&|cost| cost.calls.max() as f64 / 1e3),
-                100.0 * of(&|cost| cost.tapped),
+                100.0 * of(&|cost| cost.recorder_share),
                 ratio(&|cost| cost.cpu_s.max(0.01)),
             );
         }
--- a/crates/wingfold-archive/tests/common/mod.rs
+++ b/crates/wingfold-archive/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Days of the emulator to record, and disks that fail as they are told to.
+//! Recorded days of the emulator, and a store that fails on request.
 #![allow(dead_code)] // Each test file uses a part of this.
 
 use std::collections::BTreeMap;
@@ -15,46 +15,46 @@
 use wingfold_director::Director;
 use wingfold_lab::Scenario;
 
-/// A folder of this test's own, gone when it ends.
-pub struct Place(pub PathBuf);
+/// A folder that is removed at the end of the test.
+pub struct TempFolder(pub PathBuf);
 
-impl Place {
-    pub fn new() -> Place {
+impl TempFolder {
+    pub fn new() -> TempFolder {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let path =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{number}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir_all(&path).unwrap();
-        Place(path)
+        TempFolder(path)
     }
 }
 
-impl Drop for Place {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A scenario that is shipped.
+/// One of the shipped scenarios.
 pub fn scenario(name: &str) -> Scenario {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../wingfold-lab/scenarios/{name}.hcl"));
     Scenario::read(name, &std::fs::read_to_string(path).unwrap()).unwrap()
 }
 
-/// One segment with a day of a director, as bytes; each day is played once.
-pub fn day(name: &str, seed: u64) -> Vec<u8> {
+/// The bytes of a segment with a day of a director; each day is simulated once.
+pub fn recorded_segment(name: &str, seed: u64) -> Vec<u8> {
     static DAYS: Mutex<BTreeMap<(String, u64), Vec<u8>>> = Mutex::new(BTreeMap::new());
-    let mut days = DAYS.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-    let played = days.entry((name.to_string(), seed)).or_insert_with(|| {
-        let place = Place::new();
-        wingfold_lab::simulate(&scenario(name), seed, Some(&place.0)).unwrap();
-        Archive::open(&place.0.join("director-0")).unwrap().segments[0].read().unwrap()
+    let mut segments = DAYS.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let recorded = segments.entry((name.to_string(), seed)).or_insert_with(|| {
+        let folder = TempFolder::new();
+        wingfold_lab::simulate(&scenario(name), seed, Some(&folder.0)).unwrap();
+        Archive::open(&folder.0.join("director-0")).unwrap().segments[0].read().unwrap()
     });
-    played.clone()
+    recorded.clone()
 }
 
-/// Replays bytes of segments in their order.
+/// Replays segments in their order.
 pub fn replay<'a>(segments: impl IntoIterator<Item = &'a [u8]>) -> Replayer {
     let mut replayer = Replayer::new(ReplayMode::Strict);
     for bytes in segments {
@@ -65,7 +65,7 @@
     replayer
 }
 
-/// All calls in bytes of a segment.
+/// All calls of a segment.
 pub fn calls(bytes: &[u8]) -> Vec<wingfold_capture::Call> {
     let calls = entries(bytes).filter_map(|entry| match entry {
         Entry::Call(call) => Some(call),
@@ -74,40 +74,40 @@
     calls.collect()
 }
 
-/// A director whose calls are those of a recorded day, for as long as it is asked.
-pub struct Feed {
+/// A director that handles the calls of a recorded day.
+pub struct RecordedDay {
     pub director: Director,
     pub head: Head,
     calls: Vec<wingfold_capture::Call>,
     at: usize,
-    pub answers: Vec<Vec<Action>>,
+    pub actions: Vec<Vec<Action>>,
 }
 
-impl Feed {
-    pub fn new(name: &str, seed: u64) -> Feed {
-        let bytes = day(name, seed);
+impl RecordedDay {
+    pub fn new(name: &str, seed: u64) -> RecordedDay {
+        let bytes = recorded_segment(name, seed);
         let head = wingfold_capture::reader::head(&bytes).unwrap();
         let director = Director::new(head.settings.clone(), head.seed);
-        Feed { director, head, calls: calls(&bytes), at: 0, answers: Vec::new() }
+        RecordedDay { director, head, calls: calls(&bytes), at: 0, actions: Vec::new() }
     }
 
-    /// The next call of the day, made with a tap; false when the day is over.
-    pub fn step<Q: wingfold_capture::RecorderQueue>(
+    /// Handles and records the next call of the day; `false` when the day is over.
+    pub fn next_call<Q: wingfold_capture::RecorderQueue>(
         &mut self,
-        tap: &mut wingfold_capture::Recorder<Q>,
+        recorder: &mut wingfold_capture::Recorder<Q>,
     ) -> bool {
         let Some(call) = self.calls.get(self.at) else { return false };
         self.at += 1;
         let mut actions = Vec::new();
-        tap.before_call(call.at, &self.director);
+        recorder.before_call(call.at, &self.director);
         self.director.handle(call.at, &call.events, &mut actions);
-        tap.after_call(call.at, &call.events, &actions, self.director.digest());
-        self.answers.push(actions);
+        recorder.after_call(call.at, &call.events, &actions, self.director.digest());
+        self.actions.push(actions);
         true
     }
 
-    /// What the same day answers without a tap.
-    pub fn alone(&self) -> Vec<Vec<Action>> {
+    /// The actions of the same calls without a recorder.
+    pub fn actions_without_recorder(&self) -> Vec<Vec<Action>> {
         let mut director = Director::new(self.head.settings.clone(), self.head.seed);
         let answer = |call: &wingfold_capture::Call| {
             let mut actions = Vec::new();
@@ -118,27 +118,27 @@
     }
 }
 
-/// A disk in memory that fails as it is told to.
+/// A store in memory that fails on request.
 #[derive(Clone, Default)]
-pub struct Script {
-    pub state: Arc<Mutex<Scripted>>,
+pub struct ScriptedStore {
+    pub state: Arc<Mutex<ScriptedState>>,
 }
 
 #[derive(Default)]
-pub struct Scripted {
-    /// Bytes of each segment, in the order they were begun.
+pub struct ScriptedState {
+    /// Numbers and bytes of the segments, in the order of their creation.
     pub segments: Vec<(u64, Vec<u8>)>,
-    /// What the next things to do come to; after the last one all goes well.
-    pub failing: Option<io::ErrorKind>,
-    /// Half of an append is written before it fails.
-    pub half: bool,
+    /// The error of all operations; `None`: they succeed.
+    pub failing_with: Option<io::ErrorKind>,
+    /// Half of the bytes of an append are written before it fails.
+    pub writes_half: bool,
     pub failed: u32,
     pub removed: Vec<u64>,
 }
 
-impl Script {
-    pub fn fail(&self, with: Option<io::ErrorKind>) {
-        self.state.lock().unwrap().failing = with;
+impl ScriptedStore {
+    pub fn fail_with(&self, with: Option<io::ErrorKind>) {
+        self.state.lock().unwrap().failing_with = with;
     }
 
     pub fn segments(&self) -> Vec<Vec<u8>> {
@@ -146,16 +146,16 @@
     }
 }
 
-impl SegmentStore for Script {
+impl SegmentStore for ScriptedStore {
     fn open(&mut self) -> io::Result<Vec<SegmentMeta>> {
         Ok(Vec::new())
     }
 
     fn apply(&mut self, what: &DiskOperation) -> io::Result<()> {
         let mut state = self.state.lock().unwrap();
-        if let Some(kind) = state.failing {
+        if let Some(kind) = state.failing_with {
             state.failed += 1;
-            if let (DiskOperation::Append(bytes, _), true) = (what, state.half) {
+            if let (DiskOperation::Append(bytes, _), true) = (what, state.writes_half) {
                 let half = bytes[..bytes.len() / 2].to_vec();
                 if let Some((_, held)) = state.segments.last_mut() {
                     held.extend(half);
--- a/crates/wingfold-archive/tests/hard.rs
+++ b/crates/wingfold-archive/tests/fault_injection.rs
@@ -1,5 +1,5 @@
-//! What happens to captures: processes killed in the middle of a block, bits that flip, disks that fail, stand still and
-//! come back, clocks that stand or jump, files that somebody made up.
+//! Captures under faults: processes that are killed while they write a block, flipped bits, disks that fail, hang and
+//! recover, clocks that stand or jump, forged files.
 
 mod common;
 
@@ -21,15 +21,15 @@
 use wingfold_director::Director;
 
 #[test]
-fn scenarios_of_all_kinds_replay_bit_by_bit_also_across_restarts_of_directors() {
+fn scenarios_replay_bit_for_bit_also_across_restarts_of_directors() {
     for (name, seed, runs) in
         [("release-and-errors", 3, 2), ("late-sums", 5, 1), ("rates-and-parts", 2, 1), ("cut-zone", 9, 1)]
     {
-        let place = Place::new();
-        let played = wingfold_lab::simulate(&scenario(name), seed, Some(&place.0)).unwrap();
+        let folder = TempFolder::new();
+        let played = wingfold_lab::simulate(&scenario(name), seed, Some(&folder.0)).unwrap();
         assert_eq!(played.margins.broken(), Vec::<String>::new(), "{name}");
         for director in 0..2 {
-            let archive = Archive::open(&place.0.join(format!("director-{director}"))).unwrap();
+            let archive = Archive::open(&folder.0.join(format!("director-{director}"))).unwrap();
             let lives: std::collections::BTreeSet<u64> =
                 archive.segments.iter().map(|s| s.head.incarnation.0).collect();
             assert_eq!(
@@ -52,21 +52,21 @@
 }
 
 #[test]
-fn lost_words_are_not_there_and_sums_that_overtook_others_stay_out_of_order() {
-    let bytes = day("late-sums", 1);
+fn lost_messages_are_missing_and_late_load_reports_stay_out_of_order() {
+    let bytes = recorded_segment("late-sums", 1);
     let events: Vec<Event> = calls(&bytes).into_iter().flat_map(|call| call.events).collect();
-    let words = events.iter().filter(|event| matches!(event, Event::PeerMessage { .. })).count();
-    assert!((20..60).contains(&words), "60 s at one a second, three in ten lost: {words}");
-    // Sums of a host come in more than one piece a period, since some are late.
-    let heard = |event: &Event| matches!(event, Event::LoadReport { zone, host, .. } if *zone.0 == *"a" && *host.0 == *"full-0");
-    assert!(events.iter().filter(|event| heard(event)).count() > 20);
+    let messages = events.iter().filter(|event| matches!(event, Event::PeerMessage { .. })).count();
+    assert!((20..60).contains(&messages), "60 s at one a second, three in ten lost: {messages}");
+    // There is more than one load report of a host per period, since some are late.
+    let is_full_0 = |event: &Event| matches!(event, Event::LoadReport { zone, host, .. } if *zone.0 == *"a" && *host.0 == *"full-0");
+    assert!(events.iter().filter(|event| is_full_0(event)).count() > 20);
     assert!(replay([&bytes[..]]).first_difference.is_none());
 }
 
 #[test]
-fn a_process_killed_in_the_middle_of_a_block_leaves_all_whole_blocks() {
-    let bytes = day("example", 1);
-    let whole = calls(&bytes).len() as u64;
+fn a_process_killed_while_it_writes_a_block_leaves_all_complete_blocks() {
+    let bytes = recorded_segment("example", 1);
+    let all_calls = calls(&bytes).len() as u64;
     let mut least = u64::MAX;
     for length in (0..bytes.len()).step_by(997).chain([bytes.len() - 1]) {
         let cut = &bytes[..length];
@@ -75,12 +75,12 @@
             entries(cut).map(|entry| replayer.feed(entry).map(drop)).collect();
         fed.unwrap();
         let ends: Vec<usize> = block_ends(&bytes);
-        let due: u64 = calls_before(&bytes, length);
-        assert_eq!(replayer.report.calls, due, "cut at {length}");
+        let expected: u64 = calls_before(&bytes, length);
+        assert_eq!(replayer.report.calls, expected, "cut at {length}");
         assert!(replayer.first_difference.is_none(), "cut at {length}");
-        let told = replayer.report.damage.iter().any(|damage| damage.fault == BlockError::Cut);
-        assert_eq!(told, length > 0 && !ends.contains(&length), "the cut is told, at {length}");
-        least = least.min(whole - due);
+        let is_reported = replayer.report.damage.iter().any(|damage| damage.fault == BlockError::Cut);
+        assert_eq!(is_reported, length > 0 && !ends.contains(&length), "the cut is reported, at {length}");
+        least = least.min(all_calls - expected);
     }
     assert_eq!(least, 0, "a cut in the index alone loses no call");
 }
@@ -96,120 +96,120 @@
 
 /// Calls in blocks that end at or before a place.
 fn calls_before(bytes: &[u8], length: usize) -> u64 {
-    let whole = block_ends(bytes).into_iter().rfind(|end| *end <= length).unwrap_or(0);
-    calls(&bytes[..whole]).len() as u64
+    let complete_bytes = block_ends(bytes).into_iter().rfind(|end| *end <= length).unwrap_or(0);
+    calls(&bytes[..complete_bytes]).len() as u64
 }
 
 #[test]
-fn a_flipped_bit_is_told_and_never_taken_for_another_decision() {
-    let [first, second] = [day("example", 2), day("overload", 2)];
-    let whole = calls(&second).len() as u64;
+fn a_flipped_bit_is_reported_and_never_taken_for_a_difference() {
+    let [first, second] = [recorded_segment("example", 2), recorded_segment("overload", 2)];
+    let all_calls = calls(&second).len() as u64;
     for (number, at) in (0..first.len()).step_by(1511).enumerate() {
-        let mut spoilt = first.clone();
-        spoilt[at] ^= 1 << (number % 8);
+        let mut damaged = first.clone();
+        damaged[at] ^= 1 << (number % 8);
         let mut replayer = Replayer::new(ReplayMode::Strict);
-        let mut unusable = 0;
-        for entry in entries(&spoilt).chain(entries(&second)) {
-            unusable += u32::from(replayer.feed(entry).is_err());
+        let mut rejected = 0;
+        for entry in entries(&damaged).chain(entries(&second)) {
+            rejected += u32::from(replayer.feed(entry).is_err());
         }
         assert!(replayer.first_difference.is_none(), "bit {at}: {:?}", replayer.first_difference);
-        let told = !replayer.report.damage.is_empty() || unusable > 0;
-        assert!(told, "byte {at} of {}: the damage is told", first.len());
-        assert!(replayer.report.calls >= whole, "the segment after it replays whole");
+        let is_reported = !replayer.report.damage.is_empty() || rejected > 0;
+        assert!(is_reported, "byte {at} of {}: the damage is reported", first.len());
+        assert!(replayer.report.calls >= all_calls, "the segment after it is replayed completely");
     }
 }
 
 #[test]
-fn a_damaged_index_costs_no_call() {
-    let bytes = day("example", 3);
+fn a_damaged_index_loses_no_call() {
+    let bytes = recorded_segment("example", 3);
     let index = *block_ends(&bytes).iter().rev().nth(1).unwrap();
-    let mut spoilt = bytes.clone();
-    spoilt[index + block::HEAD_BYTES + 3] ^= 0x10;
-    let replayer = replay([&spoilt[..]]);
+    let mut damaged = bytes.clone();
+    damaged[index + block::HEAD_BYTES + 3] ^= 0x10;
+    let replayer = replay([&damaged[..]]);
     assert_eq!(replayer.report.calls, calls(&bytes).len() as u64);
     assert!(replayer.first_difference.is_none() && replayer.report.damage.len() == 1);
 }
 
 #[test]
-fn a_damaged_catalogue_is_set_aside_and_made_anew_from_the_segments() {
-    let place = Place::new();
-    let plan = scenario("release-and-errors");
-    wingfold_lab::simulate(&plan, 4, Some(&place.0)).unwrap();
-    let folder = place.0.join("director-0");
-    let path = folder.join("catalogue.redb");
-    let sound = std::fs::read(&path).unwrap();
-    let known = wingfold_archive::folder::read_catalogue(&folder).unwrap();
-    assert_eq!(known.len(), 2);
-    for spoil in 0..6 {
-        let mut bytes = sound.clone();
-        match spoil {
+fn a_damaged_catalogue_is_set_aside_and_rebuilt_from_the_segments() {
+    let folder = TempFolder::new();
+    let config = scenario("release-and-errors");
+    wingfold_lab::simulate(&config, 4, Some(&folder.0)).unwrap();
+    let director_folder = folder.0.join("director-0");
+    let path = director_folder.join("catalogue.redb");
+    let valid = std::fs::read(&path).unwrap();
+    let catalogued = wingfold_archive::folder::read_catalogue(&director_folder).unwrap();
+    assert_eq!(catalogued.len(), 2);
+    for way in 0..6 {
+        let mut bytes = valid.clone();
+        match way {
             0 => bytes.truncate(100),
             1 => bytes.iter_mut().for_each(|byte| *byte = 0),
             2 => bytes.clear(),
             n => {
-                // Whole pages of noise.
+                // Complete pages of noise.
                 let (from, to) = (4096 * (n - 2), bytes.len().min(4096 * (n + 8)));
                 (from..to).for_each(|at| bytes[at] = (at * 31 + n) as u8);
             }
         }
         std::fs::write(&path, &bytes).unwrap();
-        let kept = SegmentFolder::new(&place.0, "director-0").open().unwrap();
-        assert_eq!(kept.len(), 2, "spoilt in way {spoil}");
-        for (meta, was) in kept.iter().zip(known.values()) {
+        let kept = SegmentFolder::new(&folder.0, "director-0").open().unwrap();
+        assert_eq!(kept.len(), 2, "damaged in way {way}");
+        for (meta, was) in kept.iter().zip(catalogued.values()) {
             assert_eq!((meta.first, meta.last, meta.incarnation), (was.first, was.last, was.incarnation));
         }
-        assert_eq!(Archive::open(&folder).unwrap().segments.len(), 2);
+        assert_eq!(Archive::open(&director_folder).unwrap().segments.len(), 2);
     }
 }
 
-/// Records a day with a disk that fails in its middle; gives what it then holds.
-fn with_a_disk_that_fails(kind: io::ErrorKind, half: bool) -> (Feed, Vec<Vec<u8>>, u32) {
-    let mut feed = Feed::new("example", 6);
-    let script = Script::default();
-    script.state.lock().unwrap().half = half;
+/// Records a day with a store that fails in the middle; returns the segments that it holds, and how often it failed.
+fn record_with_failing_store(kind: io::ErrorKind, writes_half: bool) -> (RecordedDay, Vec<Vec<u8>>, u32) {
+    let mut day = RecordedDay::new("example", 6);
+    let store = ScriptedStore::default();
+    store.state.lock().unwrap().writes_half = writes_half;
     let limits = SegmentLimits { flush: Micros(500_000), ..SegmentLimits::default() };
-    let mut tap = Recorder::new(synchronous(script.clone(), feed.head.clone(), limits).unwrap());
+    let mut recorder = Recorder::new(synchronous(store.clone(), day.head.clone(), limits).unwrap());
     let mut number = 0;
-    while feed.step(&mut tap) {
+    while day.next_call(&mut recorder) {
         number += 1;
-        script.fail((100..220).contains(&number).then_some(kind));
+        store.fail_with((100..220).contains(&number).then_some(kind));
     }
-    let ended = tap.queue().finish();
-    assert!(ended.is_err(), "the trouble is told at the end");
-    let failed = script.state.lock().unwrap().failed;
-    (feed, script.segments(), failed)
+    let ended = recorder.queue().finish();
+    assert!(ended.is_err(), "the error is reported at the end");
+    let failed = store.state.lock().unwrap().failed;
+    (day, store.segments(), failed)
 }
 
 #[test]
-fn a_disk_that_is_full_or_read_only_or_gone_costs_calls_and_no_decision() {
+fn a_full_read_only_or_missing_disk_loses_calls_and_changes_no_action() {
     for (kind, reason) in [
         (io::ErrorKind::StorageFull, GapReason::DiskFull),
         (io::ErrorKind::ReadOnlyFilesystem, GapReason::ReadOnly),
         (io::ErrorKind::NotFound, GapReason::Gone),
     ] {
-        for half in [false, true] {
-            let (feed, segments, failed) = with_a_disk_that_fails(kind, half);
-            assert_eq!(feed.answers, feed.alone(), "decisions do not change");
+        for writes_half in [false, true] {
+            let (day, segments, failed) = record_with_failing_store(kind, writes_half);
+            assert_eq!(day.actions, day.actions_without_recorder(), "decisions do not change");
             let replayer = replay(segments.iter().map(Vec::as_slice));
             assert!(replayer.first_difference.is_none(), "{kind:?}");
             let gaps = &replayer.report.gaps;
             assert_eq!(gaps.len(), 1, "{kind:?}: {gaps:?}");
             assert_eq!(gaps[0].reason, reason);
             assert!(gaps[0].from > 80 && gaps[0].to < 300, "{gaps:?}");
-            let lost = gaps[0].to + 1 - gaps[0].from;
-            assert_eq!(replayer.report.calls + lost, feed.answers.len() as u64, "all others are there");
-            assert!(failed < 8, "it is tried again seldom: {failed} times");
+            let dropped = gaps[0].to + 1 - gaps[0].from;
+            assert_eq!(replayer.report.calls + dropped, day.actions.len() as u64, "all others are there");
+            assert!(failed < 8, "it is retried seldom: {failed} times");
         }
     }
 }
 
-/// A disk that stands still until it is let go on.
-struct Frozen {
-    inner: Script,
+/// A store that hangs until its gate is opened.
+struct HangingStore {
+    inner: ScriptedStore,
     gate: Arc<(Mutex<bool>, Condvar)>,
 }
 
-impl SegmentStore for Frozen {
+impl SegmentStore for HangingStore {
     fn open(&mut self) -> io::Result<Vec<SegmentMeta>> {
         Ok(Vec::new())
     }
@@ -223,41 +223,42 @@
 }
 
 fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < Duration::from_secs(60), "not seen in time: {what}");
+        assert!(started.elapsed() < Duration::from_secs(60), "not seen in time: {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
 #[test]
-fn a_writer_that_stands_still_under_635_proxies_holds_nobody_up() {
+fn a_writer_that_hangs_under_635_proxies_blocks_nobody() {
     let gate = Arc::new((Mutex::new(true), Condvar::new()));
-    let script = Script::default();
-    let disk = Frozen { inner: script.clone(), gate: gate.clone() };
+    let store = ScriptedStore::default();
+    let hanging_store = HangingStore { inner: store.clone(), gate: gate.clone() };
     let settings = Settings { proxies: 635, ..scenario("rates-and-parts").settings };
     let head = Head { settings: settings.clone(), seed: 3, ..Head::default() };
     let queue = 3 << 20;
-    let plan = WriterConfig { head: head.clone(), limits: SegmentLimits::default(), queue_bytes: queue };
-    let (mailbox, handle) = wingfold_archive::spawn(Box::new(disk), plan, |_| ()).unwrap();
-    let told = handle.metrics.clone();
-    let mut tap = Recorder::new(mailbox);
+    let config = WriterConfig { head: head.clone(), limits: SegmentLimits::default(), queue_bytes: queue };
+    let (recorder_queue, handle) = wingfold_archive::spawn(Box::new(hanging_store), config, |_| ()).unwrap();
+    let metrics = handle.metrics.clone();
+    let mut recorder = Recorder::new(recorder_queue);
     let mut director = Director::new(settings.clone(), 3);
-    let mut plain = Director::new(settings, 3);
-    let (mut longest, mut most) = (Duration::ZERO, 0);
-    let mut call = |number: u64, events: &[Event], tap: &mut Recorder<WriterQueue>| {
+    let mut unrecorded = Director::new(settings, 3);
+    let (mut longest, mut max_queued_bytes) = (Duration::ZERO, 0);
+    let mut call = |number: u64, events: &[Event], recorder: &mut Recorder<WriterQueue>| {
         let (mut with, mut without) = (Vec::new(), Vec::new());
         let now = Timestamp(number * 250_000);
-        let begun = Instant::now();
-        tap.before_call(now, &director);
-        let before = begun.elapsed();
+        let started = Instant::now();
+        recorder.before_call(now, &director);
+        let before = started.elapsed();
         director.handle(now, events, &mut with);
-        let begun = Instant::now();
-        tap.after_call(now, events, &with, director.digest());
-        longest = longest.max(before + begun.elapsed());
-        plain.handle(now, events, &mut without);
+        let started = Instant::now();
+        recorder.after_call(now, events, &with, director.digest());
+        longest = longest.max(before + started.elapsed());
+        unrecorded.handle(now, events, &mut without);
         assert_eq!(with, without, "call {number}");
-        most = most.max(told.queued_bytes.load(std::sync::atomic::Ordering::Relaxed));
+        max_queued_bytes =
+            max_queued_bytes.max(metrics.queued_bytes.load(std::sync::atomic::Ordering::Relaxed));
     };
     let entry = |at: u32| wingfold_director::interface::Endpoint {
         host: HostId(format!("host-{at}").into()),
@@ -270,70 +271,70 @@
     call(
         1,
         &[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: (0..120).map(entry).collect() }],
-        &mut tap,
+        &mut recorder,
     );
-    let joins = (0..635u32).map(|at| Event::ProxyConnected {
+    let connections = (0..635u32).map(|at| Event::ProxyConnected {
         proxy: ProxyId(at),
         zone: ZoneId(["a", "b", "c"][at as usize % 3].into()),
         requests_per_s: 4.0,
     });
-    call(2, &joins.collect::<Vec<_>>(), &mut tap);
-    until("the writer has begun", || !script.segments().is_empty());
+    call(2, &connections.collect::<Vec<_>>(), &mut recorder);
+    until("the writer has begun", || !store.segments().is_empty());
     *gate.0.lock().unwrap() = false;
     let mut number = 3;
-    let sums = |number: u64| {
-        let heard = (0..120u32 * 12).map(|at| {
+    let load_reports = |number: u64| {
+        let reports = (0..120u32 * 12).map(|at| {
             let at = at % 120;
-            let lost = u64::from(at.is_multiple_of(17) && number % 40 > 20) * 5;
-            let sums = AttemptCounts { total: 9, failed: lost, period: Micros(1_000_000) };
+            let dropped = u64::from(at.is_multiple_of(17) && number % 40 > 20) * 5;
+            let counts = AttemptCounts { total: 9, failed: dropped, period: Micros(1_000_000) };
             Event::LoadReport {
                 zone: ZoneId("a".into()),
                 host: HostId(format!("host-{at}").into()),
-                attempts: sums,
+                attempts: counts,
                 mean_latency: Micros(90_000),
                 load: HostLoad::default(),
             }
         });
-        heard.collect::<Vec<_>>()
+        reports.collect::<Vec<_>>()
     };
-    // The writer stands while the queue fills, and for 60 calls (15 s of the director's clock) after that.
-    while tap.dropped_calls() < 60 {
-        call(number, &sums(number), &mut tap);
+    // The writer hangs while the queue fills, and for 60 calls (15 s of the director's clock) after that.
+    while recorder.dropped_calls() < 60 {
+        call(number, &load_reports(number), &mut recorder);
         number += 1;
         assert!(number < 200_000, "the queue is bounded");
     }
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
-    let stood = number;
-    until("it has caught up", || told.queued_bytes.load(std::sync::atomic::Ordering::Relaxed) == 0);
+    let first_after_hang = number;
+    until("it has caught up", || metrics.queued_bytes.load(std::sync::atomic::Ordering::Relaxed) == 0);
     for _ in 0..40 {
-        call(number, &sums(number), &mut tap);
+        call(number, &load_reports(number), &mut recorder);
         number += 1;
     }
     assert!(handle.end(Duration::from_secs(30)), "it ends well");
-    assert!(most <= queue, "{most} bytes waited");
-    // Writing a checkpoint of this size down takes milliseconds; waiting for the disk would take seconds.
+    assert!(max_queued_bytes <= queue, "{max_queued_bytes} bytes were queued");
+    // Writing a checkpoint of this size takes milliseconds; waiting for the store would take seconds.
     assert!(longest < Duration::from_secs(1), "{longest:?} in one call");
-    let segments = script.segments();
+    let segments = store.segments();
     let replayer = replay(segments.iter().map(Vec::as_slice));
     assert!(replayer.first_difference.is_none());
     assert_eq!(replayer.report.gaps.len(), 1, "{:?}", replayer.report.gaps);
     let gap = &replayer.report.gaps[0];
     assert_eq!(gap.reason, GapReason::QueueFull);
-    assert!(gap.to >= stood - 1 && replayer.report.calls == number - 1 - (gap.to + 1 - gap.from));
+    assert!(gap.to >= first_after_hang - 1 && replayer.report.calls == number - 1 - (gap.to + 1 - gap.from));
 }
 
 #[test]
-fn two_directors_given_one_folder_do_not_write_over_each_other() {
-    let place = Place::new();
-    let mut first = SegmentFolder::new(&place.0, "n1");
+fn two_directors_with_one_folder_do_not_overwrite_each_other() {
+    let folder = TempFolder::new();
+    let mut first = SegmentFolder::new(&folder.0, "n1");
     first.open().unwrap();
-    let refused = SegmentFolder::new(&place.0, "n1").open().unwrap_err();
+    let refused = SegmentFolder::new(&folder.0, "n1").open().unwrap_err();
     assert!(refused.to_string().contains("is written by another director"), "{refused}");
-    SegmentFolder::new(&place.0, "n2").open().unwrap();
+    SegmentFolder::new(&folder.0, "n2").open().unwrap();
     drop(first);
-    SegmentFolder::new(&place.0, "n1").open().unwrap();
-    // Names that differ only in strange letters have folders of their own.
+    SegmentFolder::new(&folder.0, "n1").open().unwrap();
+    // Names that differ only in unusual characters have different folders.
     let names = ["a/b", "a_b", "a.b", "..", ""].map(wingfold_archive::folder::folder_name);
     let different: std::collections::BTreeSet<&String> = names.iter().collect();
     assert_eq!(different.len(), names.len());
@@ -342,95 +343,92 @@
 
 #[test]
 fn segments_rotate_by_size_and_age_and_a_bounded_number_is_kept() {
-    let mut feed = Feed::new("overload", 7);
-    let script = Script::default();
+    let mut day = RecordedDay::new("overload", 7);
+    let store = ScriptedStore::default();
     let limits = SegmentLimits {
         segment_age: Micros(6_000_000),
         keep_segments: 4,
         flush: Micros(300_000),
         ..SegmentLimits::default()
     };
-    let mut tap = Recorder::new(synchronous(script.clone(), feed.head.clone(), limits).unwrap());
-    while feed.step(&mut tap) {}
-    tap.queue().finish().unwrap();
-    let segments = script.segments();
+    let mut recorder = Recorder::new(synchronous(store.clone(), day.head.clone(), limits).unwrap());
+    while day.next_call(&mut recorder) {}
+    recorder.queue().finish().unwrap();
+    let segments = store.segments();
     assert_eq!(segments.len(), 4);
-    assert_eq!(script.state.lock().unwrap().removed, [1, 2, 3, 4, 5, 6], "the oldest go first");
-    // Any segment replays alone, and the state between two is the same from both sides.
-    let mut alone = 0;
+    assert_eq!(store.state.lock().unwrap().removed, [1, 2, 3, 4, 5, 6], "the oldest go first");
+    // Each segment can be replayed alone, and the state at each checkpoint equals that of the replay before it.
+    let mut calls_alone = 0;
     for segment in &segments {
         let replayer = replay([&segment[..]]);
         assert!(replayer.first_difference.is_none() && replayer.report.skipped_calls == 0);
-        alone += replayer.report.calls;
+        calls_alone += replayer.report.calls;
     }
     let together = replay(segments.iter().map(Vec::as_slice));
-    assert_eq!((together.report.compared_states, together.report.calls), (3, alone));
+    assert_eq!((together.report.compared_states, together.report.calls), (3, calls_alone));
     assert!(together.first_difference.is_none());
 
-    let mut feed = Feed::new("overload", 7);
-    let script = Script::default();
+    let mut day = RecordedDay::new("overload", 7);
+    let store = ScriptedStore::default();
     let limits = SegmentLimits {
         segment_bytes: 6_000,
         keep_bytes: 20_000,
         flush: Micros(300_000),
         ..SegmentLimits::default()
     };
-    let mut tap = Recorder::new(synchronous(script.clone(), feed.head.clone(), limits).unwrap());
-    while feed.step(&mut tap) {}
-    tap.queue().finish().unwrap();
-    let bytes: usize = script.segments().iter().map(Vec::len).sum();
-    assert!(bytes <= 30_000 && script.segments().len() > 1, "{bytes}");
+    let mut recorder = Recorder::new(synchronous(store.clone(), day.head.clone(), limits).unwrap());
+    while day.next_call(&mut recorder) {}
+    recorder.queue().finish().unwrap();
+    let bytes: usize = store.segments().iter().map(Vec::len).sum();
+    assert!(bytes <= 30_000 && store.segments().len() > 1, "{bytes}");
 }
 
 #[test]
-fn a_ring_in_memory_keeps_the_last_segments_and_writes_them_out_whole() {
-    let mut feed = Feed::new("overload", 8);
-    let most = 24_000;
+fn a_ring_in_memory_keeps_the_last_segments_and_dumps_them() {
+    let mut day = RecordedDay::new("overload", 8);
+    let max_bytes = 24_000;
     let limits = SegmentLimits { segment_bytes: 6_000, flush: Micros(300_000), ..SegmentLimits::default() };
-    let plan = WriterConfig { head: feed.head.clone(), limits, queue_bytes: 4 << 20 };
-    let (mailbox, handle) = wingfold_archive::spawn(Box::new(MemoryStore::new(most)), plan, |_| ()).unwrap();
-    let mut tap = Recorder::new(mailbox);
-    while feed.step(&mut tap) {
-        // A real director's calls are a quarter of a second apart: the writer keeps up. It is asked, not waited for: it
-        // looks by itself ten times a second, and a call that found the queue held would wait for the next one.
-        tap.queue().flush().recv().unwrap();
+    let config = WriterConfig { head: day.head.clone(), limits, queue_bytes: 4 << 20 };
+    let (recorder_queue, handle) =
+        wingfold_archive::spawn(Box::new(MemoryStore::new(max_bytes)), config, |_| ()).unwrap();
+    let mut recorder = Recorder::new(recorder_queue);
+    while day.next_call(&mut recorder) {
+        // The calls of a real director are a quarter of a second apart, and the writer keeps up. It is flushed here, as it
+        // polls ten times a second, and a call that found the queue locked would wait for the next one.
+        recorder.queue().flush().recv().unwrap();
         assert_eq!(handle.metrics.queued_bytes.load(std::sync::atomic::Ordering::Relaxed), 0);
     }
-    let place = Place::new();
-    let written = handle.dump(place.0.join("dump")).recv().unwrap().unwrap();
+    let folder = TempFolder::new();
+    let written = handle.dump(folder.0.join("dump")).recv().unwrap().unwrap();
     assert!(written >= 3, "{written} segments");
-    assert!(handle.metrics.memory_bytes.load(std::sync::atomic::Ordering::Relaxed) <= most);
-    let archive = Archive::open(&place.0.join("dump")).unwrap();
+    assert!(handle.metrics.memory_bytes.load(std::sync::atomic::Ordering::Relaxed) <= max_bytes);
+    let archive = Archive::open(&folder.0.join("dump")).unwrap();
     let segments: Vec<Vec<u8>> = archive.segments.iter().map(|source| source.read().unwrap()).collect();
     let replayer = replay(segments.iter().map(Vec::as_slice));
     assert!(replayer.first_difference.is_none() && replayer.report.skipped_calls == 0);
-    assert_eq!(
-        calls(segments.last().unwrap()).last().unwrap().number,
-        feed.answers.len() as u64,
-        "up to now"
-    );
-    assert!(replayer.report.calls < feed.answers.len() as u64, "and no further back than it may hold");
+    assert_eq!(calls(segments.last().unwrap()).last().unwrap().number, day.actions.len() as u64, "up to now");
+    assert!(replayer.report.calls < day.actions.len() as u64, "and no further back than it may hold");
 }
 
 #[test]
-fn a_ring_too_small_for_one_checkpoint_says_so_and_goes_on() {
-    let mut feed = Feed::new("example", 8);
-    let mut tap = Recorder::new(
-        synchronous(MemoryStore::new(600), feed.head.clone(), SegmentLimits::default()).unwrap(),
+fn a_ring_too_small_for_one_checkpoint_reports_it_and_goes_on() {
+    let mut day = RecordedDay::new("example", 8);
+    let mut recorder = Recorder::new(
+        synchronous(MemoryStore::new(600), day.head.clone(), SegmentLimits::default()).unwrap(),
     );
-    while feed.step(&mut tap) {}
-    let told = tap.queue().finish().unwrap_err().to_string();
-    assert!(told.contains("does not hold one segment"), "{told}");
-    assert_eq!(feed.answers, feed.alone());
+    while day.next_call(&mut recorder) {}
+    let error = recorder.queue().finish().unwrap_err().to_string();
+    assert!(error.contains("does not hold one segment"), "{error}");
+    assert_eq!(day.actions, day.actions_without_recorder());
 }
 
 #[test]
-fn a_clock_that_stands_goes_back_or_jumps_replays() {
+fn captures_of_a_clock_that_stands_goes_back_or_jumps_are_replayed() {
     let settings = scenario("example").settings;
     let head = Head { settings: settings.clone(), ..Head::default() };
-    let script = Script::default();
+    let store = ScriptedStore::default();
     let limits = SegmentLimits { segment_age: Micros(60_000_000), ..SegmentLimits::default() };
-    let mut tap = Recorder::new(synchronous(script.clone(), head, limits).unwrap());
+    let mut recorder = Recorder::new(synchronous(store.clone(), head, limits).unwrap());
     let mut director = Director::new(settings, 0);
     let hour = 3_600_000_000;
     for at in [0, 0, 5, 5, 1_000_000, 400, hour, hour, hour - 9, 30 * hour, 30 * hour + 250_000] {
@@ -439,19 +437,19 @@
             Event::ProxyConnected { proxy: ProxyId(1), zone: ZoneId("a".into()), requests_per_s: 5.0 },
         ];
         let mut actions = Vec::new();
-        tap.before_call(Timestamp(at), &director);
+        recorder.before_call(Timestamp(at), &director);
         director.handle(Timestamp(at), &events, &mut actions);
-        tap.after_call(Timestamp(at), &events, &actions, director.digest());
+        recorder.after_call(Timestamp(at), &events, &actions, director.digest());
     }
-    tap.queue().finish().unwrap();
-    let segments = script.segments();
+    recorder.queue().finish().unwrap();
+    let segments = store.segments();
     let replayer = replay(segments.iter().map(Vec::as_slice));
     assert!(replayer.first_difference.is_none(), "{:?}", replayer.first_difference);
     assert_eq!(replayer.report.calls, 11);
     assert!(segments.len() > 1, "a jump ends a segment by its age");
 }
 
-/// One of a segment's blocks with other contents, sound in itself.
+/// Replaces the contents of the first block of a kind; the block itself stays valid.
 fn forge(bytes: &[u8], kind: BlockKind, change: impl Fn(Vec<u8>) -> Vec<u8>) -> Vec<u8> {
     let (mut out, mut at, mut done) = (Vec::new(), 0, false);
     while let Ok(block) = block::Block::at(bytes, at) {
@@ -467,7 +465,7 @@
     out
 }
 
-fn first_fault(bytes: &[u8]) -> Result<Replayer, ReplayError> {
+fn replay_all(bytes: &[u8]) -> Result<Replayer, ReplayError> {
     let mut replayer = Replayer::new(ReplayMode::Strict);
     for entry in entries(bytes) {
         replayer.feed(entry)?;
@@ -476,16 +474,16 @@
 }
 
 #[test]
-fn captures_of_another_version_or_other_settings_are_refused_and_of_another_build_are_told() {
-    let bytes = day("example", 9);
-    // Another format: every block says so.
+fn captures_of_other_versions_or_settings_are_rejected_and_other_builds_reported() {
+    let bytes = recorded_segment("example", 9);
+    // Another format version.
     let mut other = bytes.clone();
     other[5] = block::FORMAT_VERSION + 1;
     let sum = crc32fast::hash(&other[..24]);
     other[24..28].copy_from_slice(&sum.to_le_bytes());
     assert_eq!(wingfold_capture::reader::head(&other).unwrap_err(), BlockError::Format(2));
     assert_eq!(BlockError::Format(2).to_string(), "the format has version 2, this build reads version 1");
-    // Another version of the state.
+    // Another version of the checkpoint.
     let state = |change: fn(&mut [u8])| {
         forge(&bytes, BlockKind::Checkpoint, |mut contents| {
             let at = contents.windows(4).position(|four| four == b"WFDS").unwrap();
@@ -493,34 +491,34 @@
             contents
         })
     };
-    let refused = first_fault(&state(|state| state[4] = 9)).unwrap_err();
+    let refused = replay_all(&state(|state| state[4] = 9)).unwrap_err();
     assert_eq!(refused, ReplayError::Checkpoint { call: 1, error: CheckpointError::Version { found: 9 } });
-    let refused = first_fault(&state(|state| state[40] ^= 1)).unwrap_err();
+    let refused = replay_all(&state(|state| state[40] ^= 1)).unwrap_err();
     assert!(
         matches!(refused, ReplayError::Checkpoint { error: CheckpointError::Damaged(_), .. }),
         "{refused}"
     );
-    // Settings of the head that are not those of the state.
+    // A head with other settings than the checkpoint.
     let head = wingfold_capture::reader::head(&bytes).unwrap();
     let another = |change: &dyn Fn(&mut Head)| {
         let mut head = head.clone();
         change(&mut head);
         forge(&bytes, BlockKind::Head, |_| rmp_serde::to_vec_named(&head).unwrap())
     };
-    let refused = first_fault(&another(&|head| head.settings.drain_grace = Micros(1))).unwrap_err();
+    let refused = replay_all(&another(&|head| head.settings.drain_grace = Micros(1))).unwrap_err();
     assert_eq!(refused, ReplayError::Checkpoint { call: 1, error: CheckpointError::Settings });
-    let refused = first_fault(&another(&|head| head.settings.proxies = u32::MAX)).unwrap_err();
+    let refused = replay_all(&another(&|head| head.settings.proxies = u32::MAX)).unwrap_err();
     assert_eq!(refused, ReplayError::Settings(SettingsError::TooManyProxies { count: u32::MAX }));
-    let replayer = first_fault(&another(&|head| head.build = "wingfold 7.7".into())).unwrap();
+    let replayer = replay_all(&another(&|head| head.build = "wingfold 7.7".into())).unwrap();
     assert_eq!(replayer.report.builds, ["wingfold 7.7"]);
     assert!(replayer.first_difference.is_none(), "what another build recorded is replayed all the same");
 }
 
 #[test]
-fn a_difference_is_found_at_its_call_and_compare_tells_whom_it_concerns() {
-    let bytes = day("overload", 3);
+fn a_difference_is_found_at_its_call_and_in_its_table() {
+    let bytes = recorded_segment("overload", 3);
     let at = 150;
-    // One order of call 150 was another one then: it is as if another build had recorded it.
+    // One action of call 150 is changed, as if another build had recorded it.
     let mut seen = 0;
     let forged = forge(&bytes, BlockKind::Calls, |contents| contents);
     assert_eq!(calls(&forged).len(), calls(&bytes).len());
@@ -545,31 +543,31 @@
     let first = replayer.first_difference.as_ref().expect("one bit of one weight");
     assert_eq!(first.call, seen);
     assert_eq!(replayer.report.differences, 1);
-    let apart = replayer.divergences();
-    let tables: usize = apart.values().map(Vec::len).sum();
-    assert_eq!(tables, 1, "{apart:?}");
-    let (_, how) = &apart.values().next().unwrap()[0];
-    assert!(how.total_s > 0.0 && how.max_entries == 1, "{how:?}");
+    let divergences = replayer.divergences();
+    let tables: usize = divergences.values().map(Vec::len).sum();
+    assert_eq!(tables, 1, "{divergences:?}");
+    let (_, divergence) = &divergences.values().next().unwrap()[0];
+    assert!(divergence.total_s > 0.0 && divergence.max_entries == 1, "{divergence:?}");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, max_shrink_iters: 50, ..ProptestConfig::default() })]
 
     #[test]
-    fn random_bytes_are_read_to_their_end_without_harm(bytes in prop::collection::vec(any::<u8>(), 0..3000), kind in 1..5u8) {
-        let _ = first_fault(&bytes);
-        // As the contents of a block that is sound in itself, behind a sound head.
+    fn random_bytes_never_cause_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..3000), kind in 1..5u8) {
+        let _ = replay_all(&bytes);
+        // As the contents of a valid block after a valid head.
         let kind = [BlockKind::Head, BlockKind::Checkpoint, BlockKind::Calls, BlockKind::Index][usize::from(kind - 1)];
         let head = rmp_serde::to_vec_named(&Head { settings: scenario("example").settings, ..Head::default() }).unwrap();
         let forged = [block::encode(BlockKind::Head, 0, &head), block::encode(kind, 1, &bytes)].concat();
-        let _ = first_fault(&forged);
+        let _ = replay_all(&forged);
     }
 
     #[test]
-    fn a_capture_that_somebody_changed_and_sealed_again_does_no_harm(
+    fn forged_captures_never_cause_a_panic(
         seed in 0..3u64, kind in 0..3u8, flips in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..8),
     ) {
-        let bytes = day("example", seed);
+        let bytes = recorded_segment("example", seed);
         let kind = [BlockKind::Head, BlockKind::Checkpoint, BlockKind::Calls][usize::from(kind)];
         let forged = forge(&bytes, kind, |mut contents| {
             for (at, to) in &flips {
@@ -584,15 +582,15 @@
             }
             contents
         });
-        let _ = first_fault(&forged);
+        let _ = replay_all(&forged);
     }
 }
 
 #[test]
 #[ignore = "the same as above for as long as one likes: PROPTEST_CASES=100000"]
-fn forged_captures_for_long() {
+fn forged_captures_for_a_long_time() {
     let cases = std::env::var("PROPTEST_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(20_000);
-    let days: Vec<Vec<u8>> = (0..4).map(|seed| day("example", seed)).collect();
+    let days: Vec<Vec<u8>> = (0..4).map(|seed| recorded_segment("example", seed)).collect();
     let mut state = 1u64;
     let mut random = move || {
         state = state.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(1);
@@ -615,6 +613,6 @@
             }
             contents
         });
-        let _ = first_fault(&forged);
+        let _ = replay_all(&forged);
     }
 }
