--- a/crates/wingfold-capture/src/replay/validation.rs
+++ b/crates/wingfold-capture/src/replay/validation.rs
@@ -1,11 +1,9 @@
 //! Checks of recorded calls. The node admits no other events, but a file may hold anything.
 
 use crate::model::Call;
-use wingfold_director::interface::{AttemptCounts, Endpoint, Event, HostLoad, Timestamp};
+use wingfold_director::interface::{AttemptCounts, Endpoint, Event, HostLoad, Micros, Timestamp};
 use wingfold_director::Director;
 
-/// The latest time, and the longest duration, whose sums cannot overflow.
-const LATEST: Timestamp = Timestamp(u64::MAX / 4);
 /// Bound of weights and of requests per second.
 const MAX_RATE: f64 = 1e12;
 /// Bound of the attempts in one report.
@@ -18,7 +16,7 @@
 /// Whether a director can get such a call.
 pub(super) fn is_valid_call(call: &Call, director: &Director) -> bool {
     let max_zones = director.settings().zones.len() + MAX_ADDED_ZONES;
-    call.at <= LATEST
+    call.at <= Timestamp::LATEST
         && director.zone_count() <= max_zones
         && call.events.iter().all(|event| is_valid_event(event, director))
 }
@@ -32,7 +30,7 @@
             proxy.0 < settings.proxies.max(1) * 2 + MAX_ADDED_PROXIES && is_valid_rate(*requests_per_s)
         }
         Event::LoadReport { attempts, mean_latency, load, .. } => {
-            are_valid_counts(attempts) && mean_latency.0 <= LATEST.0 && is_valid_load(load)
+            are_valid_counts(attempts) && *mean_latency <= Micros::LONGEST && is_valid_load(load)
         }
         Event::Usage { class, requests, .. } => {
             class.0 < settings.classes.len().max(1) && are_valid_counts(requests)
@@ -42,7 +40,7 @@
 }
 
 fn is_valid_endpoint(endpoint: &Endpoint) -> bool {
-    is_valid_rate(endpoint.weight) && endpoint.started_at.is_none_or(|at| at <= LATEST)
+    is_valid_rate(endpoint.weight) && endpoint.started_at.is_none_or(|at| at <= Timestamp::LATEST)
 }
 
 fn is_valid_rate(rate: f64) -> bool {
@@ -55,5 +53,5 @@
 }
 
 fn are_valid_counts(counts: &AttemptCounts) -> bool {
-    counts.total < MAX_ATTEMPTS && counts.failed < MAX_ATTEMPTS && counts.period.0 <= LATEST.0
+    counts.total < MAX_ATTEMPTS && counts.failed < MAX_ATTEMPTS && counts.period <= Micros::LONGEST
 }
--- a/crates/wingfold-director/benches/ladder/traffic.rs
+++ b/crates/wingfold-director/benches/ladder/traffic.rs
@@ -226,8 +226,8 @@
                     "type": "LOAD", "site": zone.0, "target": host.0, "count": attempts.total, "fail": attempts.failed,
                     "mean": mean.secs() * 1e3, "over": attempts.period.secs() * 1e3,
                 });
-                if let (Some(in_hand), Some(busy)) = (load.in_flight, load.utilization) {
-                    message["util"] = json!({"inflight": in_hand, "util": busy});
+                if let (Some(in_flight), Some(utilization)) = (load.in_flight, load.utilization) {
+                    message["util"] = json!({"inflight": in_flight, "util": utilization});
                 }
                 traffic.load_reports.add(FRAME + json_bytes(&message));
             }
--- a/crates/wingfold-director/src/checkpoint/validation.rs
+++ b/crates/wingfold-director/src/checkpoint/validation.rs
@@ -1,8 +1,6 @@
 //! Checks that the records of a checkpoint fit together: all that the director relies on without checking.
 use crate::director::Director;
-use crate::interface::{
-    ClassId, HostId, ProxyId, SettingsError, TableId, Timestamp, ZoneId, LATEST_TIMESTAMP, MAX_ZONES,
-};
+use crate::interface::{ClassId, HostId, ProxyId, SettingsError, TableId, Timestamp, ZoneId, MAX_ZONES};
 use crate::state::{ClassGroup, HealthState, Host, Table, ZoneHostStats};
 use std::collections::BTreeSet;
 
@@ -19,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidRecord {
     /// A point in time is so late that sums with it could overflow.
-    #[error("{field} is {} us, at most {} us are expected", .at.0, LATEST_TIMESTAMP.0)]
+    #[error("{field} is {} us, at most {} us are expected", .at.0, Timestamp::LATEST.0)]
     TimeTooLate {
         /// The field that holds it.
         field: &'static str,
@@ -27,7 +25,7 @@
         at: Timestamp,
     },
     /// The start of a host is so late that sums with it could overflow.
-    #[error("host {:?} started at {} us, at most {} us are expected", .host.0, .at.0, LATEST_TIMESTAMP.0)]
+    #[error("host {:?} started at {} us, at most {} us are expected", .host.0, .at.0, Timestamp::LATEST.0)]
     HostStartedTooLate {
         /// The host.
         host: HostId,
@@ -178,7 +176,7 @@
         count: usize,
     },
     /// A barrier was sent so late that sums with its time could overflow.
-    #[error("barrier {number} was sent at {} us, at most {} us are expected", .at.0, LATEST_TIMESTAMP.0)]
+    #[error("barrier {number} was sent at {} us, at most {} us are expected", .at.0, Timestamp::LATEST.0)]
     BarrierSentTooLate {
         /// The number of the barrier.
         number: u64,
@@ -205,7 +203,7 @@
     #[error("{0} rounds confirm its next weight, fewer than {ROUNDS_BOUND} are expected")]
     ConfirmingRounds(u32),
     /// The end of its ejection or probation.
-    #[error("its ejection or probation ends at {} us, at most {} us are expected", .0.0, LATEST_TIMESTAMP.0)]
+    #[error("its ejection or probation ends at {} us, at most {} us are expected", .0.0, Timestamp::LATEST.0)]
     HealthUntil(Timestamp),
 }
 
@@ -407,7 +405,7 @@
 }
 
 fn is_time(at: Timestamp) -> bool {
-    at <= LATEST_TIMESTAMP
+    at <= Timestamp::LATEST
 }
 
 fn is_weight(weight: f64) -> bool {
--- a/crates/wingfold-director/src/interface/action.rs
+++ b/crates/wingfold-director/src/interface/action.rs
@@ -15,7 +15,7 @@
     Twice,
 }
 
-/// What a director orders. Captures store actions by position (postcard): the order of variants and of
+/// An action that a director orders. Captures store actions by position (postcard): the order of variants and of
 /// fields is fixed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
--- a/crates/wingfold-director/src/interface/event.rs
+++ b/crates/wingfold-director/src/interface/event.rs
@@ -5,7 +5,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What a director is told. Captures store events by position (postcard): the order of variants and of
+/// An event that a director handles. Captures store events by position (postcard): the order of variants and of
 /// fields is fixed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
--- a/crates/wingfold-director/src/interface/mod.rs
+++ b/crates/wingfold-director/src/interface/mod.rs
@@ -19,5 +19,5 @@
 pub use notice::Notice;
 pub use settings::{AdmissionMode, Class, LoadReportSource, RepeatSafety, Settings};
 pub use settings_error::SettingsError;
-pub(crate) use settings_error::{LATEST_TIMESTAMP, MAX_ZONES};
+pub(crate) use settings_error::MAX_ZONES;
 pub use time::{Micros, Timestamp};
--- a/crates/wingfold-director/src/interface/notice.rs
+++ b/crates/wingfold-director/src/interface/notice.rs
@@ -61,7 +61,7 @@
         zone: ZoneId,
         /// Attempts of the zone that failed in a row.
         consecutive_failures: f64,
-        /// Attempts of the zone that should have come since the host was last heard of.
+        /// Attempts of the zone that should have come since the last report on the host.
         missed_attempts: f64,
         /// Attempts of all zones in a row that failed or came too late.
         consecutive_useless: f64,
@@ -103,12 +103,7 @@
                 write!(f, "endpoint list failed retry_in_s={retry_in_s:.1}")
             }
             Notice::HostNotReady { host, readiness } => {
-                let state = match readiness {
-                    Readiness::Ready => "ready",
-                    Readiness::Draining => "draining",
-                    Readiness::Removed => "removed",
-                };
-                write!(f, "host {state} host={}", host.0)
+                write!(f, "host {} host={}", readiness_name(*readiness), host.0)
             }
             Notice::HostStarted { host } => write!(f, "host started host={}", host.0),
             Notice::WeightChanged { host, zone, weight_halvings, score, leading_score } => {
@@ -149,6 +144,14 @@
     }
 }
 
+fn readiness_name(readiness: Readiness) -> &'static str {
+    match readiness {
+        Readiness::Ready => "ready",
+        Readiness::Draining => "draining",
+        Readiness::Removed => "removed",
+    }
+}
+
 impl PartialEq for Notice {
     fn eq(&self, other: &Notice) -> bool {
         self.to_string() == other.to_string()
--- a/crates/wingfold-director/src/interface/settings.rs
+++ b/crates/wingfold-director/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! What a director is told of its deployment when it starts.
+//! The settings of a director: what it knows of its deployment when it starts.
 use super::{Micros, ZoneId};
 use serde::{Deserialize, Serialize};
 
@@ -65,7 +65,7 @@
     Never,
 }
 
-/// What a director is told of its deployment when it starts.
+/// What a director knows of its deployment when it starts.
 ///
 /// Checkpoints and the digest of the settings hold the stored names of the fields, in this order.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/wingfold-director/src/interface/settings_error.rs
+++ b/crates/wingfold-director/src/interface/settings_error.rs
@@ -1,5 +1,5 @@
 //! The bounds of settings within which a director can work, and the errors of settings beyond them.
-use super::{Class, Micros, Settings, Timestamp, ZoneId};
+use super::{Class, Micros, Settings, ZoneId};
 use std::collections::BTreeSet;
 
 /// The most request classes: a [`ClassMask`](super::ClassMask) has a bit for each.
@@ -10,8 +10,6 @@
 const MAX_PROXIES: u32 = 100_000;
 /// The most tables: one for each proxy and class.
 const MAX_TABLES: u64 = 1_000_000;
-/// The latest point in time, and the longest duration, whose sums cannot overflow.
-pub(crate) const LATEST_TIMESTAMP: Timestamp = Timestamp(u64::MAX / 4);
 
 /// Why a director cannot work with some settings.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
@@ -53,7 +51,7 @@
         classes: usize,
     },
     /// A duration is too long.
-    #[error("the setting {setting} is {} us, at most {} us are expected", .duration.0, LATEST_TIMESTAMP.0)]
+    #[error("the setting {setting} is {} us, at most {} us are expected", .duration.0, Micros::LONGEST.0)]
     DurationTooLong {
         /// The path of the setting.
         setting: String,
@@ -162,7 +160,7 @@
 }
 
 fn validate_duration(setting: impl Fn() -> String, duration: Micros) -> Result<(), SettingsError> {
-    if duration.0 > LATEST_TIMESTAMP.0 {
+    if duration > Micros::LONGEST {
         return Err(SettingsError::DurationTooLong { setting: setting(), duration });
     }
     Ok(())
--- a/crates/wingfold-director/src/interface/time.rs
+++ b/crates/wingfold-director/src/interface/time.rs
@@ -9,6 +9,9 @@
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
+    /// The latest point that is accepted from outside: sums with it cannot overflow.
+    pub const LATEST: Timestamp = Timestamp(u64::MAX / 4);
+
     /// The point `secs` seconds after the clock's zero; a negative value gives the zero itself.
     pub fn from_secs(secs: f64) -> Self {
         Timestamp((secs * MICROS_PER_S) as u64)
@@ -38,6 +41,9 @@
 pub struct Micros(pub u64);
 
 impl Micros {
+    /// The longest duration that is accepted from outside: sums with it cannot overflow.
+    pub const LONGEST: Micros = Micros(Timestamp::LATEST.0);
+
     /// A duration of `secs` seconds; a negative value gives an empty duration.
     pub fn from_secs(secs: f64) -> Self {
         Micros((secs * MICROS_PER_S) as u64)
--- a/crates/wingfold-director/tests/checkpoint.rs
+++ b/crates/wingfold-director/tests/checkpoint.rs
@@ -6,6 +6,13 @@
 use wingfold_director::interface::*;
 use wingfold_director::Director;
 
+/// Bytes of the head of a checkpoint.
+const HEAD_BYTES: usize = 22;
+/// Where the head has the version,
+const VERSION_OFFSET: usize = 4;
+/// and the checksum of the records.
+const CHECKSUM: std::ops::Range<usize> = 18..22;
+
 /// Settings of several deployments: all admission modes; one group of classes and three; endpoint lists that are pushed
 /// and polled; subsets and complete tables.
 fn deployment(kind: u8) -> Settings {
@@ -118,11 +125,11 @@
         let mut bytes = director.checkpoint();
         let length = bytes.len();
         for (at, to) in flips {
-            bytes[22 + at.index(length - 22)] = to;
+            bytes[HEAD_BYTES + at.index(length - HEAD_BYTES)] = to;
         }
         // The checksum is corrected, as by somebody who changes a checkpoint on purpose.
-        let sum = crc32fast::hash(&bytes[22..]);
-        bytes[18..22].copy_from_slice(&sum.to_le_bytes());
+        let sum = crc32fast::hash(&bytes[HEAD_BYTES..]);
+        bytes[CHECKSUM].copy_from_slice(&sum.to_le_bytes());
         if let Ok(mut other) = Director::restore(&bytes) {
             run(&mut other, &mut 80_000_000, &calls);
         }
@@ -139,14 +146,14 @@
 fn invalid_checkpoints_are_rejected_with_the_reason() {
     let (settings, bytes) = settings_and_checkpoint();
     assert!(Director::restore_for(&bytes, &settings).is_ok());
-    for length in [0, 3, 21, 22, 400, bytes.len() - 1] {
+    for length in [0, 3, HEAD_BYTES - 1, HEAD_BYTES, 400, bytes.len() - 1] {
         let refused = Director::restore(&bytes[..length]).unwrap_err();
         assert!(matches!(refused, CheckpointError::Cut { has, .. } if has == length), "{refused}");
     }
     let more = [&bytes[..], b"x"].concat();
     assert!(matches!(Director::restore(&more).unwrap_err(), CheckpointError::Cut { .. }));
     let mut other = bytes.clone();
-    other[4] = VERSION as u8 + 1;
+    other[VERSION_OFFSET] = VERSION as u8 + 1;
     let refused = Director::restore(&other).unwrap_err();
     assert_eq!(refused.to_string(), "the checkpoint has version 2, this build reads version 1");
     for at in [0, 30, bytes.len() / 2, bytes.len() - 1] {
@@ -161,15 +168,15 @@
 #[test]
 fn a_table_entry_of_an_unknown_host_is_rejected() {
     let (_, bytes) = settings_and_checkpoint();
-    let text = String::from_utf8_lossy(&bytes[22..]).into_owned();
+    let text = String::from_utf8_lossy(&bytes[HEAD_BYTES..]).into_owned();
     assert!(text.contains("lines"), "records are written by the names of their fields");
     // h1 keeps its name in the tables and gets another one among the hosts (stored as `fleet`).
     let at = bytes.windows(5).position(|five| five == b"fleet").expect("it is there");
     let host = at + bytes[at..].windows(2).position(|two| two == b"h1").expect("it is listed");
     let mut other = bytes.clone();
     other[host] = b'x';
-    let sum = crc32fast::hash(&other[22..]);
-    other[18..22].copy_from_slice(&sum.to_le_bytes());
+    let sum = crc32fast::hash(&other[HEAD_BYTES..]);
+    other[CHECKSUM].copy_from_slice(&sum.to_le_bytes());
     let refused = Director::restore(&other).unwrap_err();
     let unknown = |record: &InvalidRecord| matches!(record, InvalidRecord::UnknownHost { host, .. } if &*host.0 == "h1");
     assert!(matches!(&refused, CheckpointError::Invalid(record) if unknown(record)), "{refused}");
--- a/crates/wingfold-director/tests/scale.rs
+++ b/crates/wingfold-director/tests/scale.rs
@@ -80,8 +80,11 @@
         let full: Vec<&HostId> = entries.iter().filter(|(_, w)| **w >= 0.1).map(|(id, _)| id).collect();
         assert!(full.len() >= 4 && full.len() < 50, "{} hosts at listed weight", full.len());
         assert_eq!(entries.len(), 100, "every host is listed");
-        let spare: f64 = entries.values().filter(|w| **w < 0.1).sum();
-        assert!(spare < 0.02 * entries.values().sum::<f64>(), "standby entries get next to nothing: {spare}");
+        let standby_weight: f64 = entries.values().filter(|w| **w < 0.1).sum();
+        assert!(
+            standby_weight < 0.02 * entries.values().sum::<f64>(),
+            "standby entries get next to nothing: {standby_weight}"
+        );
         served.extend(full.into_iter().cloned());
     }
     assert!(served.len() >= 80, "the subsets cover the fleet: {}", served.len());
@@ -196,7 +199,7 @@
     harness.advance(0.75);
     assert_eq!(harness.assignments.len(), 160, "all are assigned within the grace");
     harness.advance(60.0);
-    assert_eq!(harness.entries("east").len(), 200, "spares come back once there is room");
+    assert_eq!(harness.entries("east").len(), 200, "standby entries return once there is room");
 }
 
 /// 30 assigned proxies and 60 hosts, with standby entries.
@@ -241,9 +244,9 @@
     let before = full(&harness);
     report_losses(&mut harness, 0.4, 20);
     assert!(full(&harness) < before && full(&harness) >= 3, "{} after {before}", full(&harness));
-    assert!(harness.entries("east").len() < 60, "spares cost connections too");
+    assert!(harness.entries("east").len() < 60, "standby entries cost connections too");
     report_losses(&mut harness, 0.0, 60);
-    assert_eq!(harness.entries("east").len(), 60, "spares come back");
+    assert_eq!(harness.entries("east").len(), 60, "standby entries return");
 }
 
 #[test]
@@ -309,7 +312,7 @@
             let warm: f64 = (12..20).map(|n| harness.weight(zone_name, &format!("h{n}"))).sum();
             assert!(
                 warm / entries.values().sum::<f64>() > 0.5,
-                "{zone_name}: cold hosts carry most of it: {entries:?}"
+                "{zone_name}: hosts that warm up have most of the load: {entries:?}"
             );
         }
         harness.run_with_reports(1.0, 10, |_, id| does(id));
@@ -375,7 +378,7 @@
             let begun = std::time::Instant::now();
             director.handle(at_seconds(now), &events, &mut out);
             turns.push(begun.elapsed().as_secs_f64() * 1e3);
-            let bound: Vec<ProxyId> = out
+            let assigned: Vec<ProxyId> = out
                 .iter()
                 .filter_map(|a| if let Action::AssignTable { proxy: p, .. } = a { Some(*p) } else { None })
                 .collect();
@@ -383,7 +386,7 @@
                 out.iter()
                     .find_map(|a| if let Action::Barrier { number: n, .. } = a { Some(*n) } else { None });
             barriers.extend(barrier.into_iter().flat_map(|n| {
-                bound.iter().map(move |p| Event::Acknowledged {
+                assigned.iter().map(move |p| Event::Acknowledged {
                     proxy: *p,
                     barrier: n,
                     elapsed: seconds(0.3),
--- a/crates/wingfold-director/tests/send_queue.rs
+++ b/crates/wingfold-director/tests/send_queue.rs
@@ -6,7 +6,7 @@
 use wingfold_director::interface::*;
 use wingfold_director::Director;
 
-/// A send queue as the protocol defines it: messages are sent in order, at a rate that the director is not told, and reach
+/// A send queue as the protocol defines it: messages are sent in order, at a rate that the director does not know, and reach
 /// their proxies after a delay.
 struct SimulatedQueue {
     settings: Settings,
@@ -132,7 +132,8 @@
                 }
             }
         }
-        let (arrived, rest) = self.in_transit.drain(..).partition(|word| word.0 <= self.now);
+        let (arrived, rest) =
+            self.in_transit.drain(..).partition(|acknowledgement| acknowledgement.0 <= self.now);
         self.in_transit = rest;
         let arrived: Vec<(f64, ProxyId, u64, f64)> = arrived;
         arrived
--- a/crates/wingfold-director/tests/subsetting.rs
+++ b/crates/wingfold-director/tests/subsetting.rs
@@ -9,16 +9,16 @@
 
 /// The load of each host by the tables and the proxies assigned to them, as a multiple of the mean.
 fn relative_loads(harness: &Harness) -> BTreeMap<HostId, f64> {
-    let bound: BTreeMap<ProxyId, TableId> =
+    let assigned: BTreeMap<ProxyId, TableId> =
         harness.assignments.iter().map(|assignment| (assignment.0, assignment.1)).collect();
     let mut relative_loads: BTreeMap<HostId, f64> = BTreeMap::new();
-    for table in bound.values().map(|table| &harness.tables[table]) {
+    for table in assigned.values().map(|table| &harness.tables[table]) {
         let total: f64 = table.values().sum();
         for (id, weight) in table {
             *relative_loads.entry(id.clone()).or_default() += RATE * weight / total;
         }
     }
-    let mean = RATE * bound.len() as f64 / 100.0;
+    let mean = RATE * assigned.len() as f64 / 100.0;
     relative_loads.values_mut().for_each(|load| *load /= mean);
     relative_loads
 }
