--- a/crates/wingfold-archive/tests/common/mod.rs
+++ b/crates/wingfold-archive/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use wingfold_capture::{entries, Entry, Head};
 use wingfold_director::interface::*;
 use wingfold_director::Director;
-use wingfold_lab::Scenario;
+use wingfold_emulator::Scenario;
 
 /// A folder of this test's own, gone when it ends.
 pub struct Place(pub PathBuf);
@@ -38,7 +38,8 @@
 
 /// A scenario that is shipped.
 pub fn scenario(name: &str) -> Scenario {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../wingfold-lab/scenarios/{name}.hcl"));
+    let path =
+        Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../wingfold-emulator/scenarios/{name}.hcl"));
     Scenario::read(name, &std::fs::read_to_string(path).unwrap()).unwrap()
 }
 
@@ -48,7 +49,7 @@
     let mut days = DAYS.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     let played = days.entry((name.to_string(), seed)).or_insert_with(|| {
         let place = Place::new();
-        wingfold_lab::simulate(&scenario(name), seed, Some(&place.0)).unwrap();
+        wingfold_emulator::simulate(&scenario(name), seed, Some(&place.0)).unwrap();
         Archive::open(&place.0.join("director-0")).unwrap().sources[0].read().unwrap()
     });
     played.clone()
--- a/crates/wingfold-archive/tests/hard.rs
+++ b/crates/wingfold-archive/tests/hard.rs
@@ -24,7 +24,7 @@
         [("release-and-errors", 3, 2), ("late-sums", 5, 1), ("rates-and-parts", 2, 1), ("cut-zone", 9, 1)]
     {
         let place = Place::new();
-        let played = wingfold_lab::simulate(&scenario(name), seed, Some(&place.0)).unwrap();
+        let played = wingfold_emulator::simulate(&scenario(name), seed, Some(&place.0)).unwrap();
         assert_eq!(played.margins.broken(), Vec::<String>::new(), "{name}");
         for director in 0..2 {
             let archive = Archive::open(&place.0.join(format!("director-{director}"))).unwrap();
@@ -132,7 +132,7 @@
 fn a_damaged_catalogue_is_set_aside_and_made_anew_from_the_segments() {
     let place = Place::new();
     let plan = scenario("release-and-errors");
-    wingfold_lab::simulate(&plan, 4, Some(&place.0)).unwrap();
+    wingfold_emulator::simulate(&plan, 4, Some(&place.0)).unwrap();
     let folder = place.0.join("director-0");
     let path = folder.join("catalogue.redb");
     let sound = std::fs::read(&path).unwrap();
--- a/crates/wingfold-lab/tests/lab.rs
+++ b/crates/wingfold-emulator/tests/emulator.rs
@@ -1,7 +1,7 @@
 //! The emulator: the same seed plays the same day, rules are checked and can be broken, scenarios are checked.
 
-use wingfold_lab::experiment::Experiment;
-use wingfold_lab::{report, simulate, Scenario};
+use wingfold_emulator::experiment::Experiment;
+use wingfold_emulator::{report, simulate, Scenario};
 
 fn text(name: &str) -> String {
     std::fs::read_to_string(format!("{}/scenarios/{name}.hcl", env!("CARGO_MANIFEST_DIR"))).unwrap()
@@ -30,7 +30,7 @@
 }
 
 /// Requests that had no end when the day was over: a few at most.
-fn in_flight(all: &wingfold_lab::results::RequestCounts) -> u64 {
+fn in_flight(all: &wingfold_emulator::results::RequestCounts) -> u64 {
     let rest = all.asked - all.refused - all.good - all.late - all.lost;
     assert!(rest <= all.asked / 20, "{rest} of {}", all.asked);
     rest
--- a/crates/wingfold-lab/tests/silence.rs
+++ b/crates/wingfold-emulator/tests/silence.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use wingfold_director::interface::{Action, Event, Micros, Timestamp, ZoneId};
 use wingfold_director::Director;
+use wingfold_emulator::simulation::{simulate_observed, Observer};
+use wingfold_emulator::Scenario;
 use wingfold_figures::silence::State;
 use wingfold_figures::{Figure, Interval, Meter, Value};
-use wingfold_lab::simulation::{simulate_observed, Observer};
-use wingfold_lab::Scenario;
 
 /// Counts for director 0 as the engine does.
 struct Watch {
--- a/crates/wingfold/src/cli.rs
+++ b/crates/wingfold/src/cli.rs
@@ -33,7 +33,7 @@
   wingfold why /var/lib/wingfold/capture/n3 --at 03:12:05 --host s-5be2a07c
   wingfold capture show /var/lib/wingfold/capture/n3
   wingfold figures watch 10.0.0.4:8443
-  wingfold lab run crates/wingfold-lab/scenarios/example.hcl --seeds 1..20 --out target/lab
+  wingfold lab run crates/wingfold-emulator/scenarios/example.hcl --seeds 1..20 --out target/lab
   wingfold completions bash > /etc/bash_completion.d/wingfold";
 
 #[derive(Debug, Parser)]
--- a/crates/wingfold/src/lab.rs
+++ b/crates/wingfold/src/lab.rs
@@ -7,8 +7,8 @@
 use std::io::IsTerminal;
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
-use wingfold_lab::experiment::Experiment;
-use wingfold_lab::{report, RunResult, Scenario};
+use wingfold_emulator::experiment::Experiment;
+use wingfold_emulator::{report, RunResult, Scenario};
 
 /// What can be done in the emulator.
 #[derive(Debug, Subcommand)]
