--- a/crates/wingfold-archive/tests/hard.rs
+++ b/crates/wingfold-archive/tests/hard.rs
@@ -25,7 +25,7 @@
     {
         let place = Place::new();
         let played = wingfold_emulator::simulate(&scenario(name), seed, Some(&place.0)).unwrap();
-        assert_eq!(played.margins.broken(), Vec::<String>::new(), "{name}");
+        assert_eq!(played.margins.violations(), [], "{name}");
         for director in 0..2 {
             let archive = Archive::open(&place.0.join(format!("director-{director}"))).unwrap();
             let lives: std::collections::BTreeSet<u64> =
--- a/crates/wingfold-emulator/src/attempt.rs
+++ b/crates/wingfold-emulator/src/attempt.rs
@@ -1,6 +1,6 @@
-//! Requests and their attempts, by number.
+//! Identifiers of requests and of their attempts, and how an attempt can end.
 
-/// The number of a request.
+/// The number of an admitted request, counted from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
@@ -9,19 +9,19 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// 1 for its first attempt.
+    /// 1 for the first attempt of the request.
     pub number: u32,
 }
 
-/// How an attempt ended, as its proxy knows.
+/// The result of an attempt as its proxy sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Answered well.
+    /// Answered without an error.
     Success,
-    /// Refused: it surely never ran.
+    /// The connection was refused, so the request was certainly not executed.
     Refused,
     /// Answered with an error.
     Error,
-    /// Not answered in time.
+    /// Not answered within the attempt's timeout.
     TimedOut,
 }
--- a/crates/wingfold-emulator/src/experiment.rs
+++ b/crates/wingfold-emulator/src/experiment.rs
@@ -1,126 +1,123 @@
-//! Runs a scenario with many seeds and summarizes the results.
+//! Runs a scenario with many seeds and combines the results.
 
+use crate::estimate::Estimate;
+use crate::invariants::{Margins, Violation};
 use crate::results::{RequestCounts, RunResult};
-use crate::rules::Margins;
 use crate::scenario::Scenario;
 use crate::simulation::simulate;
 use hdrhistogram::Histogram;
-use statrs::distribution::{ContinuousCDF, StudentsT};
+use std::fmt;
 use std::io;
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// The quantile that ends a two-sided interval of 95 % confidence.
-const UPPER_QUANTILE: f64 = 0.975;
+/// Significant digits of the histogram that stands for an experiment without runs.
+const EMPTY_HISTOGRAM_DIGITS: u8 = 3;
 
-/// An estimate of a mean, with its interval of 95 % confidence.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Estimate {
-    /// The mean.
-    pub mean: f64,
-    /// Half of the interval's width; infinite for one value.
-    pub half_width: f64,
-    /// The middle value.
-    pub median: f64,
-    /// How many values.
-    pub count: usize,
-}
-
-impl Estimate {
-    /// Of some values.
-    pub fn of(values: &[f64]) -> Estimate {
-        let count = values.len();
-        if count == 0 {
-            return Estimate::default();
-        }
-        let mean = values.iter().sum::<f64>() / count as f64;
-        Estimate { mean, half_width: half_width(values, mean), median: median(values), count }
-    }
+/// The run of one seed.
+#[derive(Debug)]
+pub struct SeedRun {
+    /// The seed of all random numbers of the run.
+    pub seed: u64,
+    /// What the run measured.
+    pub result: RunResult,
 }
 
-fn median(values: &[f64]) -> f64 {
-    let mut sorted = values.to_vec();
-    sorted.sort_by(f64::total_cmp);
-    (sorted[(sorted.len() - 1) / 2] + sorted[sorted.len() / 2]) / 2.0
+/// The invariants that the run of one seed violated. Displayed as a list that semicolons separate.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SeedViolations {
+    /// The seed of the run.
+    pub seed: u64,
+    /// The violations; never empty.
+    pub violations: Vec<Violation>,
 }
 
-/// By Student's distribution.
-fn half_width(values: &[f64], mean: f64) -> f64 {
-    let count = values.len();
-    let freedom = count as f64 - 1.0;
-    let squares: f64 = values.iter().map(|value| (value - mean).powi(2)).sum();
-    let deviation = (squares / freedom.max(1.0)).sqrt();
-    match StudentsT::new(0.0, 1.0, freedom) {
-        Ok(student) if count > 1 => student.inverse_cdf(UPPER_QUANTILE) * deviation / (count as f64).sqrt(),
-        _ => f64::INFINITY,
+impl fmt::Display for SeedViolations {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (index, violation) in self.violations.iter().enumerate() {
+            if index > 0 {
+                formatter.write_str("; ")?;
+            }
+            write!(formatter, "{violation}")?;
+        }
+        Ok(())
     }
 }
 
-/// All runs of a scenario.
+/// A scenario and its runs, one for each seed.
 #[derive(Debug)]
 pub struct Experiment {
     /// The scenario that was simulated.
     pub scenario: Scenario,
-    /// Each seed's results.
-    pub runs: Vec<(u64, RunResult)>,
+    /// The runs in the order of their seeds.
+    pub runs: Vec<SeedRun>,
 }
 
 impl Experiment {
-    /// Simulates all seeds; `progress` is called after each. Captures go into a folder for each seed.
+    /// Simulates all seeds and calls `on_run` after each. Where `capture_root` is given, the captures of each seed go into
+    /// a folder `seed-<seed>` below it.
     pub fn run(
         scenario: Scenario,
         seeds: RangeInclusive<u64>,
-        captures: Option<&Path>,
-        mut progress: impl FnMut(u64, &RunResult),
+        capture_root: Option<&Path>,
+        mut on_run: impl FnMut(u64, &RunResult),
     ) -> io::Result<Experiment> {
         let mut runs = Vec::new();
         for seed in seeds {
-            let folder = captures.map(|root| root.join(format!("seed-{seed}")));
+            let folder = capture_root.map(|root| root.join(format!("seed-{seed}")));
             let result = simulate(&scenario, seed, folder.as_deref())?;
-            progress(seed, &result);
-            runs.push((seed, result));
+            on_run(seed, &result);
+            runs.push(SeedRun { seed, result });
         }
         Ok(Experiment { scenario, runs })
     }
 
-    /// The mean of a figure over the seeds.
-    pub fn mean(&self, figure: impl Fn(&RunResult) -> f64) -> Estimate {
-        Estimate::of(&self.runs.iter().map(|(_, result)| figure(result)).collect::<Vec<_>>())
+    /// Estimates the mean over the seeds of a number taken from each result.
+    pub fn mean(&self, value: impl Fn(&RunResult) -> f64) -> Estimate {
+        let values: Vec<f64> = self.runs.iter().map(|run| value(&run.result)).collect();
+        Estimate::of(&values)
     }
 
-    /// One class over all seeds and zones.
-    pub fn class(&self, class: usize) -> RequestCounts {
-        let mut all = RequestCounts::default();
-        for (_, result) in &self.runs {
-            all.add(&result.class(class));
+    /// The requests of a class, summed over all seeds and zones.
+    pub fn class_counts(&self, class: usize) -> RequestCounts {
+        let mut total = RequestCounts::default();
+        for run in &self.runs {
+            total.add(&run.result.class_counts(class));
         }
-        all
+        total
     }
 
-    /// Latencies of a class over all seeds.
-    pub fn latencies(&self, class: usize) -> Histogram<u64> {
-        let mut all = self.runs.first().map(|(_, result)| result.latencies[class].clone());
-        for (_, result) in self.runs.iter().skip(1) {
-            if let Some(all) = &mut all {
-                // Bounds are the same for all runs.
-                let _ = all.add(&result.latencies[class]);
-            }
+    /// The latencies of a class in microseconds, over all seeds.
+    pub fn latencies_us(&self, class: usize) -> Histogram<u64> {
+        let Some((first, others)) = self.runs.split_first() else {
+            return Histogram::new(EMPTY_HISTOGRAM_DIGITS).expect("up to five digits are allowed");
+        };
+        let mut merged = first.result.latencies_us[class].clone();
+        for run in others {
+            // Cannot fail: all runs use the same bounds.
+            let _ = merged.add(&run.result.latencies_us[class]);
         }
-        all.unwrap_or_else(|| Histogram::new(3).expect("three digits are allowed"))
+        merged
     }
 
-    /// How near any seed came to each rule's limit.
-    pub fn margins(&self) -> Margins {
+    /// The worst margin of any seed for each invariant.
+    pub fn worst_margins(&self) -> Margins {
         let mut worst = Margins::default();
-        for (_, result) in &self.runs {
-            worst.merge(&result.margins);
+        for run in &self.runs {
+            worst.merge(&run.result.margins);
         }
         worst
     }
 
-    /// Seeds that broke a rule, with what was broken.
-    pub fn broken(&self) -> Vec<(u64, Vec<String>)> {
-        let broken = self.runs.iter().map(|(seed, result)| (*seed, result.margins.broken()));
-        broken.filter(|(_, rules)| !rules.is_empty()).collect()
+    /// The seeds that violated an invariant.
+    pub fn violations(&self) -> Vec<SeedViolations> {
+        let mut violating = Vec::new();
+        for run in &self.runs {
+            let violations = run.result.margins.violations();
+            if !violations.is_empty() {
+                violating.push(SeedViolations { seed: run.seed, violations });
+            }
+        }
+        violating
     }
 }
--- a/crates/wingfold-emulator/src/host.rs
+++ b/crates/wingfold-emulator/src/host.rs
@@ -1,44 +1,66 @@
-//! One host: cores that serve a queue, slower while cold, slow, or crowded; and what discovery and reports show of it.
+//! One host: cores that serve a queue, slower while the host warms up, is slowed down or shares its cores; and what
+//! discovery and load reports show of it.
 
 use crate::attempt::AttemptId;
 use std::collections::VecDeque;
 use wingfold_director::interface::{HostId, Micros, Readiness, Timestamp};
 
-/// Requests that may wait for each core; more are refused at once.
-const QUEUE_PER_CORE: usize = 24;
+/// Attempts that may wait for each core; further ones are refused at once.
+const MAX_QUEUED_PER_CORE: usize = 24;
+
+/// Lower bounds that keep divisions finite.
+const MIN_WARM_UP_S: f64 = 1e-3;
+const MIN_SPEED: f64 = 1e-3;
+const MIN_REPORT_PERIOD_S: f64 = 1e-6;
+const MIN_WORK_LIMIT_MS: f64 = 1e-9;
+
+const MICROS_PER_MS: f64 = 1e3;
+const MS_PER_S: f64 = 1e3;
 
 /// Whether and how a host serves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HostState {
-    /// Serves.
+    /// Serves requests.
     Up,
     /// Refuses connections: its process is dead.
     Down,
-    /// Answers nothing, takes no connection.
+    /// Accepts no connection and answers nothing.
     Unreachable,
-    /// Takes requests and answers none.
+    /// Accepts requests and answers none.
     Hung,
 }
 
-/// How a host takes an attempt that arrives.
+/// How a host handles an attempt that arrives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Acceptance {
-    /// Started on a core; finished at the time given.
-    Started(Timestamp),
+    /// Started on a core.
+    Started {
+        /// When the core will have finished it.
+        finishes_at: Timestamp,
+    },
     /// Waits for a core.
     Queued,
-    /// Refused: it surely never ran.
+    /// Refused, so it is certainly not executed.
     Refused,
     /// Never answered.
     Unanswered,
 }
 
-/// How much work a cold host stands before it falls over.
+/// An attempt that has been started on a core.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct StartedAttempt {
+    /// The attempt.
+    pub attempt: AttemptId,
+    /// When the core will have finished it.
+    pub finishes_at: Timestamp,
+}
+
+/// How much work a host can receive while it warms up before it fails.
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadLimit {
-    /// Work that it stands, as a multiple of what it can do.
+    /// Work that it can receive, as a multiple of its present capacity.
     pub factor: f64,
-    /// The time over which both are counted.
+    /// The time over which work and capacity are summed.
     pub window: Micros,
 }
 
@@ -49,85 +71,102 @@
     work_ms: f64,
 }
 
+/// Work that arrived at a host.
+#[derive(Clone, Copy, Debug)]
+struct ArrivedWork {
+    at: Timestamp,
+    work_ms: f64,
+}
+
 /// A host.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// Its name.
+    /// The host's name.
     pub id: HostId,
-    /// Its kind of machine.
-    pub kind: String,
-    /// Its zone's index.
+    /// The name of its machine type.
+    pub machine_type: String,
+    /// The index of its zone.
     pub zone: usize,
     /// How many attempts run at once.
     pub cores: usize,
-    /// Speed of a core.
-    pub speed: f64,
+    /// Work in ms that a core does in a ms, without faults.
+    pub core_speed: f64,
     /// Whether it serves.
     pub state: HostState,
-    /// What discovery will say of it, sooner or later.
-    pub listed: Readiness,
+    /// The readiness that discovery will announce, after its delay.
+    pub listed_readiness: Readiness,
     /// When it last started; `None`: before the simulation.
-    pub started: Option<Timestamp>,
-    /// So many times slower.
-    pub slowdown: f64,
-    /// The part of its cores that others take.
-    pub stolen_share: f64,
-    /// The part of its answers that are errors.
-    pub error_share: f64,
-    /// Counts its starts and stops: what an earlier incarnation had in hand is lost.
+    pub started_at: Option<Timestamp>,
+    /// How many times slower a fault makes it.
+    pub slowdown_factor: f64,
+    /// The share of its cores that another program uses.
+    pub stolen_cpu_ratio: f64,
+    /// The share of its answers that are errors.
+    pub error_ratio: f64,
+    /// Counts its starts and stops: attempts that an earlier incarnation was running are lost.
     pub incarnation: u32,
     queue: VecDeque<QueuedAttempt>,
     running: usize,
-    /// Busy core-seconds since the last report, counted up to `accounted_until`.
-    busy_seconds: f64,
+    /// Busy core-seconds since the last load report, counted up to `accounted_until`.
+    busy_core_s: f64,
     accounted_until: Timestamp,
-    /// Work in ms that arrived while it was cold, with its time.
-    cold_work: VecDeque<(Timestamp, f64)>,
+    /// Work that arrived within the overload window while the host was warming up.
+    warm_up_work: VecDeque<ArrivedWork>,
 }
 
 impl Host {
-    /// A host that is warm and serves.
-    pub fn new(id: HostId, kind: &str, zone: usize, cores: usize, speed: f64) -> Host {
+    /// A host that serves and has been running since before the simulation.
+    pub fn new(id: HostId, machine_type: &str, zone: usize, cores: usize, core_speed: f64) -> Host {
         Host {
             id,
-            kind: kind.into(),
+            machine_type: machine_type.into(),
             zone,
             cores,
-            speed,
+            core_speed,
             state: HostState::Up,
-            listed: Readiness::Ready,
-            started: None,
-            slowdown: 1.0,
-            stolen_share: 0.0,
-            error_share: 0.0,
+            listed_readiness: Readiness::Ready,
+            started_at: None,
+            slowdown_factor: 1.0,
+            stolen_cpu_ratio: 0.0,
+            error_ratio: 0.0,
             incarnation: 0,
             queue: VecDeque::new(),
             running: 0,
-            busy_seconds: 0.0,
+            busy_core_s: 0.0,
             accounted_until: Timestamp(0),
-            cold_work: VecDeque::new(),
+            warm_up_work: VecDeque::new(),
         }
     }
 
-    /// The share of its capacity that it has, by the time since its start.
-    pub fn warmth(&self, now: Timestamp, cold: Micros, start_capacity: f64) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
-        (start_capacity + (1.0 - start_capacity) * now.since(started) / cold.secs().max(1e-3)).min(1.0)
+    /// The share of its capacity that the host has reached: rises linearly from `initial_capacity_ratio` at its start to 1
+    /// after `warm_up`.
+    pub fn slow_start_factor(&self, now: Timestamp, warm_up: Micros, initial_capacity_ratio: f64) -> f64 {
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let warm_up_s = warm_up.secs().max(MIN_WARM_UP_S);
+        let gained = (1.0 - initial_capacity_ratio) * now.since(started_at) / warm_up_s;
+        (initial_capacity_ratio + gained).min(1.0)
     }
 
-    fn effective_speed(&self, warmth: f64) -> f64 {
-        self.speed * warmth * (1.0 - self.stolen_share) / self.slowdown
+    fn effective_speed(&self, slow_start_factor: f64) -> f64 {
+        self.core_speed * slow_start_factor * (1.0 - self.stolen_cpu_ratio) / self.slowdown_factor
     }
 
-    /// Takes an attempt that arrives.
-    pub fn accept(&mut self, now: Timestamp, attempt: AttemptId, work_ms: f64, warmth: f64) -> Acceptance {
+    /// Starts, queues or refuses an attempt that arrives.
+    pub fn accept(
+        &mut self,
+        now: Timestamp,
+        attempt: AttemptId,
+        work_ms: f64,
+        slow_start_factor: f64,
+    ) -> Acceptance {
         match self.state {
             HostState::Down => Acceptance::Refused,
             HostState::Unreachable | HostState::Hung => Acceptance::Unanswered,
             HostState::Up if self.running < self.cores => {
-                Acceptance::Started(self.start_attempt(now, work_ms, warmth))
+                let finishes_at = self.start_attempt(now, work_ms, slow_start_factor);
+                Acceptance::Started { finishes_at }
             }
-            HostState::Up if self.queue.len() < QUEUE_PER_CORE * self.cores => {
+            HostState::Up if self.queue.len() < MAX_QUEUED_PER_CORE * self.cores => {
                 self.queue.push_back(QueuedAttempt { attempt, work_ms });
                 Acceptance::Queued
             }
@@ -135,66 +174,76 @@
         }
     }
 
-    /// Starts an attempt on a free core; gives when it will be finished.
-    fn start_attempt(&mut self, now: Timestamp, work_ms: f64, warmth: f64) -> Timestamp {
-        self.account(now);
+    /// Starts an attempt on a free core and returns when it will be finished.
+    fn start_attempt(&mut self, now: Timestamp, work_ms: f64, slow_start_factor: f64) -> Timestamp {
+        self.account_busy_time(now);
         self.running += 1;
-        Timestamp(now.0 + (work_ms * 1e3 / self.effective_speed(warmth).max(1e-3)) as u64)
+        let speed = self.effective_speed(slow_start_factor).max(MIN_SPEED);
+        let duration_us = work_ms * MICROS_PER_MS / speed;
+        now + Micros(duration_us as u64)
     }
 
-    /// Frees a core; gives the next attempt that starts on it, and when that will be finished.
-    pub fn finish_attempt(&mut self, now: Timestamp, warmth: f64) -> Option<(AttemptId, Timestamp)> {
-        self.account(now);
+    /// Frees a core and returns the queued attempt that is started on it, if any.
+    pub fn finish_attempt(&mut self, now: Timestamp, slow_start_factor: f64) -> Option<StartedAttempt> {
+        self.account_busy_time(now);
         self.running = self.running.saturating_sub(1);
         if self.state != HostState::Up {
             return None;
         }
         let next = self.queue.pop_front()?;
-        Some((next.attempt, self.start_attempt(now, next.work_ms, warmth)))
+        let finishes_at = self.start_attempt(now, next.work_ms, slow_start_factor);
+        Some(StartedAttempt { attempt: next.attempt, finishes_at })
     }
 
-    /// Adds the core time since the last call.
-    fn account(&mut self, now: Timestamp) {
-        self.busy_seconds += now.since(self.accounted_until) * self.running as f64;
+    /// Adds the busy core time since the last call. Called before the number of busy cores changes.
+    fn account_busy_time(&mut self, now: Timestamp) {
+        self.busy_core_s += now.since(self.accounted_until) * self.running as f64;
         self.accounted_until = now;
     }
 
-    /// Busy share of its cores since the last report, which was at `since`.
-    pub fn report_utilization(&mut self, now: Timestamp, since: Timestamp) -> f64 {
-        self.account(now);
-        let core_seconds = now.since(since).max(1e-6) * self.cores as f64;
-        (std::mem::take(&mut self.busy_seconds) / core_seconds + self.stolen_share).min(1.0)
+    /// The busy share of its cores since the last load report, which was sent at `last_report_at`.
+    pub fn report_utilization(&mut self, now: Timestamp, last_report_at: Timestamp) -> f64 {
+        self.account_busy_time(now);
+        let available_core_s = now.since(last_report_at).max(MIN_REPORT_PERIOD_S) * self.cores as f64;
+        let busy_core_s = std::mem::take(&mut self.busy_core_s);
+        (busy_core_s / available_core_s + self.stolen_cpu_ratio).min(1.0)
     }
 
-    /// Stops serving; what it had in hand is lost.
+    /// Stops serving; queued and running attempts are lost.
     pub fn stop(&mut self, now: Timestamp, state: HostState) {
-        self.account(now);
+        self.account_busy_time(now);
         self.state = state;
         self.running = 0;
         self.incarnation += 1;
         self.queue.clear();
     }
 
-    /// Starts again, cold and without faults.
+    /// Starts again: warming up and without faults.
     pub fn restart(&mut self, now: Timestamp) {
         self.stop(now, HostState::Up);
-        self.started = Some(now);
-        self.listed = Readiness::Ready;
-        self.slowdown = 1.0;
-        self.stolen_share = 0.0;
-        self.error_share = 0.0;
-        self.cold_work.clear();
+        self.started_at = Some(now);
+        self.listed_readiness = Readiness::Ready;
+        self.slowdown_factor = 1.0;
+        self.stolen_cpu_ratio = 0.0;
+        self.error_ratio = 0.0;
+        self.warm_up_work.clear();
     }
 
-    /// Counts work that arrives while it is cold; gives how near it is to falling over: 1 is the limit.
-    pub fn add_cold_work(&mut self, now: Timestamp, work_ms: f64, warmth: f64, limit: &OverloadLimit) -> f64 {
-        self.cold_work.push_back((now, work_ms));
-        let window = limit.window.secs();
-        while self.cold_work.front().is_some_and(|(at, _)| now.since(*at) > window) {
-            self.cold_work.pop_front();
+    /// Records work that arrives while the host warms up. Returns how close it is to failure: above 1 it fails.
+    pub fn add_warm_up_work(
+        &mut self,
+        now: Timestamp,
+        work_ms: f64,
+        slow_start_factor: f64,
+        limit: &OverloadLimit,
+    ) -> f64 {
+        self.warm_up_work.push_back(ArrivedWork { at: now, work_ms });
+        let window_s = limit.window.secs();
+        while self.warm_up_work.front().is_some_and(|work| now.since(work.at) > window_s) {
+            self.warm_up_work.pop_front();
         }
-        let arrived: f64 = self.cold_work.iter().map(|(_, work)| work).sum();
-        let capacity = self.cores as f64 * self.speed * warmth * window * 1e3;
-        arrived / (limit.factor * capacity).max(1e-9)
+        let arrived_ms: f64 = self.warm_up_work.iter().map(|work| work.work_ms).sum();
+        let capacity_ms = self.cores as f64 * self.core_speed * slow_start_factor * window_s * MS_PER_S;
+        arrived_ms / (limit.factor * capacity_ms).max(MIN_WORK_LIMIT_MS)
     }
 }
--- a/crates/wingfold-emulator/src/results.rs
+++ b/crates/wingfold-emulator/src/results.rs
@@ -1,148 +1,156 @@
-//! The results of one run: requests by their end, service over time, and how near each rule came to its limit.
+//! The results of one run: requests by how they ended, service over time, and the margins of the invariants.
 
-use crate::rules::Margins;
+use crate::invariants::Margins;
 use hdrhistogram::Histogram;
 use wingfold_director::interface::{Micros, Timestamp};
 
 /// The length of a service window in seconds.
 pub const WINDOW_S: f64 = 5.0;
 
-/// Highest latency that a histogram tells apart, in microseconds, and its significant digits.
+/// The highest latency that a histogram resolves, in microseconds.
 const MAX_LATENCY_US: u64 = 600_000_000;
+/// Significant digits of a latency histogram.
 const LATENCY_DIGITS: u8 = 3;
+/// Keeps a run without requests from dividing by zero.
+const MIN_WEIGHT: f64 = 1e-9;
 
-/// Requests of a class in a zone, by their end.
+/// Requests by how they ended. Those under way when a run ends are counted as arrived only.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RequestCounts {
-    /// All that arrived.
-    pub asked: u64,
-    /// Refused by admission levels.
-    pub refused: u64,
-    /// Answered within the aim.
-    pub good: u64,
-    /// Answered later.
+    /// All requests.
+    pub arrived: u64,
+    /// Rejected by the admission level.
+    pub rejected: u64,
+    /// Answered within the latency objective.
+    pub in_time: u64,
+    /// Answered after the latency objective.
     pub late: u64,
     /// Not answered.
-    pub lost: u64,
+    pub failed: u64,
 }
 
 impl RequestCounts {
-    /// Adds another's counts.
+    /// Adds the counts of `other`.
     pub fn add(&mut self, other: &RequestCounts) {
-        self.asked += other.asked;
-        self.refused += other.refused;
-        self.good += other.good;
+        self.arrived += other.arrived;
+        self.rejected += other.rejected;
+        self.in_time += other.in_time;
         self.late += other.late;
-        self.lost += other.lost;
+        self.failed += other.failed;
     }
 }
 
-/// Worth of the requests that arrived in a span of time.
+/// The summed priority weights of the requests that arrived in a span of time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceWindow {
-    /// Of all requests.
-    pub asked: f64,
-    /// Of those that were answered in time.
-    pub in_time: f64,
+    /// The weight of all requests.
+    pub arrived_weight: f64,
+    /// The weight of the requests that were answered within their latency objective.
+    pub in_time_weight: f64,
 }
 
 impl ServiceWindow {
-    /// Adds another's worth.
     fn add(self, other: ServiceWindow) -> ServiceWindow {
-        ServiceWindow { asked: self.asked + other.asked, in_time: self.in_time + other.in_time }
+        ServiceWindow {
+            arrived_weight: self.arrived_weight + other.arrived_weight,
+            in_time_weight: self.in_time_weight + other.in_time_weight,
+        }
     }
 
-    /// The share that was answered in time; 1 where nothing was asked for.
-    pub fn share(&self) -> f64 {
-        if self.asked > 0.0 {
-            self.in_time / self.asked
+    /// The share of the weight that was answered in time; 1 where no request arrived.
+    pub fn service_ratio(&self) -> f64 {
+        if self.arrived_weight > 0.0 {
+            self.in_time_weight / self.arrived_weight
         } else {
             1.0
         }
     }
 }
 
-/// A line of a director's log.
+/// A notice in the log of a director.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// When it was written.
+    /// When the decision module gave the notice.
     pub at: Timestamp,
-    /// Who wrote it.
+    /// The index of the director.
     pub director: usize,
-    /// What was written.
+    /// The text of the notice.
     pub text: String,
 }
 
 /// The results of one run.
 #[derive(Clone, Debug)]
 pub struct RunResult {
-    /// By zone, then class.
-    pub counts: Vec<Vec<RequestCounts>>,
-    /// Worth asked for and answered in time, by window of [`WINDOW_S`].
+    /// Requests by zone, then class.
+    pub request_counts: Vec<Vec<RequestCounts>>,
+    /// Service over time, in consecutive windows of [`WINDOW_S`] by the arrival of the requests.
     pub windows: Vec<ServiceWindow>,
-    /// Latency of answered requests in microseconds, by class.
-    pub latencies: Vec<Histogram<u64>>,
-    /// How near each rule came to its limit.
+    /// Latencies of answered requests in microseconds, by class.
+    pub latencies_us: Vec<Histogram<u64>>,
+    /// How close the run came to the limit of each invariant.
     pub margins: Margins,
-    /// Attempts after a request's first.
+    /// Attempts beyond the first of their request.
     pub retries: u64,
-    /// Attempts that crossed zones.
+    /// Attempts at hosts of another zone than the proxy's.
     pub cross_zone_attempts: u64,
     /// Messages that directors sent to proxies.
-    pub messages: u64,
-    /// Lines in them.
-    pub lines: u64,
-    /// The logs of all directors.
+    pub messages_sent: u64,
+    /// Table entries and barriers in those messages.
+    pub entries_sent: u64,
+    /// The logs of all directors, in the order of time.
     pub log: Vec<LogLine>,
-    /// A digest of each director's tables at the end.
+    /// The digest of each director's decision module at the end; 0 for one that is down.
     pub digests: Vec<u64>,
 }
 
 impl RunResult {
-    /// Empty results for a number of zones and classes.
+    /// Empty results for a run of `duration` with so many zones and classes.
     pub(crate) fn new(zones: usize, classes: usize, duration: Micros) -> RunResult {
         let windows = (duration.secs() / WINDOW_S).ceil() as usize;
-        let histogram =
-            || Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS).expect("these bounds are valid");
         RunResult {
-            counts: vec![vec![RequestCounts::default(); classes]; zones],
+            request_counts: vec![vec![RequestCounts::default(); classes]; zones],
             windows: vec![ServiceWindow::default(); windows.max(1)],
-            latencies: (0..classes).map(|_| histogram()).collect(),
+            latencies_us: vec![empty_latency_histogram(); classes],
             margins: Margins::default(),
             retries: 0,
             cross_zone_attempts: 0,
-            messages: 0,
-            lines: 0,
+            messages_sent: 0,
+            entries_sent: 0,
             log: Vec::new(),
             digests: Vec::new(),
         }
     }
 
-    /// The window of a time; the last one for times after it.
+    /// The window that a time lies in; the last one for times after it.
     pub(crate) fn window_mut(&mut self, at: Timestamp) -> &mut ServiceWindow {
         let last = self.windows.len() - 1;
-        let window = (at.secs() / WINDOW_S) as usize;
-        &mut self.windows[window.min(last)]
+        let index = (at.secs() / WINDOW_S) as usize;
+        &mut self.windows[index.min(last)]
     }
 
-    /// Worth answered in time, as a share of the worth asked for.
-    pub fn service(&self) -> f64 {
-        let all = self.windows.iter().fold(ServiceWindow::default(), |sum, window| sum.add(*window));
-        all.in_time / f64::max(all.asked, 1e-9)
+    /// The share of the priority weight of all requests that was answered in time.
+    pub fn service_ratio(&self) -> f64 {
+        let total = self.windows.iter().fold(ServiceWindow::default(), |sum, window| sum.add(*window));
+        total.in_time_weight / f64::max(total.arrived_weight, MIN_WEIGHT)
     }
 
-    /// The same in the worst two windows in a row.
-    pub fn worst_service(&self) -> f64 {
+    /// The service ratio of the worst two consecutive windows.
+    pub fn worst_service_ratio(&self) -> f64 {
         let pairs = self.windows.windows(2).map(|pair| pair[0].add(pair[1]));
-        pairs.filter(|pair| pair.asked > 0.0).map(|pair| pair.share()).fold(1.0, f64::min)
+        let with_requests = pairs.filter(|pair| pair.arrived_weight > 0.0);
+        with_requests.map(|pair| pair.service_ratio()).fold(1.0, f64::min)
     }
 
-    /// One class over all zones.
-    pub fn class(&self, class: usize) -> RequestCounts {
-        let mut all = RequestCounts::default();
-        for zone in &self.counts {
-            all.add(&zone[class]);
+    /// The requests of a class, summed over all zones.
+    pub fn class_counts(&self, class: usize) -> RequestCounts {
+        let mut total = RequestCounts::default();
+        for zone in &self.request_counts {
+            total.add(&zone[class]);
         }
-        all
+        total
     }
 }
+
+fn empty_latency_histogram() -> Histogram<u64> {
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS).expect("these bounds are valid")
+}
--- a/crates/wingfold-emulator/src/scenario.rs
+++ b/crates/wingfold-emulator/src/scenario.rs
@@ -1,150 +1,94 @@
-//! Scenarios: a site, its traffic and its faults, in HCL (`scenarios/` has examples).
+//! Scenarios: a site, its traffic and its faults, written in HCL. The folder `scenarios/` has examples.
 
+mod fault;
 mod reader;
 
-use std::time::Duration;
-use wingfold_director::interface::{Class, Micros, Settings, Timestamp};
+pub use fault::{Fault, FaultKind, FaultTargets};
+
+use wingfold_director::interface::{Class, Micros, Settings};
 use wingfold_settings::hcl::Faults;
 
-/// Machines of one kind.
+/// A range from which values are drawn uniformly; both ends are included.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ValueRange {
+    /// The smallest value.
+    pub min: f64,
+    /// The largest value.
+    pub max: f64,
+}
+
+/// The hosts of one machine type.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HostKind {
-    /// Its name.
-    pub name: String,
-    /// How many, dealt to the zones in turn.
+pub struct HostGroup {
+    /// The name of the machine type; the hosts are named after it.
+    pub machine_type: String,
+    /// The number of hosts; they are placed in the zones in turn.
     pub count: usize,
-    /// Cores of each.
+    /// The cores of each host.
     pub cores: usize,
-    /// Speed of a core, drawn for each machine.
-    pub speed: (f64, f64),
+    /// Work in ms that a core does in a ms, drawn for each host.
+    pub core_speed: ValueRange,
 }
 
-/// Requests of one class.
+/// The requests of one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassLoad {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Its part of all requests.
+    /// Its share of all requests, relative to the shares of the other classes.
     pub share: f64,
-    /// Work of a request in ms of a core of speed 1, drawn for each scenario; each request varies around it.
-    pub work_ms: (f64, f64),
-    /// The class as the decision module is told of it.
+    /// The mean work of a request in ms of a core of speed 1, drawn for each run; each request varies around it.
+    pub mean_work_ms: ValueRange,
+    /// The class in the settings of the decision module.
     pub class: Class,
 }
 
-/// Which hosts a fault affects.
-#[derive(Clone, Debug, PartialEq)]
-pub enum FaultTargets {
-    /// A share of all hosts, drawn from the seed.
-    Share(f64),
-    /// Hosts by name.
-    Hosts(Vec<String>),
-    /// All of a zone.
-    Zone(String),
-    /// All of a kind.
-    Kind(String),
-}
-
-/// What a fault does.
-#[derive(Clone, Debug, PartialEq)]
-pub enum FaultKind {
-    /// Processes die; connections are refused; they come back cold.
-    Crash,
-    /// Machines go silent and come back cold.
-    Vanish,
-    /// Requests are taken and not answered.
-    Hang,
-    /// Hosts are so many times slower.
-    Slow(f64),
-    /// Another program takes this part of the cores.
-    Neighbour(f64),
-    /// This part of the answers are errors.
-    Errors(f64),
-    /// Told to drain, gone after the time given, and back cold when the fault ends.
-    Drain(Duration),
-    /// Rolling replacement, this part of the affected hosts at a time.
-    Deploy(f64),
-    /// A zone is cut off from the others.
-    Cut(String),
-    /// Traffic is so many times the usual.
-    Burst(f64),
-    /// Load reports come so much later.
-    LateReports(Duration),
-    /// Discovery calls the hosts gone while they run.
-    WrongList,
-    /// Discovery answers nothing.
-    DiscoveryDown,
-    /// A director dies and starts from its first list when the fault ends.
-    DirectorDown(usize),
-    /// A director stands still and takes all that came when the fault ends.
-    DirectorStall(usize),
-    /// All proxies lose their streams at once and connect again.
-    StreamsBreak,
-    /// A zone's collector sends no reports; its proxies' streams go on.
-    CollectorDead(String),
-    /// A zone's traffic is so many times the usual.
-    Traffic(String, f64),
-}
-
-/// A fault with its time and targets.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
-    /// What it does.
-    pub kind: FaultKind,
-    /// When it begins.
-    pub begins: Timestamp,
-    /// When it ends.
-    pub ends: Timestamp,
-    /// The hosts it affects.
-    pub targets: FaultTargets,
-}
-
-/// Made-up messages between directors, so that captures hold some.
+/// Random messages between directors, so that captures hold some.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerTraffic {
-    /// Messages a second from each director.
+    /// Messages from each director per second.
     pub messages_per_s: f64,
     /// The share of all messages between directors that is lost.
-    pub loss: f64,
+    pub loss_ratio: f64,
 }
 
 /// A site, its traffic and its faults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name.
+    /// The scenario's name.
     pub name: String,
-    /// What it is for.
+    /// What the scenario is for.
     pub description: String,
-    /// How long it lasts.
+    /// How long a run lasts in virtual time.
     pub duration: Micros,
-    /// Machines.
-    pub host_kinds: Vec<HostKind>,
-    /// Classes of requests.
+    /// The hosts by machine type.
+    pub host_groups: Vec<HostGroup>,
+    /// The classes of requests.
     pub classes: Vec<ClassLoad>,
-    /// Requests a second in all.
-    pub rate: f64,
-    /// How unequal the proxies' rates are: 0 alike, 1 some have ten times the traffic of others.
+    /// Requests per second at all proxies together.
+    pub rate_per_s: f64,
+    /// How unequal the rates of the proxies are: 0 all alike, 1 up to ten times apart.
     pub rate_skew: f64,
-    /// One way between zones.
+    /// The shortest one-way latency between zones.
     pub cross_zone_latency: Micros,
-    /// One way within a zone.
+    /// The shortest one-way latency within a zone.
     pub same_zone_latency: Micros,
-    /// Load reports come so late, and up to twice that.
+    /// The shortest delay of a load report; the longest is twice that.
     pub report_delay: Micros,
-    /// This share of the load reports overtakes others.
-    pub reorder_share: f64,
-    /// Discovery tells changes so late, and up to twice that.
+    /// The share of the load reports that arrives out of order.
+    pub reorder_ratio: f64,
+    /// The shortest delay of a change of the endpoint list; the longest is twice that.
     pub discovery_delay: Micros,
     /// Messages between directors.
     pub peers: PeerTraffic,
-    /// Settings of the decision module.
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// Faults.
+    /// The faults in the order of the file.
     pub faults: Vec<Fault>,
 }
 
 impl Scenario {
-    /// Reads a scenario; all that is wrong with it is told at once.
+    /// Reads a scenario. The error names everything that is wrong with it; `file` is the name that it gives as the place.
     pub fn read(file: &str, text: &str) -> Result<Scenario, Faults> {
         reader::read(file, text)
     }
--- a/crates/wingfold-emulator/src/simulation/attempts.rs
+++ b/crates/wingfold-emulator/src/simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests: sent to a host, run there, and answered, refused or given up.
+//! Attempts of requests: sent to a host, executed there, and answered, refused or timed out.
 
 use super::event::SimulationEvent;
 use super::Simulation;
@@ -7,111 +7,138 @@
 use rand::Rng;
 use wingfold_director::interface::*;
 
-/// An attempt is given up after this share of its class's deadline.
-const ATTEMPT_TIMEOUT_SHARE: f64 = 0.7;
-/// A connection that never comes up is given up after this time.
+/// The timeout of an attempt, as a share of its class's deadline.
+const ATTEMPT_TIMEOUT_RATIO: f64 = 0.7;
+/// The timeout of a connection that is never established.
 const CONNECT_TIMEOUT: Micros = Micros(500_000);
-/// How long a proxy ejects a host that failed it in a row.
-const EJECTION_TIME: Micros = Micros(5_000_000);
+/// How long a proxy ejects a host after consecutive failures.
+const EJECTION_DURATION: Micros = Micros(5_000_000);
+const MS_PER_S: f64 = 1e3;
 
 impl Simulation<'_> {
-    /// Sends a request's next attempt.
+    /// Sends the next attempt of a request. The request fails if its proxy has no host for it.
     pub(super) fn send_attempt(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let proxy = &self.proxies[request.proxy];
-        let (class, from) = (request.class, proxy.zone);
-        let Some(host) = proxy.pick_host(self.now, class, request.host, &mut self.rng) else {
-            self.end_request(id, false);
+        let Some(host) = proxy.pick_host(self.now, request.class, request.host, &mut self.rng) else {
+            self.request_failed(id);
             return;
         };
         request.host = Some(host);
-        request.sent = self.now;
+        request.sent_at = self.now;
         request.attempts += 1;
         let attempt = AttemptId { request: id, number: request.attempts };
+        let deadline_s = self.scenario.classes[request.class].class.deadline.secs();
         let proxy = request.proxy;
-        let to = self.hosts[host].zone;
-        self.result.cross_zone_attempts += u64::from(from != to);
         self.check_drain(proxy, host);
-        let timeout = self.scenario.classes[class].class.deadline.secs() * ATTEMPT_TIMEOUT_SHARE;
-        self.schedule_end(Micros::from_secs(timeout), attempt, AttemptOutcome::TimedOut);
-        if self.partitioned(from, to) {
-            self.schedule_end(CONNECT_TIMEOUT, attempt, AttemptOutcome::Refused);
+        let timeout = Micros::from_secs(deadline_s * ATTEMPT_TIMEOUT_RATIO);
+        self.schedule_attempt_end(timeout, attempt, AttemptOutcome::TimedOut);
+        self.forward_attempt(attempt, proxy, host);
+    }
+
+    /// Sends an attempt over the network, where a partition may be in its way.
+    fn forward_attempt(&mut self, attempt: AttemptId, proxy: usize, host: usize) {
+        let from_zone = self.proxies[proxy].zone;
+        let to_zone = self.hosts[host].zone;
+        if from_zone != to_zone {
+            self.result.cross_zone_attempts += 1;
+        }
+        if self.is_partitioned(from_zone, to_zone) {
+            self.schedule_attempt_end(CONNECT_TIMEOUT, attempt, AttemptOutcome::Refused);
         } else {
-            let latency = self.latency(from, to);
+            let latency = self.latency(from_zone, to_zone);
             self.schedule_after(latency, SimulationEvent::AttemptReachesHost { attempt, host });
         }
     }
 
-    fn schedule_end(&mut self, delay: Micros, attempt: AttemptId, outcome: AttemptOutcome) {
+    fn schedule_attempt_end(&mut self, delay: Micros, attempt: AttemptId, outcome: AttemptOutcome) {
         self.schedule_after(delay, SimulationEvent::AttemptEnds { attempt, outcome });
     }
 
-    fn warmth(&self, host: usize) -> f64 {
+    fn slow_start_factor(&self, host: usize) -> f64 {
         let settings = &self.scenario.settings;
-        self.hosts[host].warmth(self.now, settings.warm_up, settings.initial_capacity_ratio)
+        self.hosts[host].slow_start_factor(self.now, settings.warm_up, settings.initial_capacity_ratio)
     }
 
-    /// An attempt reaches its host, which starts it, lets it wait, or refuses it.
-    pub(super) fn attempt_reaches(&mut self, attempt: AttemptId, host: usize) {
+    /// An attempt reaches its host, which starts, queues or refuses it. Nothing happens if its request has ended.
+    pub(super) fn attempt_reaches_host(&mut self, attempt: AttemptId, host: usize) {
         let Some(request) = self.requests.get(&attempt.request) else { return };
         let work_ms = request.work_ms;
-        let warmth = self.warmth(host);
-        if warmth < 1.0 && self.hosts[host].state == HostState::Up {
-            self.add_cold_work(host, work_ms, warmth);
+        let slow_start_factor = self.slow_start_factor(host);
+        if slow_start_factor < 1.0 && self.hosts[host].state == HostState::Up {
+            self.add_warm_up_work(host, work_ms, slow_start_factor);
         }
-        match self.hosts[host].accept(self.now, attempt, work_ms, warmth) {
-            Acceptance::Started(finish) => self.attempt_starts(attempt, host, finish),
+        match self.hosts[host].accept(self.now, attempt, work_ms, slow_start_factor) {
+            Acceptance::Started { finishes_at } => self.attempt_starts(attempt, host, finishes_at),
             Acceptance::Queued | Acceptance::Unanswered => {}
             Acceptance::Refused => {
                 let latency = self.latency(0, 0);
-                self.schedule_end(latency, attempt, AttemptOutcome::Refused);
+                self.schedule_attempt_end(latency, attempt, AttemptOutcome::Refused);
             }
         }
     }
 
-    /// Work arrives at a cold host; if it is too much, the host falls over and stays down.
-    fn add_cold_work(&mut self, host: usize, work_ms: f64, warmth: f64) {
+    /// Work arrives at a host that warms up. If it is too much, the host fails and stays down.
+    fn add_warm_up_work(&mut self, host: usize, work_ms: f64, slow_start_factor: f64) {
         let settings = &self.scenario.settings;
         let limit = OverloadLimit { factor: settings.overload_factor, window: settings.overload_duration };
-        let overload = self.hosts[host].add_cold_work(self.now, work_ms, warmth, &limit);
-        self.result.margins.cold = self.result.margins.cold.max(overload);
-        if overload > 1.0 {
+        let overload_ratio = self.hosts[host].add_warm_up_work(self.now, work_ms, slow_start_factor, &limit);
+        let margins = &mut self.result.margins;
+        margins.warm_up_overload_ratio = margins.warm_up_overload_ratio.max(overload_ratio);
+        if overload_ratio > 1.0 {
             self.hosts[host].stop(self.now, HostState::Down);
-            self.hosts[host].listed = Readiness::Removed;
-            self.announce(host);
+            self.hosts[host].listed_readiness = Readiness::Removed;
+            self.announce_host(host);
         }
     }
 
-    fn attempt_starts(&mut self, attempt: AttemptId, host: usize, finish: Timestamp) {
-        if let Some(request) = self.requests.get_mut(&attempt.request) {
-            request.executions += 1;
-            let at_most_once =
-                self.scenario.classes[request.class].class.repeat_safety == RepeatSafety::AtMostOnce;
-            self.result.margins.twice += u64::from(at_most_once && request.executions > 1);
-        }
+    /// A host starts an attempt on a core.
+    fn attempt_starts(&mut self, attempt: AttemptId, host: usize, finishes_at: Timestamp) {
+        self.count_execution(attempt.request);
         let incarnation = self.hosts[host].incarnation;
-        self.schedule_at(finish, SimulationEvent::AttemptFinishes { attempt, host, incarnation });
+        self.schedule_at(finishes_at, SimulationEvent::AttemptFinishes { attempt, host, incarnation });
+    }
+
+    fn count_execution(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.executions += 1;
+        let repeat_safety = self.scenario.classes[request.class].class.repeat_safety;
+        if repeat_safety == RepeatSafety::AtMostOnce && request.executions > 1 {
+            self.result.margins.duplicate_executions += 1;
+        }
     }
 
-    /// A core has finished an attempt: the next one starts, and the answer goes back.
+    /// A core has finished an attempt: the next one starts, and the answer is sent.
     pub(super) fn attempt_finishes(&mut self, attempt: AttemptId, host: usize, incarnation: u32) {
         if self.hosts[host].incarnation != incarnation {
             return;
         }
-        let warmth = self.warmth(host);
-        if let Some((next, finish)) = self.hosts[host].finish_attempt(self.now, warmth) {
-            self.attempt_starts(next, host, finish);
+        let slow_start_factor = self.slow_start_factor(host);
+        if let Some(next) = self.hosts[host].finish_attempt(self.now, slow_start_factor) {
+            self.attempt_starts(next.attempt, host, next.finishes_at);
         }
+        self.send_answer(attempt, host);
+    }
+
+    fn send_answer(&mut self, attempt: AttemptId, host: usize) {
         let Some(request) = self.requests.get(&attempt.request) else { return };
-        let (from, to) = (self.proxies[request.proxy].zone, self.hosts[host].zone);
-        if self.partitioned(from, to) {
+        let proxy_zone = self.proxies[request.proxy].zone;
+        let host_zone = self.hosts[host].zone;
+        if self.is_partitioned(proxy_zone, host_zone) {
             return;
         }
-        let error_share = self.hosts[host].error_share;
-        let error = error_share > 0.0 && self.rng.random::<f64>() < error_share;
-        let outcome = if error { AttemptOutcome::Error } else { AttemptOutcome::Success };
-        let latency = self.latency(from, to);
-        self.schedule_end(latency, attempt, outcome);
+        let outcome = self.draw_outcome(self.hosts[host].error_ratio);
+        let latency = self.latency(proxy_zone, host_zone);
+        self.schedule_attempt_end(latency, attempt, outcome);
+    }
+
+    /// Draws whether an answer is an error. Draws no random number where none can be.
+    fn draw_outcome(&mut self, error_ratio: f64) -> AttemptOutcome {
+        if error_ratio > 0.0 && self.rng.random::<f64>() < error_ratio {
+            AttemptOutcome::Error
+        } else {
+            AttemptOutcome::Success
+        }
     }
 
     /// A proxy learns how an attempt ended: it retries, or the request ends.
@@ -119,33 +146,34 @@
         let id = attempt.request;
         let Some(request) = self.requests.get(&id) else { return };
         let Some(host) = request.host else { return };
-        // It was given up before it was answered, or answered before it was given up.
+        // A later attempt is under way: this one has timed out before.
         if request.attempts != attempt.number {
             return;
         }
         let proxy = &mut self.proxies[request.proxy];
         if outcome == AttemptOutcome::Success {
-            proxy.record_success(host, self.now.since(request.sent) * 1e3);
-            self.end_request(id, true);
+            let latency_ms = self.now.since(request.sent_at) * MS_PER_S;
+            proxy.record_success(host, latency_ms);
+            self.request_answered(id);
             return;
         }
         if proxy.record_failure(host, self.scenario.settings.proxy_ejection_threshold) {
-            proxy.eject(host, Timestamp(self.now.0 + EJECTION_TIME.0));
+            proxy.eject(host, self.now + EJECTION_DURATION);
         }
-        if may_retry(proxy.rules[request.class].retry, outcome, request.attempts) {
+        if may_retry(proxy.routes[request.class].retry, outcome, request.attempts) {
             self.result.retries += 1;
             self.send_attempt(id);
         } else {
-            self.end_request(id, false);
+            self.request_failed(id);
         }
     }
 }
 
-/// Whether a request is tried again after so many attempts, the last of which failed.
-fn may_retry(retry: Retry, outcome: AttemptOutcome, attempts: u32) -> bool {
+/// Whether a request is retried after so many attempts, the last of which failed.
+fn may_retry(retry: Retry, last_outcome: AttemptOutcome, attempts: u32) -> bool {
     match retry {
         Retry::Never => false,
-        Retry::OnProof => outcome == AttemptOutcome::Refused && attempts < 2,
+        Retry::OnProof => last_outcome == AttemptOutcome::Refused && attempts < 2,
         Retry::Once => attempts < 2,
         Retry::Twice => attempts < 3,
     }
--- a/crates/wingfold-emulator/src/simulation/checks.rs
+++ b/crates/wingfold-emulator/src/simulation/checks.rs
@@ -1,74 +1,83 @@
-//! Checks of the rules that only show in the proxies: drains that are kept, and proxies without a host.
+//! Measures the invariants that only show at the proxies: attempts at hosts that drain or were removed, and proxies that
+//! have no host for a class.
 
 use super::director::DirectorNode;
 use super::event::SimulationEvent;
 use super::Simulation;
 use crate::host::{Host, HostState};
+use crate::invariants::ratio_of_limit;
 use crate::proxy::Proxy;
-use crate::rules::share_of_limit;
 use wingfold_director::interface::*;
 
-/// How often proxies are checked for hosts.
-pub(super) const CHECK_PERIOD: Micros = Micros(250_000);
-/// A director that has just started is given this time before its proxies' sends count.
+/// How often the routes of all proxies are checked.
+pub(super) const ROUTE_CHECK_PERIOD: Micros = Micros(250_000);
+/// After a director's start its proxies' attempts are not counted for this time.
 const START_GRACE: Micros = Micros(1_000_000);
 
 impl Simulation<'_> {
-    /// Notes how late a proxy sends to a host that its director was told drains or is gone.
+    /// Records how late a proxy sends to a host after its director was notified that the host drains or was removed.
     pub(super) fn check_drain(&mut self, proxy: usize, host: usize) {
         let proxy = &self.proxies[proxy];
         let Some(director) = proxy.director.map(|director| &self.directors[director]) else { return };
-        let Some(told) = director.unavailable_since.get(&self.hosts[host].id) else { return };
-        let settled = Timestamp(director.started.0 + START_GRACE.0);
-        let since = (*told).max(proxy.connected_at).max(settled);
-        let late = share_of_limit(self.now.since(since), self.scenario.settings.drain_grace);
+        let Some(unavailable_since) = director.unavailable_since.get(&self.hosts[host].id) else { return };
+        let started = director.started_at + START_GRACE;
+        let since = (*unavailable_since).max(proxy.connected_at).max(started);
+        let ratio = ratio_of_limit(self.now.since(since), self.scenario.settings.drain_grace);
         let margins = &mut self.result.margins;
-        margins.drain = margins.drain.max(late);
+        margins.late_attempt_ratio = margins.late_attempt_ratio.max(ratio);
     }
 
-    /// Notes how long each proxy has had no host for a class although there is one, and checks again later.
+    /// Records for how long each proxy has had no host for a class although one is ready, and schedules the next check.
     pub(super) fn check_routes(&mut self) {
         for proxy in 0..self.proxies.len() {
             for class in 0..self.scenario.classes.len() {
                 self.check_route(proxy, class);
             }
         }
-        self.schedule_after(CHECK_PERIOD, SimulationEvent::CheckDue);
+        self.schedule_after(ROUTE_CHECK_PERIOD, SimulationEvent::RouteCheckDue);
     }
 
     fn check_route(&mut self, proxy: usize, class: usize) {
-        let unrouted = self.lacks_host(&self.proxies[proxy], class);
-        let now = self.now;
-        let since = &mut self.proxies[proxy].unrouted_since[class];
-        *since = unrouted.then(|| since.unwrap_or(now));
-        let lasted = since.map_or(0.0, |since| now.since(since));
+        let is_unrouted = self.is_unrouted(&self.proxies[proxy], class);
+        let unrouted_since = &mut self.proxies[proxy].unrouted_since[class];
+        if !is_unrouted {
+            *unrouted_since = None;
+            return;
+        }
+        let since = *unrouted_since.get_or_insert(self.now);
+        let limit = self.scenario.settings.max_time_without_entry;
+        let ratio = ratio_of_limit(self.now.since(since), limit);
         let margins = &mut self.result.margins;
-        margins.bare =
-            margins.bare.max(share_of_limit(lasted, self.scenario.settings.max_time_without_entry));
+        margins.missing_entry_ratio = margins.missing_entry_ratio.max(ratio);
     }
 
-    /// Whether a connected proxy has no host for a class although its director knows one.
-    fn lacks_host(&self, proxy: &Proxy, class: usize) -> bool {
+    /// Whether a connected proxy has no host for a class although its director knows one that is ready.
+    fn is_unrouted(&self, proxy: &Proxy, class: usize) -> bool {
         let Some(director) = proxy.director.map(|director| &self.directors[director]) else { return false };
-        let routed = proxy.rules[class].weights.iter().any(|(_, weight)| *weight > 0.0);
-        let usable =
+        if proxy.routes[class].hosts.iter().any(|entry| entry.weight > 0.0) {
+            return false;
+        }
+        let is_eligible =
             |host: &Host| self.is_known_ready(director, host) && self.may_serve(host, class, proxy.zone);
-        !routed && self.hosts.iter().any(usable)
+        self.hosts.iter().any(is_eligible)
     }
 
-    /// Whether a host is warm and ready, and its director was told nothing else.
+    /// Whether a host is warmed up and ready, and its director was notified of nothing else.
     fn is_known_ready(&self, director: &DirectorNode, host: &Host) -> bool {
-        let warm = host.started.is_none_or(|at| self.now.since(at) > self.scenario.settings.warm_up.secs());
-        let ready = host.state == HostState::Up && host.listed == Readiness::Ready;
-        warm && ready && !director.unavailable_since.contains_key(&host.id)
+        let warm_up_s = self.scenario.settings.warm_up.secs();
+        let is_warmed_up = host.started_at.is_none_or(|at| self.now.since(at) > warm_up_s);
+        let is_ready = host.state == HostState::Up && host.listed_readiness == Readiness::Ready;
+        is_warmed_up && is_ready && !director.unavailable_since.contains_key(&host.id)
     }
 
-    /// Whether a class allows a host for proxies of a zone.
-    fn may_serve(&self, host: &Host, class: usize, zone: usize) -> bool {
+    /// Whether a class allows a host for the proxies of a zone.
+    fn may_serve(&self, host: &Host, class: usize, proxy_zone: usize) -> bool {
         let class = &self.scenario.classes[class].class;
         let host_zone = &self.scenario.settings.zones[host.zone];
-        (class.allowed_zones.is_empty() || class.allowed_zones.contains(host_zone))
-            && (class.allowed_machine_types.is_empty() || class.allowed_machine_types.contains(&host.kind))
-            && (!class.own_zone_only || host.zone == zone)
+        let zone_allowed = class.allowed_zones.is_empty() || class.allowed_zones.contains(host_zone);
+        let machine_type_allowed = class.allowed_machine_types.is_empty()
+            || class.allowed_machine_types.contains(&host.machine_type);
+        let is_near = !class.own_zone_only || host.zone == proxy_zone;
+        zone_allowed && machine_type_allowed && is_near
     }
 }
--- a/crates/wingfold-emulator/src/simulation/discovery.rs
+++ b/crates/wingfold-emulator/src/simulation/discovery.rs
@@ -1,5 +1,6 @@
-//! Discovery: the list of hosts and its changes, told to each director in its own time.
+//! Discovery: the endpoint list and its changes, which reach each director after a delay of its own.
 
+use super::delay::DelayRange;
 use super::Simulation;
 use crate::host::Host;
 use crate::scenario::Scenario;
@@ -9,54 +10,53 @@
 const FAILURE_DELAY: Micros = Micros(5000);
 
 impl Simulation<'_> {
-    /// Tells directors what is now listed of a host, unless discovery is down.
-    pub(super) fn announce(&mut self, host: usize) {
-        if !self.disruptions.discovery_down {
-            self.announce_entry(&entry(&self.hosts[host], self.scenario));
+    /// Announces the present state of a host, unless discovery is down.
+    pub(super) fn announce_host(&mut self, host: usize) {
+        if !self.disruptions.discovery_is_down {
+            let endpoint = endpoint_of(&self.hosts[host], self.scenario);
+            self.announce_endpoint(&endpoint);
         }
     }
 
-    /// Tells every director a change of the list, each in its own time.
-    pub(super) fn announce_entry(&mut self, entry: &Endpoint) {
+    /// Sends every director a change of the endpoint list.
+    pub(super) fn announce_endpoint(&mut self, endpoint: &Endpoint) {
         for director in 0..self.directors.len() {
-            let least = self.scenario.discovery_delay;
-            let delay = self.random_time(least, Micros(least.0 * 2));
-            self.send_to_director(
-                delay,
-                director,
-                vec![Event::EndpointList { kind: EndpointListKind::Changes, endpoints: vec![entry.clone()] }],
-            );
+            let delay = self.random_delay(DelayRange::up_to_double(self.scenario.discovery_delay));
+            let endpoints = vec![endpoint.clone()];
+            let change = Event::EndpointList { kind: EndpointListKind::Changes, endpoints };
+            self.send_to_director(delay, director, vec![change]);
         }
     }
 
-    /// Discovery goes down or comes back; directors hear only of the former.
-    pub(super) fn change_discovery(&mut self, down: bool) {
-        self.disruptions.discovery_down = down;
-        if down {
-            for director in 0..self.directors.len() {
-                self.send_to_director(FAILURE_DELAY, director, vec![Event::EndpointListFailed]);
-            }
+    /// Discovery goes down or comes back. Directors are only notified of the former.
+    pub(super) fn change_discovery(&mut self, is_down: bool) {
+        self.disruptions.discovery_is_down = is_down;
+        if !is_down {
+            return;
+        }
+        for director in 0..self.directors.len() {
+            self.send_to_director(FAILURE_DELAY, director, vec![Event::EndpointListFailed]);
         }
     }
 
-    /// The answer to a director that asks for the whole list.
-    pub(super) fn list_event(&self) -> Event {
-        if self.disruptions.discovery_down {
+    /// The response to a director that requests the complete endpoint list.
+    pub(super) fn complete_endpoint_list(&self) -> Event {
+        if self.disruptions.discovery_is_down {
             return Event::EndpointListFailed;
         }
-        let entries = self.hosts.iter().map(|host| entry(host, self.scenario));
-        Event::EndpointList { kind: EndpointListKind::Complete, endpoints: entries.collect() }
+        let endpoints = self.hosts.iter().map(|host| endpoint_of(host, self.scenario)).collect();
+        Event::EndpointList { kind: EndpointListKind::Complete, endpoints }
     }
 }
 
-/// What is listed of a host.
-pub(super) fn entry(host: &Host, scenario: &Scenario) -> Endpoint {
+/// The entry of a host in the endpoint list.
+pub(super) fn endpoint_of(host: &Host, scenario: &Scenario) -> Endpoint {
     Endpoint {
         host: host.id.clone(),
-        machine_type: host.kind.clone(),
+        machine_type: host.machine_type.clone(),
         zone: scenario.settings.zones[host.zone].clone(),
-        readiness: host.listed,
+        readiness: host.listed_readiness,
         weight: host.cores as f64,
-        started_at: host.started,
+        started_at: host.started_at,
     }
 }
--- a/crates/wingfold-emulator/src/simulation/event.rs
+++ b/crates/wingfold-emulator/src/simulation/event.rs
@@ -1,14 +1,14 @@
 //! The events of a simulation and the queue that orders them by time.
 
 use crate::attempt::{AttemptId, AttemptOutcome};
-use crate::proxy::RoutingRule;
+use crate::proxy::ClassRoute;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 use wingfold_director::interface::{Event, Timestamp};
 
-/// Something that happens at a point in virtual time. Hosts, proxies and directors are named by their index.
+/// Something that happens at a point in virtual time. Hosts, proxies, directors and faults are given by index.
 pub(super) enum SimulationEvent {
-    /// A request arrives at a proxy, unless the proxy's traffic has changed since it was drawn.
+    /// A request arrives at a proxy, unless the proxy's traffic has changed since the arrival was drawn.
     RequestArrives { proxy: usize, epoch: u32 },
     /// An attempt reaches its host.
     AttemptReachesHost { attempt: AttemptId, host: usize },
@@ -16,42 +16,49 @@
     AttemptFinishes { attempt: AttemptId, host: usize, incarnation: u32 },
     /// A proxy learns how an attempt ended.
     AttemptEnds { attempt: AttemptId, outcome: AttemptOutcome },
-    /// Proxies and hosts send their load reports.
-    ReportsDue,
+    /// All zones send their load reports.
+    LoadReportsDue,
     /// Events reach a director, unless it has died since.
     DirectorReceives { director: usize, incarnation: u32, events: Vec<Event> },
     /// A director's timer fires.
     TimerFires { director: usize, incarnation: u32, token: u64 },
-    /// A director gets the whole list of hosts that it asked for.
-    ListFetched { director: usize, incarnation: u32 },
-    /// A director sends its peers a made-up message.
+    /// A director receives the complete endpoint list, which it has requested.
+    EndpointListFetched { director: usize, incarnation: u32 },
+    /// A director sends its peers a random message.
     PeerMessageDue { director: usize },
-    /// New rules reach a proxy, unless their stream has broken since.
-    RulesReachProxy { proxy: usize, stream: u32, rules: Vec<RoutingRule> },
+    /// New routes reach a proxy, unless the stream has broken since.
+    RoutesReachProxy { proxy: usize, stream: u32, routes: Vec<ClassRoute> },
     /// A proxy connects to a director.
     ProxyConnects { proxy: usize },
     /// A proxy notices that its stream is dead.
     StreamBreaks { proxy: usize, stream: u32 },
-    /// The rules are checked.
-    CheckDue,
+    /// The routes of all proxies are checked against the invariants.
+    RouteCheckDue,
     /// A fault begins or ends.
     FaultChanges { fault: usize, active: bool },
-    /// Hosts are drained, stopped or started as part of a fault.
+    /// Hosts drain, stop or start as part of a fault.
     HostsChange { hosts: Vec<usize>, transition: HostTransition },
 }
 
 /// A step in the life of a host.
 #[derive(Clone, Copy)]
 pub(super) enum HostTransition {
+    /// Discovery announces that the host drains.
     Drain,
+    /// The process stops, and discovery announces the removal.
     Stop,
+    /// The process starts, and discovery announces that the host is ready.
     Start,
 }
 
-struct ScheduledEvent {
-    at: Timestamp,
+/// An event with its time.
+pub(super) struct ScheduledEvent {
+    /// When it happens.
+    pub(super) at: Timestamp,
+    /// Orders the events of the same time by when they were scheduled.
     sequence: u64,
-    event: SimulationEvent,
+    /// What happens.
+    pub(super) event: SimulationEvent,
 }
 
 impl PartialEq for ScheduledEvent {
@@ -74,22 +81,22 @@
     }
 }
 
-/// Events by time; those of the same time in the order in which they were pushed.
+/// Events by time; those of the same time in the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<ScheduledEvent>>,
-    pushed: u64,
+    scheduled: u64,
 }
 
 impl EventQueue {
-    /// Adds an event.
+    /// Schedules an event.
     pub(super) fn push(&mut self, at: Timestamp, event: SimulationEvent) {
-        self.pushed += 1;
-        self.heap.push(Reverse(ScheduledEvent { at, sequence: self.pushed, event }));
+        self.scheduled += 1;
+        self.heap.push(Reverse(ScheduledEvent { at, sequence: self.scheduled, event }));
     }
 
-    /// Takes the earliest event.
-    pub(super) fn pop(&mut self) -> Option<(Timestamp, SimulationEvent)> {
-        self.heap.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
+    /// Removes the earliest event.
+    pub(super) fn pop(&mut self) -> Option<ScheduledEvent> {
+        self.heap.pop().map(|Reverse(scheduled)| scheduled)
     }
 }
--- a/crates/wingfold-emulator/src/simulation/faults.rs
+++ b/crates/wingfold-emulator/src/simulation/faults.rs
@@ -1,6 +1,7 @@
-//! Faults of a scenario: the hosts that each affects, and what it does when it begins and ends.
+//! The faults of a scenario: the hosts that each affects, and what it does when it begins and ends.
 
-use super::discovery::entry;
+use super::delay::DelayRange;
+use super::discovery::endpoint_of;
 use super::event::{HostTransition, SimulationEvent};
 use super::Simulation;
 use crate::host::{Host, HostState};
@@ -12,82 +13,100 @@
 use std::time::Duration;
 use wingfold_director::interface::*;
 
-/// A proxy notices that its stream was cut off between these times.
-const PARTITION_NOTICED: (Micros, Micros) = (Micros(500_000), Micros(2_800_000));
-/// When a batch of a deployment takes each step, in tenths of the batch's time.
-const DEPLOYMENT_STEPS: [(u64, HostTransition); 3] =
-    [(0, HostTransition::Drain), (6, HostTransition::Stop), (9, HostTransition::Start)];
+/// When a proxy notices that a partition has cut its stream.
+const PARTITION_DETECTION_DELAY: DelayRange = DelayRange { min: Micros(500_000), max: Micros(2_800_000) };
+/// When the hosts of a batch of a rolling replacement drain, stop and start, in tenths of the time of the batch.
+const REPLACEMENT_STEPS: [ReplacementStep; 3] = [
+    ReplacementStep { begins_at_tenth: 0, transition: HostTransition::Drain },
+    ReplacementStep { begins_at_tenth: 6, transition: HostTransition::Stop },
+    ReplacementStep { begins_at_tenth: 9, transition: HostTransition::Start },
+];
 
-/// Faults of the site as a whole that are active now.
+struct ReplacementStep {
+    begins_at_tenth: u64,
+    transition: HostTransition,
+}
+
+/// The present effects of faults on the site as a whole.
 pub(super) struct Disruptions {
+    /// Zones that are partitioned from all others.
     pub(super) partitioned_zones: BTreeSet<usize>,
+    /// Zones whose load report collector sends nothing.
     pub(super) silent_collectors: BTreeSet<usize>,
-    /// Traffic as a multiple of the usual, of all zones and of each.
-    pub(super) traffic: f64,
-    pub(super) zone_traffic: Vec<f64>,
-    /// Load reports come so much later.
+    /// The traffic of the site as a multiple of the ordinary.
+    pub(super) traffic_factor: f64,
+    /// The traffic of each zone as a multiple of the ordinary.
+    pub(super) zone_traffic_factors: Vec<f64>,
+    /// The additional delay of load reports.
     pub(super) report_delay: Micros,
-    pub(super) discovery_down: bool,
+    pub(super) discovery_is_down: bool,
 }
 
 impl Disruptions {
-    /// A site of some zones without faults.
+    /// A site of so many zones without faults.
     pub(super) fn none(zones: usize) -> Disruptions {
         Disruptions {
             partitioned_zones: BTreeSet::new(),
             silent_collectors: BTreeSet::new(),
-            traffic: 1.0,
-            zone_traffic: vec![1.0; zones],
+            traffic_factor: 1.0,
+            zone_traffic_factors: vec![1.0; zones],
             report_delay: Micros(0),
-            discovery_down: false,
+            discovery_is_down: false,
         }
     }
 }
 
 impl Simulation<'_> {
     /// A fault begins or ends.
-    pub(super) fn change_fault(&mut self, number: usize, active: bool) -> io::Result<()> {
+    pub(super) fn change_fault(&mut self, index: usize, active: bool) -> io::Result<()> {
         let scenario = self.scenario;
-        let fault = &scenario.faults[number];
-        let hosts = self.fault_targets[number].clone();
-        let factor = |factor: f64| if active { factor } else { 1.0 };
-        let share = |share: f64| if active { share } else { 0.0 };
+        let fault = &scenario.faults[index];
+        let hosts = self.fault_targets[index].clone();
+        let factor_now = |factor: f64| if active { factor } else { 1.0 };
+        let ratio_now = |ratio: f64| if active { ratio } else { 0.0 };
         match &fault.kind {
             FaultKind::Crash => self.fail_hosts(&hosts, HostState::Down, active),
-            FaultKind::Vanish => self.fail_hosts(&hosts, HostState::Unreachable, active),
+            FaultKind::Unreachable => self.fail_hosts(&hosts, HostState::Unreachable, active),
             FaultKind::Hang => self.fail_hosts(&hosts, HostState::Hung, active),
-            FaultKind::Slow(times) => self.each_host(&hosts, |host| host.slowdown = factor(*times)),
-            FaultKind::Neighbour(part) => self.each_host(&hosts, |host| host.stolen_share = share(*part)),
-            FaultKind::Errors(part) => self.each_host(&hosts, |host| host.error_share = share(*part)),
-            FaultKind::Drain(by) => self.drain_hosts(hosts, *by, active),
-            FaultKind::Deploy(batch_share) if active => self.deploy(&hosts, *batch_share, fault.ends),
-            FaultKind::Deploy(_) => {}
-            FaultKind::Cut(zone) => self.change_partition(zone, active),
-            FaultKind::CollectorDead(zone) => {
-                let zone = self.zone_index(zone);
-                set_member(&mut self.disruptions.silent_collectors, zone, active);
-            }
-            FaultKind::Traffic(zone, times) => self.change_zone_traffic(zone, factor(*times)),
-            FaultKind::Burst(times) => self.disruptions.traffic = factor(*times),
-            FaultKind::LateReports(by) => {
-                self.disruptions.report_delay = if active { micros(*by) } else { Micros(0) };
+            FaultKind::Slowdown { factor } => self.slow_down_hosts(&hosts, factor_now(*factor)),
+            FaultKind::NoisyNeighbour { cpu_ratio } => self.steal_cpu(&hosts, ratio_now(*cpu_ratio)),
+            FaultKind::Errors { ratio } => self.set_error_ratio(&hosts, ratio_now(*ratio)),
+            FaultKind::Drain { stop_after } => self.drain_hosts(hosts, *stop_after, active),
+            FaultKind::RollingReplacement { batch_ratio } if active => {
+                self.schedule_replacement(&hosts, *batch_ratio, fault.ends_at);
             }
-            FaultKind::WrongList => self.change_wrong_list(&hosts, active),
-            FaultKind::DiscoveryDown => self.change_discovery(active),
-            FaultKind::DirectorDown(director) if active => self.stop_director(*director)?,
-            FaultKind::DirectorDown(director) => self.start_director(*director)?,
-            FaultKind::DirectorStall(director) => self.stall_director(*director, active)?,
-            FaultKind::StreamsBreak if active => {
-                (0..self.proxies.len()).for_each(|proxy| self.disconnect(proxy));
-            }
-            FaultKind::StreamsBreak => {}
+            FaultKind::ZonePartition { zone } => self.change_partition(zone, active),
+            FaultKind::CollectorOutage { zone } => self.change_collector(zone, active),
+            FaultKind::ZoneTraffic { zone, factor } => self.change_zone_traffic(zone, factor_now(*factor)),
+            FaultKind::TrafficBurst { factor } => self.disruptions.traffic_factor = factor_now(*factor),
+            FaultKind::DelayedReports { delay } => self.delay_reports(*delay, active),
+            FaultKind::FalseRemoval => self.change_false_removal(&hosts, active),
+            FaultKind::DiscoveryOutage => self.change_discovery(active),
+            FaultKind::DirectorCrash { director } if active => self.stop_director(*director)?,
+            FaultKind::DirectorCrash { director } => self.start_director(*director)?,
+            FaultKind::DirectorStall { director } => self.stall_director(*director, active)?,
+            FaultKind::StreamReset if active => self.disconnect_all(),
+            // These are over before their time ends.
+            FaultKind::RollingReplacement { .. } | FaultKind::StreamReset => {}
         }
         Ok(())
     }
 
-    fn each_host(&mut self, hosts: &[usize], change: impl Fn(&mut Host)) {
+    fn slow_down_hosts(&mut self, hosts: &[usize], factor: f64) {
+        for host in hosts {
+            self.hosts[*host].slowdown_factor = factor;
+        }
+    }
+
+    fn steal_cpu(&mut self, hosts: &[usize], cpu_ratio: f64) {
+        for host in hosts {
+            self.hosts[*host].stolen_cpu_ratio = cpu_ratio;
+        }
+    }
+
+    fn set_error_ratio(&mut self, hosts: &[usize], error_ratio: f64) {
         for host in hosts {
-            change(&mut self.hosts[*host]);
+            self.hosts[*host].error_ratio = error_ratio;
         }
     }
 
@@ -98,20 +117,20 @@
         }
     }
 
-    fn change_host(&mut self, number: usize, transition: HostTransition) {
-        let host = &mut self.hosts[number];
+    fn change_host(&mut self, index: usize, transition: HostTransition) {
+        let host = &mut self.hosts[index];
         match transition {
-            HostTransition::Drain => host.listed = Readiness::Draining,
+            HostTransition::Drain => host.listed_readiness = Readiness::Draining,
             HostTransition::Stop => {
                 host.stop(self.now, HostState::Down);
-                host.listed = Readiness::Removed;
+                host.listed_readiness = Readiness::Removed;
             }
             HostTransition::Start => host.restart(self.now),
         }
-        self.announce(number);
+        self.announce_host(index);
     }
 
-    /// Hosts fail, or start again.
+    /// Hosts fail, or start again. Discovery notices only that a process died, not that a host hangs or is unreachable.
     fn fail_hosts(&mut self, hosts: &[usize], state: HostState, active: bool) {
         if !active {
             self.change_hosts(hosts, HostTransition::Start);
@@ -119,10 +138,9 @@
         }
         for host in hosts {
             self.hosts[*host].stop(self.now, state);
-            // Discovery only sees that a process is gone; of a machine that vanished, much later.
             if state == HostState::Down {
-                self.hosts[*host].listed = Readiness::Removed;
-                self.announce(*host);
+                self.hosts[*host].listed_readiness = Readiness::Removed;
+                self.announce_host(*host);
             }
         }
     }
@@ -138,39 +156,44 @@
         }
     }
 
-    /// Schedules a rolling replacement of hosts, a share of them at a time, until `ends`.
-    fn deploy(&mut self, hosts: &[usize], batch_share: f64, ends: Timestamp) {
-        let batch_size = ((hosts.len() as f64 * batch_share).ceil() as usize).max(1);
+    /// Schedules a rolling replacement of hosts in batches of a share of them, from now until `ends_at`.
+    fn schedule_replacement(&mut self, hosts: &[usize], batch_ratio: f64, ends_at: Timestamp) {
+        let batch_size = ((hosts.len() as f64 * batch_ratio).ceil() as usize).max(1);
         let batches = hosts.len().div_ceil(batch_size).max(1) as u64;
-        let batch_time = ends.0.saturating_sub(self.now.0) / batches;
-        for (number, batch) in hosts.chunks(batch_size).enumerate() {
-            let begins = self.now.0 + batch_time * number as u64;
-            for (tenths, transition) in DEPLOYMENT_STEPS {
-                let at = Timestamp(begins + batch_time * tenths / 10);
+        let batch_us = ends_at.0.saturating_sub(self.now.0) / batches;
+        for (index, batch) in hosts.chunks(batch_size).enumerate() {
+            let begins_at = self.now + Micros(batch_us * index as u64);
+            for step in REPLACEMENT_STEPS {
+                let at = begins_at + Micros(batch_us * step.begins_at_tenth / 10);
+                let transition = step.transition;
                 self.schedule_at(at, SimulationEvent::HostsChange { hosts: batch.to_vec(), transition });
             }
         }
     }
 
-    /// A zone is cut off from the others, or no longer.
+    /// A zone is partitioned from the others, or no longer. Proxies get no signal: they notice by the silence.
     fn change_partition(&mut self, zone: &str, active: bool) {
         let zone = self.zone_index(zone);
         set_member(&mut self.disruptions.partitioned_zones, zone, active);
         for proxy in 0..self.proxies.len() {
             let Some(director) = self.proxies[proxy].director else { continue };
-            if self.partitioned(self.proxies[proxy].zone, self.directors[director].zone) {
-                // Nobody tells the proxy: it notices by silence.
-                let noticed = self.random_time(PARTITION_NOTICED.0, PARTITION_NOTICED.1);
+            if self.is_partitioned(self.proxies[proxy].zone, self.directors[director].zone) {
+                let delay = self.random_delay(PARTITION_DETECTION_DELAY);
                 let stream = self.proxies[proxy].stream;
-                self.schedule_after(noticed, SimulationEvent::StreamBreaks { proxy, stream });
+                self.schedule_after(delay, SimulationEvent::StreamBreaks { proxy, stream });
             }
         }
     }
 
-    /// A zone's traffic changes: its proxies' next requests are drawn anew.
+    fn change_collector(&mut self, zone: &str, is_silent: bool) {
+        let zone = self.zone_index(zone);
+        set_member(&mut self.disruptions.silent_collectors, zone, is_silent);
+    }
+
+    /// The traffic of a zone changes: the next requests of its proxies are drawn again.
     fn change_zone_traffic(&mut self, zone: &str, factor: f64) {
         let zone = self.zone_index(zone);
-        self.disruptions.zone_traffic[zone] = factor;
+        self.disruptions.zone_traffic_factors[zone] = factor;
         for proxy in 0..self.proxies.len() {
             if self.proxies[proxy].zone == zone {
                 self.proxies[proxy].arrival_epoch += 1;
@@ -179,55 +202,66 @@
         }
     }
 
-    /// Discovery calls hosts gone, or what they are.
-    fn change_wrong_list(&mut self, hosts: &[usize], active: bool) {
+    fn delay_reports(&mut self, delay: Duration, active: bool) {
+        self.disruptions.report_delay = if active { micros(delay) } else { Micros(0) };
+    }
+
+    /// Discovery announces hosts as removed, or their actual state again.
+    fn change_false_removal(&mut self, hosts: &[usize], active: bool) {
         for host in hosts {
-            let mut listed = entry(&self.hosts[*host], self.scenario);
+            let mut endpoint = endpoint_of(&self.hosts[*host], self.scenario);
             if active {
-                listed.readiness = Readiness::Removed;
+                endpoint.readiness = Readiness::Removed;
             }
-            self.announce_entry(&listed);
+            self.announce_endpoint(&endpoint);
         }
     }
 
     fn zone_index(&self, name: &str) -> usize {
-        let zone = self.scenario.settings.zones.iter().position(|known| *known.0 == *name);
-        zone.expect("the scenario was checked")
+        let index = self.scenario.settings.zones.iter().position(|zone| *zone.0 == *name);
+        index.expect("the reader of scenarios rejects unknown zones")
     }
 }
 
-fn set_member(set: &mut BTreeSet<usize>, member: usize, present: bool) {
-    if present {
+fn set_member(set: &mut BTreeSet<usize>, member: usize, is_member: bool) {
+    if is_member {
         set.insert(member);
     } else {
         set.remove(&member);
     }
 }
 
-fn micros(time: Duration) -> Micros {
-    Micros(time.as_micros() as u64)
+fn micros(duration: Duration) -> Micros {
+    Micros(duration.as_micros() as u64)
 }
 
-/// Draws the hosts that a fault affects.
+/// The hosts that a fault affects; a share of them is drawn at random.
 pub(super) fn draw_targets(
     fault: &Fault,
     hosts: &[Host],
     scenario: &Scenario,
     rng: &mut ChaCha8Rng,
 ) -> Vec<usize> {
-    let zone_name = |host: usize| &scenario.settings.zones[hosts[host].zone].0;
-    let all = 0..hosts.len();
+    let zones = &scenario.settings.zones;
     match &fault.targets {
-        FaultTargets::Share(share) => {
-            let mut drawn: Vec<usize> = all.collect();
-            drawn.shuffle(rng);
-            drawn.truncate(((hosts.len() as f64 * share).round() as usize).max(1));
-            drawn
-        }
+        FaultTargets::Share(share) => draw_share(hosts.len(), *share, rng),
         FaultTargets::Hosts(names) => {
-            all.filter(|host| names.iter().any(|name| **name == *hosts[*host].id.0)).collect()
+            matching_hosts(hosts, |host| names.iter().any(|name| **name == *host.id.0))
         }
-        FaultTargets::Zone(zone) => all.filter(|host| **zone_name(*host) == **zone).collect(),
-        FaultTargets::Kind(kind) => all.filter(|host| hosts[*host].kind == *kind).collect(),
+        FaultTargets::Zone(zone) => matching_hosts(hosts, |host| *zones[host.zone].0 == **zone),
+        FaultTargets::MachineType(name) => matching_hosts(hosts, |host| host.machine_type == *name),
     }
 }
+
+/// Draws a share of `count` hosts, at least one.
+fn draw_share(count: usize, share: f64, rng: &mut ChaCha8Rng) -> Vec<usize> {
+    let mut drawn: Vec<usize> = (0..count).collect();
+    drawn.shuffle(rng);
+    let size = (count as f64 * share).round() as usize;
+    drawn.truncate(size.max(1));
+    drawn
+}
+
+fn matching_hosts(hosts: &[Host], matches: impl Fn(&Host) -> bool) -> Vec<usize> {
+    (0..hosts.len()).filter(|host| matches(&hosts[*host])).collect()
+}
--- a/crates/wingfold-emulator/src/simulation/mod.rs
+++ b/crates/wingfold-emulator/src/simulation/mod.rs
@@ -1,15 +1,18 @@
-//! Simulates a scenario in virtual time. The decision module is the real one; all else is emulated.
+//! Simulates a scenario in virtual time. The decision module is the real one; everything around it is emulated.
 
 mod actions;
 mod attempts;
 mod checks;
+mod delay;
 mod director;
 mod discovery;
 mod event;
 mod faults;
+mod lifecycle;
+mod load_reports;
 mod network;
 mod peers;
-mod reports;
+mod push;
 mod requests;
 mod setup;
 mod streams;
@@ -22,7 +25,6 @@
 use director::DirectorNode;
 use event::{EventQueue, SimulationEvent};
 use faults::Disruptions;
-use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use requests::Request;
 use std::collections::BTreeMap;
@@ -31,9 +33,9 @@
 use wingfold_director::interface::*;
 use wingfold_director::Director;
 
-/// Observes every call of every director.
+/// Observes every call of every director's decision module.
 pub trait Observer {
-    /// A director was told of events and has answered with actions.
+    /// The decision module of a director has handled events and returned actions.
     fn director_called(
         &mut self,
         director: usize,
@@ -49,51 +51,51 @@
     fn director_called(&mut self, _: usize, _: Timestamp, _: &[Event], _: &[Action], _: &Director) {}
 }
 
-/// Simulates a scenario with a seed; where a folder is named, each director's calls are captured below it.
-pub fn simulate(scenario: &Scenario, seed: u64, captures: Option<&Path>) -> io::Result<RunResult> {
-    simulate_observed(scenario, seed, captures, &mut ())
+/// Simulates a scenario with a seed. Where `capture_root` is given, each director's calls are captured below it; an error
+/// means that a capture could not be written.
+pub fn simulate(scenario: &Scenario, seed: u64, capture_root: Option<&Path>) -> io::Result<RunResult> {
+    simulate_observed(scenario, seed, capture_root, &mut ())
 }
 
-/// The same with an observer.
+/// Simulates a scenario as [`simulate`] does, and shows `observer` every call of a decision module.
 pub fn simulate_observed(
     scenario: &Scenario,
     seed: u64,
-    captures: Option<&Path>,
+    capture_root: Option<&Path>,
     observer: &mut dyn Observer,
 ) -> io::Result<RunResult> {
-    Simulation::new(scenario, seed, captures, observer).run()
+    Simulation::new(scenario, seed, capture_root, observer).run()
 }
 
 /// The state of a simulation.
 struct Simulation<'a> {
     scenario: &'a Scenario,
     seed: u64,
-    captures: Option<&'a Path>,
+    capture_root: Option<&'a Path>,
     observer: &'a mut dyn Observer,
     now: Timestamp,
     events: EventQueue,
-    /// Draws the arrivals of requests.
+    /// Draws the arrivals of requests, which are thus the same whatever the directors do.
     arrival_rng: ChaCha8Rng,
-    /// Draws all else.
+    /// Draws everything else.
     rng: ChaCha8Rng,
     hosts: Vec<Host>,
     host_index: BTreeMap<HostId, usize>,
-    /// The list of hosts that directors start from.
-    initial_list: Vec<Endpoint>,
-    /// The busy share that each host last reported.
+    /// The endpoint list that directors start from.
+    initial_endpoints: Vec<Endpoint>,
+    /// The busy share of its cores that each host last reported.
     utilization: Vec<Option<f64>>,
-    last_report: Timestamp,
+    last_report_at: Timestamp,
     proxies: Vec<Proxy>,
     directors: Vec<DirectorNode>,
     requests: BTreeMap<RequestId, Request>,
-    /// Requests that were admitted so far.
-    admitted: u64,
+    admitted_requests: u64,
     /// The mean work of a request, by class.
     mean_work_ms: Vec<f64>,
     /// The hosts that each fault affects.
     fault_targets: Vec<Vec<usize>>,
     disruptions: Disruptions,
-    /// Kept from call to call for its memory.
+    /// Empty between calls; kept for its memory.
     actions: Vec<Action>,
     result: RunResult,
 }
@@ -101,15 +103,15 @@
 impl Simulation<'_> {
     fn run(mut self) -> io::Result<RunResult> {
         self.start()?;
-        while let Some((at, event)) = self.events.pop() {
-            if at.0 > self.scenario.duration.0 {
+        while let Some(scheduled) = self.events.pop() {
+            if scheduled.at.0 > self.scenario.duration.0 {
                 break;
             }
-            self.now = at;
-            self.handle(event)?;
+            self.now = scheduled.at;
+            self.handle(scheduled.event)?;
         }
         for director in &mut self.directors {
-            director.end_capture()?;
+            director.finish_capture()?;
         }
         self.result.digests = self.directors.iter().map(DirectorNode::digest).collect();
         Ok(self.result)
@@ -120,44 +122,35 @@
     }
 
     fn schedule_after(&mut self, delay: Micros, event: SimulationEvent) {
-        self.schedule_at(Timestamp(self.now.0 + delay.0), event);
-    }
-
-    /// Draws a time from a range; draws nothing where the range is empty.
-    fn random_time(&mut self, least: Micros, most: Micros) -> Micros {
-        if most > least {
-            Micros(self.rng.random_range(least.0..=most.0))
-        } else {
-            least
-        }
+        self.schedule_at(self.now + delay, event);
     }
 
     fn handle(&mut self, event: SimulationEvent) -> io::Result<()> {
         match event {
             SimulationEvent::RequestArrives { proxy, epoch } => self.request_arrives(proxy, epoch),
-            SimulationEvent::AttemptReachesHost { attempt, host } => self.attempt_reaches(attempt, host),
+            SimulationEvent::AttemptReachesHost { attempt, host } => self.attempt_reaches_host(attempt, host),
             SimulationEvent::AttemptFinishes { attempt, host, incarnation } => {
                 self.attempt_finishes(attempt, host, incarnation);
             }
             SimulationEvent::AttemptEnds { attempt, outcome } => self.attempt_ends(attempt, outcome),
-            SimulationEvent::ReportsDue => self.send_reports(),
+            SimulationEvent::LoadReportsDue => self.send_load_reports(),
             SimulationEvent::DirectorReceives { director, incarnation, events } => {
-                self.deliver_to(director, incarnation, events)?;
+                self.deliver_to_incarnation(director, incarnation, events)?;
             }
             SimulationEvent::TimerFires { director, incarnation, token } => {
-                self.deliver_to(director, incarnation, vec![Event::TimerFired(token)])?;
+                self.deliver_to_incarnation(director, incarnation, vec![Event::TimerFired(token)])?;
             }
-            SimulationEvent::ListFetched { director, incarnation } => {
-                let list = self.list_event();
-                self.deliver_to(director, incarnation, vec![list])?;
+            SimulationEvent::EndpointListFetched { director, incarnation } => {
+                let endpoint_list = self.complete_endpoint_list();
+                self.deliver_to_incarnation(director, incarnation, vec![endpoint_list])?;
             }
             SimulationEvent::PeerMessageDue { director } => self.send_random_peer_message(director),
-            SimulationEvent::RulesReachProxy { proxy, stream, rules } => {
-                self.rules_reach(proxy, stream, rules);
+            SimulationEvent::RoutesReachProxy { proxy, stream, routes } => {
+                self.apply_routes(proxy, stream, routes);
             }
             SimulationEvent::ProxyConnects { proxy } => self.connect(proxy),
-            SimulationEvent::StreamBreaks { proxy, stream } => self.stream_breaks(proxy, stream),
-            SimulationEvent::CheckDue => self.check_routes(),
+            SimulationEvent::StreamBreaks { proxy, stream } => self.break_stream(proxy, stream),
+            SimulationEvent::RouteCheckDue => self.check_routes(),
             SimulationEvent::FaultChanges { fault, active } => self.change_fault(fault, active)?,
             SimulationEvent::HostsChange { hosts, transition } => self.change_hosts(&hosts, transition),
         }
--- a/crates/wingfold-emulator/src/simulation/network.rs
+++ b/crates/wingfold-emulator/src/simulation/network.rs
@@ -1,21 +1,23 @@
-//! The network between zones: how long a message is under way, and which zones are cut off from others.
+//! The network between zones: latency and partitions.
 
+use super::delay::DelayRange;
 use super::Simulation;
 use wingfold_director::interface::Micros;
 
 impl Simulation<'_> {
-    /// Draws how long a message is under way from one zone to another.
-    pub(super) fn latency(&mut self, from: usize, to: usize) -> Micros {
-        let usual = match from == to {
-            true => self.scenario.same_zone_latency,
-            false => self.scenario.cross_zone_latency,
+    /// Draws the one-way latency of a message from one zone to another.
+    pub(super) fn latency(&mut self, from_zone: usize, to_zone: usize) -> Micros {
+        let min = if from_zone == to_zone {
+            self.scenario.same_zone_latency
+        } else {
+            self.scenario.cross_zone_latency
         };
-        self.random_time(usual, Micros(usual.0 * 3 / 2))
+        self.random_delay(DelayRange::up_to_half_more(min))
     }
 
     /// Whether a partition keeps messages from one zone to another.
-    pub(super) fn partitioned(&self, from: usize, to: usize) -> bool {
-        let cut = &self.disruptions.partitioned_zones;
-        from != to && (cut.contains(&from) || cut.contains(&to))
+    pub(super) fn is_partitioned(&self, from_zone: usize, to_zone: usize) -> bool {
+        let partitioned = &self.disruptions.partitioned_zones;
+        from_zone != to_zone && (partitioned.contains(&from_zone) || partitioned.contains(&to_zone))
     }
 }
--- a/crates/wingfold-emulator/src/simulation/requests.rs
+++ b/crates/wingfold-emulator/src/simulation/requests.rs
@@ -7,35 +7,41 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use wingfold_director::interface::*;
 
-/// How the work of requests varies around the mean of their class: the logarithm's mean and deviation.
-const WORK_SPREAD: (f64, f64) = (-0.045, 0.3);
-/// The lowest rate of a proxy, in requests a second.
-const MIN_RATE: f64 = 1e-6;
+/// The work of a request is the mean of its class times a log-normal factor: mean and standard deviation of the factor's
+/// logarithm. The factor's own mean is 1.
+const WORK_FACTOR_LOG_MEAN: f64 = -0.045;
+const WORK_FACTOR_LOG_DEVIATION: f64 = 0.3;
+/// The lowest rate of a proxy; the exponential distribution needs one above 0.
+const MIN_RATE_PER_S: f64 = 1e-6;
+const MICROS_PER_S: f64 = 1e6;
 
 /// A request that was admitted and has not ended.
 pub(super) struct Request {
     pub(super) proxy: usize,
     pub(super) class: usize,
-    pub(super) arrived: Timestamp,
+    pub(super) arrived_at: Timestamp,
     pub(super) work_ms: f64,
     /// Attempts that were sent.
     pub(super) attempts: u32,
-    /// Attempts that a host started.
+    /// Attempts that a host has started.
     pub(super) executions: u32,
-    /// The host of the last attempt, and when it was sent.
+    /// The host of the last attempt.
     pub(super) host: Option<usize>,
-    pub(super) sent: Timestamp,
+    /// When the last attempt was sent.
+    pub(super) sent_at: Timestamp,
 }
 
 impl Simulation<'_> {
-    /// Draws a proxy's next request.
+    /// Draws when the next request arrives at a proxy.
     pub(super) fn schedule_arrival(&mut self, proxy: usize) {
-        let sender = &self.proxies[proxy];
-        let epoch = sender.arrival_epoch;
-        let zone_factor = self.disruptions.zone_traffic[sender.zone];
-        let rate = (sender.rate * self.disruptions.traffic * zone_factor).max(MIN_RATE);
-        let wait = Exp::new(rate).expect("the rate is above 0").sample(&mut self.arrival_rng);
-        self.schedule_after(Micros::from_secs(wait), SimulationEvent::RequestArrives { proxy, epoch });
+        let receiver = &self.proxies[proxy];
+        let epoch = receiver.arrival_epoch;
+        let site_factor = self.disruptions.traffic_factor;
+        let zone_factor = self.disruptions.zone_traffic_factors[receiver.zone];
+        let rate_per_s = (receiver.rate_per_s * site_factor * zone_factor).max(MIN_RATE_PER_S);
+        let interval_s = Exp::new(rate_per_s).expect("the rate is above 0").sample(&mut self.arrival_rng);
+        let interval = Micros::from_secs(interval_s);
+        self.schedule_after(interval, SimulationEvent::RequestArrives { proxy, epoch });
     }
 
     /// A request arrives, unless it was drawn before its proxy's traffic changed.
@@ -45,81 +51,92 @@
         }
         self.schedule_arrival(proxy);
         let class = self.draw_class();
-        let work_ms = self.draw_work(class);
-        let zone = self.proxies[proxy].zone;
-        self.result.counts[zone][class].asked += 1;
-        self.result.window_mut(self.now).asked += self.scenario.classes[class].class.priority_weight;
-        self.proxies[proxy].class_usage[class].total += 1;
+        let work_ms = self.draw_work_ms(class);
+        self.count_arrival(proxy, class);
         if self.admits(proxy, class) {
             self.start_request(proxy, class, work_ms);
         } else {
-            self.result.counts[zone][class].refused += 1;
+            let zone = self.proxies[proxy].zone;
+            self.result.request_counts[zone][class].rejected += 1;
         }
     }
 
+    fn count_arrival(&mut self, proxy: usize, class: usize) {
+        let zone = self.proxies[proxy].zone;
+        self.result.request_counts[zone][class].arrived += 1;
+        let priority_weight = self.scenario.classes[class].class.priority_weight;
+        self.result.window_mut(self.now).arrived_weight += priority_weight;
+        self.proxies[proxy].class_usage[class].requests += 1;
+    }
+
+    /// Draws the class of a request by the shares of the classes.
     fn draw_class(&mut self) -> usize {
         let classes = &self.scenario.classes;
-        let total: f64 = classes.iter().map(|class| class.share).sum();
-        let mut left = self.arrival_rng.random::<f64>() * total;
-        let drawn = classes.iter().position(|class| {
-            left -= class.share;
-            left <= 0.0
-        });
-        drawn.unwrap_or(classes.len() - 1)
+        let total_share: f64 = classes.iter().map(|class| class.share).sum();
+        let mut remaining = self.arrival_rng.random::<f64>() * total_share;
+        for (index, class) in classes.iter().enumerate() {
+            remaining -= class.share;
+            if remaining <= 0.0 {
+                return index;
+            }
+        }
+        // Rounding can leave a rest.
+        classes.len() - 1
     }
 
-    fn draw_work(&mut self, class: usize) -> f64 {
-        let (mean, deviation) = WORK_SPREAD;
-        let spread = LogNormal::new(mean, deviation).expect("this spread is valid");
-        self.mean_work_ms[class] * spread.sample(&mut self.arrival_rng)
+    fn draw_work_ms(&mut self, class: usize) -> f64 {
+        let factor = LogNormal::new(WORK_FACTOR_LOG_MEAN, WORK_FACTOR_LOG_DEVIATION)
+            .expect("the deviation is finite and not negative");
+        self.mean_work_ms[class] * factor.sample(&mut self.arrival_rng)
     }
 
     fn admits(&mut self, proxy: usize, class: usize) -> bool {
-        let by_rate = match self.scenario.settings.admission_mode {
-            AdmissionMode::Ignored => return true,
-            AdmissionMode::Rate => true,
-            _ => false,
-        };
-        self.proxies[proxy].admits(self.now, class, by_rate, &mut self.rng)
+        match self.scenario.settings.admission_mode {
+            AdmissionMode::Ignored => true,
+            AdmissionMode::Rate => self.proxies[proxy].admits_by_rate(self.now, class),
+            AdmissionMode::Share => self.proxies[proxy].admits_by_share(class, &mut self.rng),
+        }
     }
 
     fn start_request(&mut self, proxy: usize, class: usize, work_ms: f64) {
-        self.admitted += 1;
-        let id = RequestId(self.admitted);
+        self.admitted_requests += 1;
+        let id = RequestId(self.admitted_requests);
         let request = Request {
             proxy,
             class,
-            arrived: self.now,
+            arrived_at: self.now,
             work_ms,
             attempts: 0,
             executions: 0,
             host: None,
-            sent: self.now,
+            sent_at: self.now,
         };
         self.requests.insert(id, request);
         self.send_attempt(id);
     }
 
-    /// A request ends: answered, sooner or later, or not.
-    pub(super) fn end_request(&mut self, id: RequestId, answered: bool) {
+    /// A request ends with an answer.
+    pub(super) fn request_answered(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         let class = &self.scenario.classes[request.class].class;
+        let latency_s = self.now.since(request.arrived_at);
+        let latency_us = (latency_s * MICROS_PER_S) as u64;
+        self.result.latencies_us[request.class].saturating_record(latency_us);
         let zone = self.proxies[request.proxy].zone;
-        let latency = self.now.since(request.arrived);
-        let in_time = answered && latency <= class.latency_objective.secs();
-        if in_time {
-            self.result.window_mut(request.arrived).in_time += class.priority_weight;
-        }
-        if answered {
-            self.result.latencies[request.class].saturating_record((latency * 1e6) as u64);
+        let counts = &mut self.result.request_counts[zone][request.class];
+        if latency_s <= class.latency_objective.secs() {
+            counts.in_time += 1;
+            self.result.window_mut(request.arrived_at).in_time_weight += class.priority_weight;
         } else {
-            self.proxies[request.proxy].class_usage[request.class].lost += 1;
-        }
-        let counts = &mut self.result.counts[zone][request.class];
-        match (in_time, answered) {
-            (true, _) => counts.good += 1,
-            (_, true) => counts.late += 1,
-            _ => counts.lost += 1,
+            counts.late += 1;
         }
     }
+
+    /// A request ends without an answer.
+    pub(super) fn request_failed(&mut self, id: RequestId) {
+        let Some(request) = self.requests.remove(&id) else { return };
+        let proxy = &mut self.proxies[request.proxy];
+        proxy.class_usage[request.class].failures += 1;
+        self.result.request_counts[proxy.zone][request.class].failed += 1;
+    }
 }
--- a/crates/wingfold-emulator/src/simulation/setup.rs
+++ b/crates/wingfold-emulator/src/simulation/setup.rs
@@ -1,13 +1,14 @@
-//! Builds a scenario's site from its seed and starts it.
+//! Builds the site of a scenario from the seed and starts it.
 
-use super::checks::CHECK_PERIOD;
+use super::checks::ROUTE_CHECK_PERIOD;
+use super::delay::DelayRange;
 use super::director::DirectorNode;
-use super::discovery::entry;
+use super::discovery::endpoint_of;
 use super::event::{EventQueue, SimulationEvent};
 use super::faults::{draw_targets, Disruptions};
 use super::{Observer, Simulation};
 use crate::host::Host;
-use crate::proxy::Proxy;
+use crate::proxy::{Proxy, WeightedHost};
 use crate::results::RunResult;
 use crate::scenario::Scenario;
 use rand::seq::SliceRandom;
@@ -19,27 +20,28 @@
 use std::sync::Arc;
 use wingfold_director::interface::*;
 
-/// Streams of random numbers: what one of them draws does not change the others.
+/// Streams of random numbers: what is drawn from one does not change the others.
 const SITE_STREAM: u64 = 1;
 const ARRIVAL_STREAM: u64 = 2;
 const EVENT_STREAM: u64 = 3;
-/// Hosts that a proxy knows before it hears from a director.
+/// Hosts that a proxy knows before a director has sent it routes.
 const INITIAL_HOSTS: usize = 8;
-/// Proxies connect for the first time between these times.
-const FIRST_CONNECT: (Micros, Micros) = (Micros(20_000), Micros(500_000));
-/// The first made-up message of the first director; each later one sends a microsecond later.
-const FIRST_PEER_MESSAGE: Micros = Micros(1000);
+/// When proxies connect for the first time.
+const FIRST_CONNECT_DELAY: DelayRange = DelayRange { min: Micros(20_000), max: Micros(500_000) };
+/// When the first director sends its first random message; each further director sends its own a microsecond later.
+const FIRST_PEER_MESSAGE_AT: Timestamp = Timestamp(1000);
 
 impl<'a> Simulation<'a> {
+    /// Draws the site. The order of the draws from the site's stream is fixed: runs with the same seed depend on it.
     pub(super) fn new(
         scenario: &'a Scenario,
         seed: u64,
-        captures: Option<&'a Path>,
+        capture_root: Option<&'a Path>,
         observer: &'a mut dyn Observer,
     ) -> Self {
         let mut rng = seeded_rng(seed, SITE_STREAM);
         let hosts = draw_hosts(scenario, &mut rng);
-        let mean_work_ms = draw_mean_work(scenario, &mut rng);
+        let mean_work_ms = draw_mean_work_ms(scenario, &mut rng);
         let proxies = draw_proxies(scenario, &hosts, &mut rng);
         let targets = |fault| draw_targets(fault, &hosts, scenario, &mut rng);
         let fault_targets = scenario.faults.iter().map(targets).collect();
@@ -47,21 +49,21 @@
         Simulation {
             scenario,
             seed,
-            captures,
+            capture_root,
             observer,
             now: Timestamp(0),
             events: EventQueue::default(),
             arrival_rng: seeded_rng(seed, ARRIVAL_STREAM),
             rng: seeded_rng(seed, EVENT_STREAM),
-            host_index: hosts.iter().enumerate().map(|(at, host)| (host.id.clone(), at)).collect(),
-            initial_list: hosts.iter().map(|host| entry(host, scenario)).collect(),
+            host_index: hosts.iter().enumerate().map(|(index, host)| (host.id.clone(), index)).collect(),
+            initial_endpoints: hosts.iter().map(|host| endpoint_of(host, scenario)).collect(),
             utilization: vec![None; hosts.len()],
-            last_report: Timestamp(0),
+            last_report_at: Timestamp(0),
             hosts,
             proxies,
             directors: Vec::new(),
             requests: BTreeMap::new(),
-            admitted: 0,
+            admitted_requests: 0,
             mean_work_ms,
             fault_targets,
             disruptions: Disruptions::none(zones),
@@ -70,22 +72,22 @@
         }
     }
 
-    /// Starts the directors and schedules what comes of itself.
+    /// Starts the directors and schedules the first events.
     pub(super) fn start(&mut self) -> io::Result<()> {
         for director in 0..self.scenario.settings.directors as usize {
             self.add_director(director)?;
         }
         for proxy in 0..self.proxies.len() {
-            let connects = self.random_time(FIRST_CONNECT.0, FIRST_CONNECT.1);
-            self.schedule_after(connects, SimulationEvent::ProxyConnects { proxy });
+            let delay = self.random_delay(FIRST_CONNECT_DELAY);
+            self.schedule_after(delay, SimulationEvent::ProxyConnects { proxy });
             self.schedule_arrival(proxy);
         }
-        for (number, fault) in self.scenario.faults.iter().enumerate() {
-            self.schedule_at(fault.begins, SimulationEvent::FaultChanges { fault: number, active: true });
-            self.schedule_at(fault.ends, SimulationEvent::FaultChanges { fault: number, active: false });
+        for (index, fault) in self.scenario.faults.iter().enumerate() {
+            self.schedule_at(fault.begins_at, SimulationEvent::FaultChanges { fault: index, active: true });
+            self.schedule_at(fault.ends_at, SimulationEvent::FaultChanges { fault: index, active: false });
         }
-        self.schedule_after(self.scenario.settings.report_period, SimulationEvent::ReportsDue);
-        self.schedule_after(CHECK_PERIOD, SimulationEvent::CheckDue);
+        self.schedule_after(self.scenario.settings.report_period, SimulationEvent::LoadReportsDue);
+        self.schedule_after(ROUTE_CHECK_PERIOD, SimulationEvent::RouteCheckDue);
         Ok(())
     }
 
@@ -94,8 +96,8 @@
         self.directors.push(DirectorNode::new(zone));
         self.start_director(director)?;
         if self.scenario.peers.messages_per_s > 0.0 && self.scenario.settings.directors > 1 {
-            let first = Timestamp(FIRST_PEER_MESSAGE.0 + director as u64);
-            self.schedule_at(first, SimulationEvent::PeerMessageDue { director });
+            let first_message_at = FIRST_PEER_MESSAGE_AT + Micros(director as u64);
+            self.schedule_at(first_message_at, SimulationEvent::PeerMessageDue { director });
         }
         Ok(())
     }
@@ -107,37 +109,55 @@
     rng
 }
 
+/// Draws the hosts and places them in the zones in turn.
 fn draw_hosts(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<Host> {
     let zones = scenario.settings.zones.len();
     let mut hosts = Vec::new();
-    for kind in &scenario.host_kinds {
-        for number in 0..kind.count {
-            let speed = rng.random_range(kind.speed.0..=kind.speed.1);
-            let id = HostId(Arc::from(format!("{}-{number}", kind.name).as_str()));
+    for group in &scenario.host_groups {
+        for number in 0..group.count {
+            let core_speed = rng.random_range(group.core_speed.min..=group.core_speed.max);
+            let name = format!("{}-{number}", group.machine_type);
+            let id = HostId(Arc::from(name.as_str()));
             let zone = hosts.len() % zones;
-            hosts.push(Host::new(id, &kind.name, zone, kind.cores, speed));
+            hosts.push(Host::new(id, &group.machine_type, zone, group.cores, core_speed));
         }
     }
     hosts
 }
 
-fn draw_mean_work(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<f64> {
-    let ranges = scenario.classes.iter().map(|class| class.work_ms);
-    ranges.map(|(least, most)| rng.random_range(least..=most)).collect()
+/// Draws the mean work of a request of each class.
+fn draw_mean_work_ms(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<f64> {
+    let ranges = scenario.classes.iter().map(|class| class.mean_work_ms);
+    ranges.map(|range| rng.random_range(range.min..=range.max)).collect()
 }
 
+/// Draws the proxies: first the traffic of all, then the initial hosts of each from its own zone.
 fn draw_proxies(scenario: &Scenario, hosts: &[Host], rng: &mut ChaCha8Rng) -> Vec<Proxy> {
-    let size = |_| 10f64.powf(scenario.rate_skew * (rng.random::<f64>() - 0.5));
-    let sizes: Vec<f64> = (0..scenario.settings.proxies).map(size).collect();
-    let total: f64 = sizes.iter().sum();
+    let traffic_shares = draw_traffic_shares(scenario, rng);
+    let total_share: f64 = traffic_shares.iter().sum();
     let mut proxies = Vec::new();
-    for (number, size) in sizes.iter().enumerate() {
-        let zone = number % scenario.settings.zones.len();
-        let mut near: Vec<usize> = (0..hosts.len()).filter(|host| hosts[*host].zone == zone).collect();
-        near.shuffle(rng);
-        let weights = near.into_iter().take(INITIAL_HOSTS).map(|host| (host, 1.0)).collect();
-        let rate = scenario.rate * size / total;
-        proxies.push(Proxy::new(zone, rate, Arc::new(weights), scenario.classes.len()));
+    for (index, share) in traffic_shares.iter().enumerate() {
+        let zone = index % scenario.settings.zones.len();
+        let initial_hosts = draw_initial_hosts(hosts, zone, rng);
+        let rate_per_s = scenario.rate_per_s * share / total_share;
+        proxies.push(Proxy::new(zone, rate_per_s, Arc::new(initial_hosts), scenario.classes.len()));
     }
     proxies
 }
+
+/// The traffic of each proxy relative to the others.
+fn draw_traffic_shares(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<f64> {
+    let mut shares = Vec::new();
+    for _ in 0..scenario.settings.proxies {
+        let exponent = scenario.rate_skew * (rng.random::<f64>() - 0.5);
+        shares.push(10f64.powf(exponent));
+    }
+    shares
+}
+
+fn draw_initial_hosts(hosts: &[Host], zone: usize, rng: &mut ChaCha8Rng) -> Vec<WeightedHost> {
+    let mut local: Vec<usize> = (0..hosts.len()).filter(|host| hosts[*host].zone == zone).collect();
+    local.shuffle(rng);
+    local.truncate(INITIAL_HOSTS);
+    local.into_iter().map(|host| WeightedHost { host, weight: 1.0 }).collect()
+}
--- a/crates/wingfold-emulator/src/simulation/streams.rs
+++ b/crates/wingfold-emulator/src/simulation/streams.rs
@@ -1,83 +1,93 @@
 //! Streams between proxies and directors: how they open and break.
 
+use super::delay::DelayRange;
 use super::event::SimulationEvent;
 use super::Simulation;
-use crate::proxy::RoutingRule;
+use crate::proxy::ClassRoute;
 use rand::Rng;
 use wingfold_director::interface::*;
 
 /// How long a director takes to learn that a proxy connected.
 const CONNECT_DELAY: Micros = Micros(3000);
-/// A proxy that lost its director, or found none, connects again between these times.
-const RECONNECT: (Micros, Micros) = (Micros(300_000), Micros(1_500_000));
-/// A director notices that a stream broke between these times.
-const BREAK_NOTICED: (Micros, Micros) = (Micros(10_000), Micros(200_000));
+/// When a proxy that lost its director, or found none, connects again.
+const RECONNECT_DELAY: DelayRange = DelayRange { min: Micros(300_000), max: Micros(1_500_000) };
+/// When a director notices that a stream broke.
+const BREAK_DETECTION_DELAY: DelayRange = DelayRange { min: Micros(10_000), max: Micros(200_000) };
 
 impl Simulation<'_> {
-    /// Connects a proxy to one of the directors that it can reach, or tries again later.
+    /// Connects a proxy to one of the directors that it can reach, or retries later.
     pub(super) fn connect(&mut self, proxy: usize) {
         let reachable = self.reachable_directors(self.proxies[proxy].zone);
         if reachable.is_empty() {
-            self.reconnect_later(proxy);
+            let delay = self.random_delay(RECONNECT_DELAY);
+            self.schedule_after(delay, SimulationEvent::ProxyConnects { proxy });
             return;
         }
         let director = reachable[self.rng.random_range(0..reachable.len())];
-        let connected = &mut self.proxies[proxy];
-        connected.director = Some(director);
-        connected.connected_at = self.now;
-        connected.stream += 1;
-        let zone = self.scenario.settings.zones[connected.zone].clone();
-        let joined =
-            Event::ProxyConnected { proxy: ProxyId(proxy as u32), zone, requests_per_s: connected.rate };
-        self.send_to_director(CONNECT_DELAY, director, vec![joined]);
+        let connecting = &mut self.proxies[proxy];
+        connecting.director = Some(director);
+        connecting.connected_at = self.now;
+        connecting.stream += 1;
+        let connected = Event::ProxyConnected {
+            proxy: ProxyId(proxy as u32),
+            zone: self.scenario.settings.zones[connecting.zone].clone(),
+            requests_per_s: connecting.rate_per_s,
+        };
+        self.send_to_director(CONNECT_DELAY, director, vec![connected]);
     }
 
-    /// Directors that a proxy of a zone can connect to: those of its own zone if the settings prefer them.
+    /// The directors that a proxy of a zone can connect to. If the settings prefer the proxy's own zone and it has some,
+    /// only those.
     fn reachable_directors(&self, zone: usize) -> Vec<usize> {
-        let reachable = |director: &usize| {
-            let node = &self.directors[*director];
-            node.accepts_streams() && !self.partitioned(zone, node.zone)
-        };
-        let all: Vec<usize> = (0..self.directors.len()).filter(reachable).collect();
+        let reachable: Vec<usize> =
+            (0..self.directors.len()).filter(|director| self.is_reachable(*director, zone)).collect();
         if !self.scenario.settings.local_first {
-            return all;
+            return reachable;
         }
-        let own_zone = |director: &usize| self.directors[*director].zone == zone;
-        let near: Vec<usize> = all.iter().copied().filter(own_zone).collect();
-        if near.is_empty() {
-            all
+        let is_local = |director: &usize| self.directors[*director].zone == zone;
+        let local: Vec<usize> = reachable.iter().copied().filter(is_local).collect();
+        if local.is_empty() {
+            reachable
         } else {
-            near
+            local
         }
     }
 
-    fn reconnect_later(&mut self, proxy: usize) {
-        let delay = self.random_time(RECONNECT.0, RECONNECT.1);
-        self.schedule_after(delay, SimulationEvent::ProxyConnects { proxy });
+    fn is_reachable(&self, director: usize, from_zone: usize) -> bool {
+        let node = &self.directors[director];
+        node.accepts_streams() && !self.is_partitioned(from_zone, node.zone)
     }
 
-    /// Rules reach a proxy, unless their stream has broken since.
-    pub(super) fn rules_reach(&mut self, proxy: usize, stream: u32, rules: Vec<RoutingRule>) {
+    /// Routes reach a proxy, unless the stream has broken since.
+    pub(super) fn apply_routes(&mut self, proxy: usize, stream: u32, routes: Vec<ClassRoute>) {
         if self.proxies[proxy].stream == stream {
-            self.proxies[proxy].rules = rules;
+            self.proxies[proxy].routes = routes;
         }
     }
 
     /// A proxy notices that a stream is dead, if it still has that stream.
-    pub(super) fn stream_breaks(&mut self, proxy: usize, stream: u32) {
+    pub(super) fn break_stream(&mut self, proxy: usize, stream: u32) {
         if self.proxies[proxy].stream == stream {
             self.disconnect(proxy);
         }
     }
 
-    /// A proxy's stream breaks: its director notices sooner or later, and the proxy connects again.
+    /// A proxy's stream breaks: its director notices after a while, and the proxy reconnects.
     pub(super) fn disconnect(&mut self, proxy: usize) {
         let Some(director) = self.proxies[proxy].director.take() else { return };
         self.proxies[proxy].stream += 1;
-        self.directors[director].forget_proxy(proxy);
-        let noticed = self.random_time(BREAK_NOTICED.0, BREAK_NOTICED.1);
-        let reconnects = self.random_time(RECONNECT.0, RECONNECT.1);
-        self.send_to_director(noticed, director, vec![Event::ProxyDisconnected(ProxyId(proxy as u32))]);
-        self.schedule_after(reconnects, SimulationEvent::ProxyConnects { proxy });
+        self.directors[director].remove_proxy(proxy);
+        let detection_delay = self.random_delay(BREAK_DETECTION_DELAY);
+        let reconnect_delay = self.random_delay(RECONNECT_DELAY);
+        let disconnected = Event::ProxyDisconnected(ProxyId(proxy as u32));
+        self.send_to_director(detection_delay, director, vec![disconnected]);
+        self.schedule_after(reconnect_delay, SimulationEvent::ProxyConnects { proxy });
+    }
+
+    /// All proxies lose their streams at once.
+    pub(super) fn disconnect_all(&mut self) {
+        for proxy in 0..self.proxies.len() {
+            self.disconnect(proxy);
+        }
     }
 }
--- a/crates/wingfold-emulator/tests/emulator.rs
+++ b/crates/wingfold-emulator/tests/emulator.rs
@@ -21,18 +21,22 @@
     assert!(names.len() >= 12);
     for name in names {
         let played = simulate(&scenario(&name), 1, None).unwrap();
-        assert_eq!(played.margins.broken(), Vec::<String>::new(), "{name}");
-        let service = played.service();
+        assert_eq!(played.margins.violations(), [], "{name}");
+        let service = played.service_ratio();
         assert!((0.5..=1.0).contains(&service), "{name}: {service}");
-        let all = played.class(0);
-        assert_eq!(all.asked - all.refused - all.good - all.late - all.lost, in_flight(&all), "{name}");
+        let all = played.class_counts(0);
+        assert_eq!(
+            all.arrived - all.rejected - all.in_time - all.late - all.failed,
+            in_flight(&all),
+            "{name}"
+        );
     }
 }
 
 /// Requests that had no end when the day was over: a few at most.
 fn in_flight(all: &wingfold_emulator::results::RequestCounts) -> u64 {
-    let rest = all.asked - all.refused - all.good - all.late - all.lost;
-    assert!(rest <= all.asked / 20, "{rest} of {}", all.asked);
+    let rest = all.arrived - all.rejected - all.in_time - all.late - all.failed;
+    assert!(rest <= all.arrived / 20, "{rest} of {}", all.arrived);
     rest
 }
 
@@ -40,8 +44,11 @@
 fn a_seed_plays_the_same_day_again_and_another_one_does_not() {
     let plan = scenario("release-and-errors");
     let [one, same, other] = [1, 1, 2].map(|seed| simulate(&plan, seed, None).unwrap());
-    assert_eq!((&one.counts, &one.digests, &one.log), (&same.counts, &same.digests, &same.log));
-    assert_ne!(one.counts, other.counts);
+    assert_eq!(
+        (&one.request_counts, &one.digests, &one.log),
+        (&same.request_counts, &same.digests, &same.log)
+    );
+    assert_ne!(one.request_counts, other.request_counts);
 }
 
 #[test]
@@ -49,10 +56,10 @@
     let calm = |name: &str| {
         let mut plan = scenario(name);
         plan.faults.clear();
-        simulate(&plan, 3, None).unwrap().service()
+        simulate(&plan, 3, None).unwrap().service_ratio()
     };
     for name in ["overload", "cold-host", "hang-and-vanish", "release-and-errors"] {
-        let rough = simulate(&scenario(name), 3, None).unwrap().service();
+        let rough = simulate(&scenario(name), 3, None).unwrap().service_ratio();
         assert!(rough + 0.002 < calm(name), "{name}: {rough} against {}", calm(name));
     }
 }
@@ -63,8 +70,9 @@
     let strict = text("drains-and-joins") + "\nrules {\n  drain_grace = \"1ms\"\n}\n";
     let plan = Scenario::read("strict", &strict).unwrap();
     let experiment = Experiment::run(plan, 1..=2, None, |_, _| ()).unwrap();
-    assert_eq!(experiment.broken().len(), 2);
-    assert!(experiment.broken()[0].1[0].contains("drains or is gone"), "{:?}", experiment.broken());
+    assert_eq!(experiment.violations().len(), 2);
+    let violation = experiment.violations()[0].violations[0].to_string();
+    assert!(violation.contains("drains or is gone"), "{:?}", experiment.violations());
     let table = report::markdown(&experiment);
     assert!(table.contains("Broken with seed 1") && table.contains("| drains kept |"), "{table}");
 }
@@ -75,7 +83,7 @@
     let csv = report::csv(&experiment);
     assert_eq!(csv.lines().count(), 1 + 3 * 3 * 2, "{csv}");
     assert!(csv.lines().all(|line| line.split(',').count() == 16));
-    let service = experiment.mean(|played| played.service());
+    let service = experiment.mean(|played| played.service_ratio());
     assert!(service.count == 3 && service.half_width.is_finite());
     assert!(report::markdown(&experiment).contains("seeds 1, 2, 3"));
     assert!(report::chart(&experiment).unwrap().starts_with("<svg"));
--- a/crates/wingfold-emulator/tests/experiment.rs
+++ b/crates/wingfold-emulator/tests/experiment.rs
@@ -1,6 +1,6 @@
 //! The estimates of an experiment.
 
-use wingfold_emulator::experiment::Estimate;
+use wingfold_emulator::estimate::Estimate;
 
 #[test]
 fn a_mean_has_the_interval_of_students_distribution() {
--- a/crates/wingfold/src/lab.rs
+++ b/crates/wingfold/src/lab.rs
@@ -100,9 +100,9 @@
     let experiment = experiment.map_err(|problem| problem.to_string())?;
     bar.finish_and_clear();
     show(&experiment, out)?;
-    let broken = experiment.broken();
-    for (seed, what) in &broken {
-        eprintln!("seed {seed} broke: {}", what.join("; "));
+    let broken = experiment.violations();
+    for violations in &broken {
+        eprintln!("seed {} broke: {violations}", violations.seed);
     }
     Ok(if broken.is_empty() { Outcome::Good } else { Outcome::Different })
 }
@@ -124,7 +124,7 @@
         return Ok(());
     };
     report::write(experiment, folder).map_err(|problem| format!("{}: {problem}", folder.display()))?;
-    let service = experiment.mean(|result| result.service());
+    let service = experiment.mean(|result| result.service_ratio());
     println!(
         "service {:.4} ± {:.4}; tables and chart in {}",
         service.mean,
