--- a/crates/wingfold-emulator/scenarios/example.hcl
+++ b/crates/wingfold-emulator/scenarios/example.hcl
@@ -1,5 +1,5 @@
-# A site of three halls like a small inspection service: every key that a scenario may have stands here or in its
-# neighbours; what is left out has the default shown in src/scenario.rs.
+# A site of three zones like a small inspection service. Every key that a scenario may have stands here or in one of the
+# other scenarios; a missing key has the default in src/scenario/reader.rs and its submodules.
 scenario "example" {
   about    = "A checker slows down, another one dies, and a hall drains two: an ordinary rough minute."
   length   = "60s"
--- a/crates/wingfold-emulator/tests/emulator.rs
+++ b/crates/wingfold-emulator/tests/emulator.rs
@@ -1,18 +1,20 @@
-//! The emulator: the same seed plays the same day, rules are checked and can be broken, scenarios are checked.
+//! The emulator: a seed determines a run, invariants are measured and can be violated, scenarios are validated.
 
 use wingfold_emulator::experiment::Experiment;
+use wingfold_emulator::results::RequestCounts;
 use wingfold_emulator::{report, simulate, Scenario};
 
-fn text(name: &str) -> String {
+/// The text of a scenario of the folder `scenarios`.
+fn scenario_text(name: &str) -> String {
     std::fs::read_to_string(format!("{}/scenarios/{name}.hcl", env!("CARGO_MANIFEST_DIR"))).unwrap()
 }
 
 fn scenario(name: &str) -> Scenario {
-    Scenario::read(name, &text(name)).unwrap_or_else(|faults| panic!("{faults}"))
+    Scenario::read(name, &scenario_text(name)).unwrap_or_else(|faults| panic!("{faults}"))
 }
 
 #[test]
-fn every_scenario_that_is_shipped_plays_keeps_the_rules_and_serves_most() {
+fn every_shipped_scenario_runs_keeps_the_invariants_and_serves_most_requests() {
     let folder = std::fs::read_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios")).unwrap();
     let mut names: Vec<String> = folder
         .map(|entry| entry.unwrap().path().file_stem().unwrap().to_str().unwrap().to_string())
@@ -20,56 +22,57 @@
     names.sort();
     assert!(names.len() >= 12);
     for name in names {
-        let played = simulate(&scenario(&name), 1, None).unwrap();
-        assert_eq!(played.margins.violations(), [], "{name}");
-        let service = played.service_ratio();
+        let result = simulate(&scenario(&name), 1, None).unwrap();
+        assert_eq!(result.margins.violations(), [], "{name}");
+        let service = result.service_ratio();
         assert!((0.5..=1.0).contains(&service), "{name}: {service}");
-        let all = played.class_counts(0);
+        let counts = result.class_counts(0);
         assert_eq!(
-            all.arrived - all.rejected - all.in_time - all.late - all.failed,
-            in_flight(&all),
+            counts.arrived - counts.rejected - counts.in_time - counts.late - counts.failed,
+            requests_in_flight(&counts),
             "{name}"
         );
     }
 }
 
-/// Requests that had no end when the day was over: a few at most.
-fn in_flight(all: &wingfold_emulator::results::RequestCounts) -> u64 {
-    let rest = all.arrived - all.rejected - all.in_time - all.late - all.failed;
-    assert!(rest <= all.arrived / 20, "{rest} of {}", all.arrived);
-    rest
+/// Requests that were under way when the run ended: a few at most.
+fn requests_in_flight(counts: &RequestCounts) -> u64 {
+    let in_flight = counts.arrived - counts.rejected - counts.in_time - counts.late - counts.failed;
+    assert!(in_flight <= counts.arrived / 20, "{in_flight} of {}", counts.arrived);
+    in_flight
 }
 
 #[test]
-fn a_seed_plays_the_same_day_again_and_another_one_does_not() {
-    let plan = scenario("release-and-errors");
-    let [one, same, other] = [1, 1, 2].map(|seed| simulate(&plan, seed, None).unwrap());
+fn a_seed_determines_the_run_and_another_seed_gives_another() {
+    let scenario = scenario("release-and-errors");
+    let [first, repeated, other] = [1, 1, 2].map(|seed| simulate(&scenario, seed, None).unwrap());
     assert_eq!(
-        (&one.request_counts, &one.digests, &one.log),
-        (&same.request_counts, &same.digests, &same.log)
+        (&first.request_counts, &first.digests, &first.log),
+        (&repeated.request_counts, &repeated.digests, &repeated.log)
     );
-    assert_ne!(one.request_counts, other.request_counts);
+    assert_ne!(first.request_counts, other.request_counts);
 }
 
 #[test]
-fn troubles_cost_service_and_each_is_felt_where_it_strikes() {
-    let calm = |name: &str| {
-        let mut plan = scenario(name);
-        plan.faults.clear();
-        simulate(&plan, 3, None).unwrap().service_ratio()
+fn faults_reduce_the_service_ratio() {
+    let service_without_faults = |name: &str| {
+        let mut scenario = scenario(name);
+        scenario.faults.clear();
+        simulate(&scenario, 3, None).unwrap().service_ratio()
     };
     for name in ["overload", "cold-host", "hang-and-vanish", "release-and-errors"] {
-        let rough = simulate(&scenario(name), 3, None).unwrap().service_ratio();
-        assert!(rough + 0.002 < calm(name), "{name}: {rough} against {}", calm(name));
+        let without_faults = service_without_faults(name);
+        let service = simulate(&scenario(name), 3, None).unwrap().service_ratio();
+        assert!(service + 0.002 < without_faults, "{name}: {service} against {without_faults}");
     }
 }
 
 #[test]
-fn a_rule_that_is_broken_is_told() {
-    // Nobody can stop sending within a millisecond of being told, through a channel that takes 250 ms.
-    let strict = text("drains-and-joins") + "\nrules {\n  drain_grace = \"1ms\"\n}\n";
-    let plan = Scenario::read("strict", &strict).unwrap();
-    let experiment = Experiment::run(plan, 1..=2, None, |_, _| ()).unwrap();
+fn a_violated_invariant_is_reported() {
+    // No proxy can stop within a millisecond after its director was notified: a push takes 250 ms on average.
+    let strict = scenario_text("drains-and-joins") + "\nrules {\n  drain_grace = \"1ms\"\n}\n";
+    let scenario = Scenario::read("strict", &strict).unwrap();
+    let experiment = Experiment::run(scenario, 1..=2, None, |_, _| ()).unwrap();
     assert_eq!(experiment.violations().len(), 2);
     let violation = experiment.violations()[0].violations[0].to_string();
     assert!(violation.contains("drains or is gone"), "{:?}", experiment.violations());
@@ -78,19 +81,19 @@
 }
 
 #[test]
-fn tables_and_charts_hold_every_seed_zone_and_class() {
+fn tables_and_charts_cover_every_seed_zone_and_class() {
     let experiment = Experiment::run(scenario("example"), 1..=3, None, |_, _| ()).unwrap();
     let csv = report::csv(&experiment);
     assert_eq!(csv.lines().count(), 1 + 3 * 3 * 2, "{csv}");
     assert!(csv.lines().all(|line| line.split(',').count() == 16));
-    let service = experiment.mean(|played| played.service_ratio());
+    let service = experiment.mean(|result| result.service_ratio());
     assert!(service.count == 3 && service.half_width.is_finite());
     assert!(report::markdown(&experiment).contains("seeds 1, 2, 3"));
     assert!(report::chart(&experiment).unwrap().starts_with("<svg"));
 }
 
 #[test]
-fn a_scenario_that_is_wrong_is_told_by_its_places() {
+fn every_error_of_a_scenario_is_reported_with_its_place() {
     let text = "scenario \"x\" {\n  rate = -1\n  zones = [\"a\", \"a\"]\n}\nhosts \"h\" {\n  cuont = 3\n}\nclass \"c\" {\n  aim = \"5s\"\n  \
                 deadline = \"1s\"\n}\nfault \"flood\" {\n  at = \"1s\"\n}\nfault \"cut\" {\n  at = \"99s\"\n}\n";
     let faults = Scenario::read("s.hcl", text).unwrap_err().to_string();
