--- a/crates/wingfold-emulator/tests/silence.rs
+++ b/crates/wingfold-emulator/tests/silence.rs
@@ -1,23 +1,48 @@
-//! Five pictures of silence, played in the emulator: a cut hall, a quiet one, a dead collector, late sums, and a hall with
-//! no traffic at all. Each looks otherwise to whoever watches the figures, at every moment that matters.
+//! Five reasons why a zone can be silent, run in the emulator: a partition, low traffic, a collector that is down, delayed
+//! load reports, and no traffic at all. The metrics tell them apart at every moment that matters.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use wingfold_director::interface::{Action, Event, Micros, Timestamp, ZoneId};
 use wingfold_director::Director;
 use wingfold_emulator::simulation::{simulate_observed, Observer};
 use wingfold_emulator::Scenario;
 use wingfold_figures::silence::State;
-use wingfold_figures::{Figure, Interval, Meter, Value};
+use wingfold_figures::{Figure, Interval, Meter, Sample, Value};
 
-/// Counts for director 0 as the engine does.
-struct Watch {
+/// The length of the meter's intervals.
+const INTERVAL: Micros = Micros(5_000_000);
+const MICROS_PER_S: u64 = 1_000_000;
+
+/// The zone that the faults affect, and its index. The director is in another one.
+const ZONE: &str = "hillington";
+const ZONE_INDEX: usize = 1;
+const DIRECTOR_ZONE_INDEX: usize = 0;
+
+/// The states of a zone.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct ZoneStates {
+    load_reports: State,
+    collector: State,
+    first_class: State,
+}
+
+impl ZoneStates {
+    const fn all(state: State) -> ZoneStates {
+        ZoneStates { load_reports: state, collector: state, first_class: state }
+    }
+}
+
+const HEARD: ZoneStates = ZoneStates::all(State::Heard);
+
+/// Measures director 0 as the engine does.
+struct MetricsObserver {
     meter: Option<Meter>,
-    /// By second: the states of each zone's sums, collector and first class, and the zone's lag.
-    seen: BTreeMap<u64, Vec<(State, State, State)>>,
+    /// The states of each zone, by second.
+    states_by_second: BTreeMap<u64, Vec<ZoneStates>>,
     intervals: Vec<Interval>,
 }
 
-impl Observer for Watch {
+impl Observer for MetricsObserver {
     fn director_called(
         &mut self,
         director: usize,
@@ -30,60 +55,85 @@
             return;
         }
         let classes = ["score".to_string(), "verdict".to_string()];
-        let meter = self.meter.get_or_insert_with(|| Meter::new(now, Micros(5_000_000), module, &classes));
+        let meter = self.meter.get_or_insert_with(|| Meter::new(now, INTERVAL, module, &classes));
         for event in events {
             meter.told(now, event);
-            // In the emulator sums are all that a collector says.
+            // In the emulator a collector sends nothing but load reports.
             if let Event::LoadReport { zone, .. } = event {
                 meter.collector(now, zone, 1);
             }
         }
-        let lines = actions.iter().filter(|action| matches!(action, Action::SetEntry { .. })).count();
-        meter.answered(100, 1, lines, lines as f64);
+        let entries = actions.iter().filter(|action| matches!(action, Action::SetEntry { .. })).count();
+        meter.answered(100, 1, entries, entries as f64);
         meter.look(now, module);
-        let states = |zone: &ZoneId| {
-            let (sums, collector, classes) = meter.states(zone).expect("it is a zone of the settings");
-            (sums, collector, classes[0])
-        };
         let zones = &module.settings().zones;
-        self.seen.insert(now.0 / 1_000_000, zones.iter().map(states).collect());
+        let states = zones.iter().map(|zone| zone_states(meter, zone)).collect();
+        self.states_by_second.insert(now.0 / MICROS_PER_S, states);
         let written = hdrhistogram::Histogram::new(2).unwrap();
         self.intervals.extend(meter.interval(now, module, &written, &[], &[]));
     }
 }
 
-/// Plays a minute and a half with one trouble in hall b from 30 to 60 s; one director, so that all proxies are its own.
-fn watch(trouble: &str, seed: u64) -> Watch {
+fn zone_states(meter: &Meter, zone: &ZoneId) -> ZoneStates {
+    let (load_reports, collector, classes) = meter.states(zone).expect("it is a zone of the settings");
+    ZoneStates { load_reports, collector, first_class: classes[0] }
+}
+
+/// Runs a scenario of 100 s with the given fault; it has one director, so that all proxies are connected to it.
+fn observe(fault: &str, seed: u64) -> MetricsObserver {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios/example.hcl");
     let text = std::fs::read_to_string(path).unwrap();
     let site = &text[..text.find("fault \"slow\"").unwrap()];
-    let site =
-        site.replace("directors = 2", "directors = 1").replace("length   = \"60s\"", "length = \"100s\"");
-    let plan =
-        Scenario::read("picture", &format!("{site}\n{trouble}")).unwrap_or_else(|faults| panic!("{faults}"));
-    let mut watch = Watch { meter: None, seen: BTreeMap::new(), intervals: Vec::new() };
-    simulate_observed(&plan, seed, None, &mut watch).unwrap();
-    watch
+    let site = site.replace("directors = 2", "directors = 1");
+    let site = site.replace("length   = \"60s\"", "length = \"100s\"");
+    let scenario = Scenario::read("silence", &format!("{site}\n{fault}"));
+    let scenario = scenario.unwrap_or_else(|faults| panic!("{faults}"));
+    let mut observer =
+        MetricsObserver { meter: None, states_by_second: BTreeMap::new(), intervals: Vec::new() };
+    simulate_observed(&scenario, seed, None, &mut observer).unwrap();
+    observer
+}
+
+/// A block `fault` from 30 to 60 s.
+fn fault(kind: &str, keys: &str) -> String {
+    format!("fault \"{kind}\" {{\n  at = \"30s\"\n  lasts = \"30s\"\n{keys}}}\n")
+}
+
+fn partition() -> String {
+    fault("cut", "  zone = \"hillington\"\n")
 }
 
-fn fault(kind: &str, more: &str) -> String {
-    format!("fault \"{kind}\" {{\n  at = \"30s\"\n  lasts = \"30s\"\n{more}}}\n")
+fn collector_outage() -> String {
+    fault("collector_dead", "  zone = \"hillington\"\n")
 }
 
-impl Watch {
-    /// The states of a hall in a span of seconds, each once, in their order.
-    fn states(&self, zone: usize, from: u64, until: u64) -> Vec<(State, State, State)> {
-        let mut states: Vec<_> = self.seen.range(from..until).map(|(_, zones)| zones[zone]).collect();
+fn delayed_reports() -> String {
+    fault("late_reports", "  by = \"3s\"\n")
+}
+
+/// A fiftieth of the ordinary traffic in the zone, during the whole run.
+const LOW_TRAFFIC: &str =
+    "fault \"traffic\" {\n  at = \"0s\"\n  lasts = \"99s\"\n  zone = \"hillington\"\n  size = 0.02\n}\n";
+/// No traffic in the zone, during the whole run.
+const NO_TRAFFIC: &str =
+    "fault \"traffic\" {\n  at = \"0s\"\n  lasts = \"99s\"\n  zone = \"hillington\"\n  size = 0\n}\n";
+
+impl MetricsObserver {
+    /// The states of a zone in a span of seconds without repetitions, in their order.
+    fn states(&self, zone: usize, from_s: u64, until_s: u64) -> Vec<ZoneStates> {
+        let span = self.states_by_second.range(from_s..until_s);
+        let mut states: Vec<ZoneStates> = span.map(|(_, zones)| zones[zone]).collect();
         states.dedup();
         states
     }
 
-    /// A figure of a hall in the interval that ends at a second; `None`: it was not sent.
-    fn figure(&self, figure: Figure, zone: &str, until: u64) -> Option<f64> {
-        let interval =
-            self.intervals.iter().find(|interval| interval.at.0 == until * 1_000_000).expect("it ended");
-        let of = |sample: &&wingfold_figures::Sample| sample.figure == figure && *sample.labels[0] == *zone;
-        interval.samples.iter().find(of).map(|sample| match sample.value {
+    /// The value of a figure for the zone in the interval that ends at a second; `None`: it was not sent.
+    fn value(&self, figure: Figure, until_s: u64) -> Option<f64> {
+        let ends_at = |interval: &&Interval| interval.at.0 == until_s * MICROS_PER_S;
+        let interval = self.intervals.iter().find(ends_at).expect("an interval ends then");
+        let matches = |sample: &&Sample| sample.figure == figure && *sample.labels[0] == *ZONE;
+        let sample = interval.samples.iter().find(matches)?;
+        Some(match sample.value {
             Value::Count(count) => count as f64,
             Value::Gauge(value) => value,
             Value::Spread(count, _) => count as f64,
@@ -91,154 +141,152 @@
     }
 }
 
-/// A hall with a fiftieth of the others' traffic, all night.
-const QUIET: &str =
-    "fault \"traffic\" {\n  at = \"0s\"\n  lasts = \"99s\"\n  zone = \"hillington\"\n  size = 0.02\n}\n";
-const HEARD: (State, State, State) = (State::Heard, State::Heard, State::Heard);
-
 #[test]
-fn a_cut_hall_is_cut_until_it_is_heard_again_and_sends_no_zeros() {
+fn a_partitioned_zone_is_cut_until_it_is_heard_again_and_sends_no_zeros() {
     for seed in 1..=5 {
-        // Hall a is the director's: cut off from it are b's streams, b's collector and b's hosts.
-        let watch = watch(&fault("cut", "  zone = \"hillington\"\n"), seed);
-        assert_eq!(watch.states(1, 8, 29), [HEARD], "seed {seed}");
-        assert_eq!(watch.states(1, 42, 59), [(State::Cut, State::Cut, State::Cut)], "seed {seed}");
-        assert_eq!(watch.states(1, 68, 98), [HEARD], "seed {seed}");
-        // Between, it goes from heard to cut and nowhere else; the other halls are heard all the time.
-        let between = watch.states(1, 29, 42);
-        assert!(
-            between.iter().all(|(sums, ..)| matches!(sums, State::Heard | State::Cut | State::Silent)),
-            "{between:?}"
-        );
-        assert_eq!(watch.states(0, 8, 98), [HEARD], "seed {seed}");
-        for until in [45, 50, 55] {
-            assert_eq!(watch.figure(Figure::TriesTotal, "hillington", until), None, "no zero is sent");
-            assert_eq!(watch.figure(Figure::ServiceAsked, "hillington", until), None);
+        // The director loses the streams of the zone's proxies, its collector and its hosts.
+        let observer = observe(&partition(), seed);
+        assert_eq!(observer.states(ZONE_INDEX, 8, 29), [HEARD], "seed {seed}");
+        assert_eq!(observer.states(ZONE_INDEX, 42, 59), [ZoneStates::all(State::Cut)], "seed {seed}");
+        assert_eq!(observer.states(ZONE_INDEX, 68, 98), [HEARD], "seed {seed}");
+        // Between, it changes from heard to cut by way of silent at most; the other zones are heard all the time.
+        let between = observer.states(ZONE_INDEX, 29, 42);
+        let is_expected = |state: State| matches!(state, State::Heard | State::Cut | State::Silent);
+        assert!(between.iter().all(|states| is_expected(states.load_reports)), "{between:?}");
+        assert_eq!(observer.states(DIRECTOR_ZONE_INDEX, 8, 98), [HEARD], "seed {seed}");
+        for until_s in [45, 50, 55] {
+            assert_eq!(observer.value(Figure::TriesTotal, until_s), None, "no zero is sent");
+            assert_eq!(observer.value(Figure::ServiceAsked, until_s), None);
         }
-        let ages = [45, 50, 55].map(|until| watch.figure(Figure::ZoneAge, "hillington", until).unwrap());
+        let ages = [45, 50, 55].map(|until_s| observer.value(Figure::ZoneAge, until_s).unwrap());
         assert!(
             ages[0] > 10.0 && ages[1] > ages[0] + 4.0 && ages[2] > ages[1] + 4.0,
             "its age rises: {ages:?}"
         );
-        assert_eq!(watch.figure(Figure::ZoneState, "hillington", 50), Some(3.0));
+        assert_eq!(observer.value(Figure::ZoneState, 50), Some(3.0));
     }
 }
 
 #[test]
-fn a_quiet_hall_is_heard_or_quiet_and_never_silent_or_cut() {
+fn a_zone_with_low_traffic_is_heard_or_quiet_and_never_silent_or_cut() {
     for seed in 1..=5 {
-        let watch = watch(QUIET, seed);
-        for (sums, collector, class) in watch.states(1, 25, 98) {
-            let quiet = sums <= State::Quiet && collector <= State::Quiet && class <= State::Quiet;
-            assert!(quiet, "seed {seed}: {sums:?} {collector:?} {class:?}");
+        let observer = observe(LOW_TRAFFIC, seed);
+        for states in observer.states(ZONE_INDEX, 25, 98) {
+            let is_quiet = states.load_reports <= State::Quiet
+                && states.collector <= State::Quiet
+                && states.first_class <= State::Quiet;
+            assert!(is_quiet, "seed {seed}: {states:?}");
         }
     }
 }
 
 #[test]
-fn a_dead_collector_is_silent_while_its_hall_speaks() {
+fn a_collector_that_is_down_is_silent_while_its_zone_is_heard() {
     for seed in 1..=5 {
-        let watch = watch(&fault("collector_dead", "  zone = \"hillington\"\n"), seed);
-        assert_eq!(watch.states(1, 40, 59), [(State::Silent, State::Silent, State::Heard)], "seed {seed}");
-        assert_eq!(watch.states(1, 66, 98), [HEARD]);
-        assert_eq!(watch.figure(Figure::TriesTotal, "hillington", 50), None, "what is not known is not sent");
-        assert!(watch.figure(Figure::ServiceAsked, "hillington", 50).unwrap() > 50.0, "what is known is");
+        let observer = observe(&collector_outage(), seed);
+        let expected =
+            ZoneStates { load_reports: State::Silent, collector: State::Silent, first_class: State::Heard };
+        assert_eq!(observer.states(ZONE_INDEX, 40, 59), [expected], "seed {seed}");
+        assert_eq!(observer.states(ZONE_INDEX, 66, 98), [HEARD]);
+        assert_eq!(observer.value(Figure::TriesTotal, 50), None, "what is not known is not sent");
+        assert!(observer.value(Figure::ServiceAsked, 50).unwrap() > 50.0, "what is known is");
     }
 }
 
 #[test]
-fn late_sums_are_heard_with_a_lag_and_booked_to_their_time() {
+fn delayed_reports_are_heard_with_a_lag_and_counted_in_their_own_interval() {
     for seed in 1..=5 {
-        let watch = watch(&fault("late_reports", "  by = \"3s\"\n"), seed);
-        // A gap of three seconds and a half at its beginning may look like silence for a moment; then it is heard.
-        assert_eq!(watch.states(1, 40, 59), [HEARD], "seed {seed}");
-        let lag = watch.figure(Figure::ZoneLag, "hillington", 45).unwrap();
-        assert!((1.5..4.5).contains(&lag), "seed {seed}: {lag}");
-        assert!(watch.figure(Figure::TriesLate, "hillington", 45).unwrap() > 50.0, "late news is marked");
-        assert_eq!(watch.figure(Figure::TriesLate, "hillington", 25), Some(0.0), "seed {seed}");
-        // Every interval that ends while sums are late is sent again with what came for it afterwards.
-        let mended =
-            watch.intervals.iter().filter(|interval| (40..=60).contains(&(interval.at.0 / 1_000_000)));
-        assert!(mended.filter(|interval| !interval.mended.is_empty()).count() >= 3, "seed {seed}");
+        let observer = observe(&delayed_reports(), seed);
+        // The gap of 3.5 s at the beginning may look like silence for a moment; then the zone is heard.
+        assert_eq!(observer.states(ZONE_INDEX, 40, 59), [HEARD], "seed {seed}");
+        let lag_s = observer.value(Figure::ZoneLag, 45).unwrap();
+        assert!((1.5..4.5).contains(&lag_s), "seed {seed}: {lag_s}");
+        assert!(observer.value(Figure::TriesLate, 45).unwrap() > 50.0, "late reports are marked");
+        assert_eq!(observer.value(Figure::TriesLate, 25), Some(0.0), "seed {seed}");
+        // Every interval that ends while reports are delayed is sent again with what arrived for it afterwards.
+        let delayed = 40..=60;
+        let corrected = observer.intervals.iter().filter(|interval| {
+            delayed.contains(&(interval.at.0 / MICROS_PER_S)) && !interval.mended.is_empty()
+        });
+        assert!(corrected.count() >= 3, "seed {seed}");
     }
 }
 
 #[test]
-fn a_hall_without_traffic_is_quiet_from_its_first_moment_and_sends_no_zeros() {
+fn a_zone_without_traffic_is_never_cut_and_sends_no_zeros() {
     for seed in 1..=5 {
-        let none =
-            "fault \"traffic\" {\n  at = \"0s\"\n  lasts = \"99s\"\n  zone = \"hillington\"\n  size = 0\n}\n";
-        let watch = watch(none, seed);
-        let states = watch.states(1, 20, 95);
-        // Its proxies joined with the rate they usually get: what is due does not come, and nothing speaks of a cut.
-        assert!(
-            states.iter().all(|(sums, _, class)| *sums != State::Cut && *class != State::Cut),
-            "{states:?}"
-        );
-        assert_eq!(watch.figure(Figure::TriesTotal, "hillington", 50), None);
-        assert_eq!(watch.figure(Figure::ServiceAsked, "hillington", 50), None);
-        assert!(watch.figure(Figure::ZoneAge, "hillington", 50).unwrap() > 45.0);
-        assert_eq!(watch.figure(Figure::ProxiesJoined, "hillington", 50), Some(3.0), "its proxies are there");
+        let observer = observe(NO_TRAFFIC, seed);
+        let states = observer.states(ZONE_INDEX, 20, 95);
+        // Its proxies announced their ordinary rate when they connected, so reports are missing; but nothing is cut.
+        let is_cut =
+            |states: &ZoneStates| states.load_reports == State::Cut || states.first_class == State::Cut;
+        assert!(!states.iter().any(is_cut), "{states:?}");
+        assert_eq!(observer.value(Figure::TriesTotal, 50), None);
+        assert_eq!(observer.value(Figure::ServiceAsked, 50), None);
+        assert!(observer.value(Figure::ZoneAge, 50).unwrap() > 45.0);
+        assert_eq!(observer.value(Figure::ProxiesJoined, 50), Some(3.0), "its proxies are connected");
     }
 }
 
 #[test]
-fn the_five_pictures_differ() {
-    let troubles = [
-        fault("cut", "  zone = \"hillington\"\n"),
-        QUIET.to_string(),
-        fault("collector_dead", "  zone = \"hillington\"\n"),
-        fault("late_reports", "  by = \"3s\"\n"),
-        "fault \"traffic\" {\n  at = \"0s\"\n  lasts = \"99s\"\n  zone = \"hillington\"\n  size = 0\n}\n"
-            .to_string(),
-    ];
-    let picture = |trouble: &String| {
-        let watch = watch(trouble, 1);
-        let (sums, collector, class) = watch.states(1, 55, 56)[0];
-        let late = watch.figure(Figure::ZoneLag, "hillington", 55).unwrap() > 1.5;
-        let asked = watch.figure(Figure::ServiceAsked, "hillington", 55).is_some();
-        let joined = watch.figure(Figure::ProxiesJoined, "hillington", 55).unwrap() > 0.0;
-        (sums.name(), collector.name(), class.name(), late, asked, joined)
+fn the_five_reasons_look_different() {
+    let faults =
+        [partition(), LOW_TRAFFIC.to_string(), collector_outage(), delayed_reports(), NO_TRAFFIC.to_string()];
+    let appearance = |fault: &String| {
+        let observer = observe(fault, 1);
+        let states = observer.states(ZONE_INDEX, 55, 56)[0];
+        let is_delayed = observer.value(Figure::ZoneLag, 55).unwrap() > 1.5;
+        let has_requests = observer.value(Figure::ServiceAsked, 55).is_some();
+        let has_proxies = observer.value(Figure::ProxiesJoined, 55).unwrap() > 0.0;
+        let names = [states.load_reports, states.collector, states.first_class].map(State::name);
+        (names, is_delayed, has_requests, has_proxies)
     };
-    let pictures: Vec<_> = troubles.iter().map(picture).collect();
-    let different: std::collections::BTreeSet<_> = pictures.iter().collect();
-    assert_eq!(different.len(), 5, "{pictures:#?}");
+    let appearances: Vec<_> = faults.iter().map(appearance).collect();
+    let different: BTreeSet<_> = appearances.iter().collect();
+    assert_eq!(different.len(), 5, "{appearances:#?}");
 }
 
 #[test]
 #[ignore = "draws docs/charts/five-pictures.svg anew"]
-fn draw_the_pictures() {
+fn draw_the_five_reasons() {
     use plotters::prelude::*;
-    let troubles = [
-        ("cut off", fault("cut", "  zone = \"hillington\"\n")),
-        ("a quiet night", QUIET.to_string()),
-        ("its collector is dead", fault("collector_dead", "  zone = \"hillington\"\n")),
-        ("sums come late", fault("late_reports", "  by = \"3s\"\n")),
+    let faults = [
+        ("cut off", partition()),
+        ("a quiet night", LOW_TRAFFIC.to_string()),
+        ("its collector is dead", collector_outage()),
+        ("sums come late", delayed_reports()),
         ("no traffic", fault("traffic", "  zone = \"hillington\"\n  size = 0\n")),
     ];
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/charts/five-pictures.svg");
     std::fs::create_dir_all(std::path::Path::new(path).parent().unwrap()).unwrap();
     let area = SVGBackend::new(path, (760, 900)).into_drawing_area();
     area.fill(&WHITE).unwrap();
-    for (part, (name, trouble)) in area.split_evenly((5, 1)).iter().zip(&troubles) {
-        let watch = watch(trouble, 1);
+    for (part, (name, fault)) in area.split_evenly((5, 1)).iter().zip(&faults) {
+        let observer = observe(fault, 1);
+        let caption = format!(
+            "{name}: requests asked a second (bars, where sent) and state (line: 0 heard, 1 quiet, 2 silent, 3 cut)"
+        );
         let mut chart = ChartBuilder::on(part)
-            .caption(format!("{name}: requests asked a second (bars, where sent) and state (line: 0 heard, 1 quiet, 2 silent, 3 cut)"), ("sans-serif", 12))
+            .caption(caption, ("sans-serif", 12))
             .margin(6)
             .x_label_area_size(18)
             .y_label_area_size(30)
             .build_cartesian_2d(0.0..100.0, 0.0..45.0)
             .unwrap();
         chart.configure_mesh().max_light_lines(0).x_labels(11).y_labels(4).draw().unwrap();
-        for interval in &watch.intervals {
-            let until = interval.at.0 / 1_000_000;
-            if let Some(asked) = watch.figure(Figure::ServiceAsked, "hillington", until) {
-                let (from, to) = (until as f64 - 4.8, until as f64 - 0.2);
-                let bar = Rectangle::new([(from, 0.0), (to, asked / 5.0)], RGBColor(170, 195, 225).filled());
-                chart.draw_series([bar]).unwrap();
-            }
+        for interval in &observer.intervals {
+            let until_s = interval.at.0 / MICROS_PER_S;
+            let Some(requests) = observer.value(Figure::ServiceAsked, until_s) else { continue };
+            let from_x = until_s as f64 - 4.8;
+            let until_x = until_s as f64 - 0.2;
+            let style = RGBColor(170, 195, 225).filled();
+            let bar = Rectangle::new([(from_x, 0.0), (until_x, requests / 5.0)], style);
+            chart.draw_series([bar]).unwrap();
         }
-        let states = watch.seen.iter().map(|(second, zones)| (*second as f64, 12.0 * zones[1].0.number()));
+        let states = observer.states_by_second.iter().map(|(second, zones)| {
+            let state = zones[ZONE_INDEX].load_reports;
+            (*second as f64, 12.0 * state.number())
+        });
         chart.draw_series(LineSeries::new(states, RGBColor(190, 40, 40).stroke_width(2))).unwrap();
     }
     area.present().unwrap();
