--- a/crates/wingfold-archive/tests/common/mod.rs
+++ b/crates/wingfold-archive/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use wingfold_capture::{entries, Entry, Head};
 use wingfold_director::interface::*;
 use wingfold_director::Director;
-use wingfold_lab::Scenario;
+use wingfold_emulator::Scenario;
 
 /// A folder that is removed at the end of the test.
 pub struct TempFolder(pub PathBuf);
@@ -38,7 +38,8 @@
 
 /// One of the shipped scenarios.
 pub fn scenario(name: &str) -> Scenario {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../wingfold-lab/scenarios/{name}.hcl"));
+    let path =
+        Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../wingfold-emulator/scenarios/{name}.hcl"));
     Scenario::read(name, &std::fs::read_to_string(path).unwrap()).unwrap()
 }
 
@@ -48,7 +49,7 @@
     let mut segments = DAYS.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     let recorded = segments.entry((name.to_string(), seed)).or_insert_with(|| {
         let folder = TempFolder::new();
-        wingfold_lab::simulate(&scenario(name), seed, Some(&folder.0)).unwrap();
+        wingfold_emulator::simulate(&scenario(name), seed, Some(&folder.0)).unwrap();
         Archive::open(&folder.0.join("director-0")).unwrap().segments[0].read().unwrap()
     });
     recorded.clone()
--- a/crates/wingfold-archive/tests/fault_injection.rs
+++ b/crates/wingfold-archive/tests/fault_injection.rs
@@ -26,8 +26,8 @@
         [("release-and-errors", 3, 2), ("late-sums", 5, 1), ("rates-and-parts", 2, 1), ("cut-zone", 9, 1)]
     {
         let folder = TempFolder::new();
-        let played = wingfold_lab::simulate(&scenario(name), seed, Some(&folder.0)).unwrap();
-        assert_eq!(played.margins.broken(), Vec::<String>::new(), "{name}");
+        let played = wingfold_emulator::simulate(&scenario(name), seed, Some(&folder.0)).unwrap();
+        assert_eq!(played.margins.violations(), [], "{name}");
         for director in 0..2 {
             let archive = Archive::open(&folder.0.join(format!("director-{director}"))).unwrap();
             let lives: std::collections::BTreeSet<u64> =
@@ -134,7 +134,7 @@
 fn a_damaged_catalogue_is_set_aside_and_rebuilt_from_the_segments() {
     let folder = TempFolder::new();
     let config = scenario("release-and-errors");
-    wingfold_lab::simulate(&config, 4, Some(&folder.0)).unwrap();
+    wingfold_emulator::simulate(&config, 4, Some(&folder.0)).unwrap();
     let director_folder = folder.0.join("director-0");
     let path = director_folder.join("catalogue.redb");
     let valid = std::fs::read(&path).unwrap();
--- /dev/null
+++ b/crates/wingfold-emulator/src/scenario.rs
@@ -0,0 +1,95 @@
+//! Scenarios: a site, its traffic and its faults, written in HCL. The folder `scenarios/` has examples.
+
+mod fault;
+mod reader;
+
+pub use fault::{Fault, FaultKind, FaultTargets};
+
+use wingfold_director::interface::{Class, Micros, Settings};
+use wingfold_settings::hcl::Faults;
+
+/// A range from which values are drawn uniformly; both ends are included.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ValueRange {
+    /// The smallest value.
+    pub min: f64,
+    /// The largest value.
+    pub max: f64,
+}
+
+/// The hosts of one machine type.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HostGroup {
+    /// The name of the machine type; the hosts are named after it.
+    pub machine_type: String,
+    /// The number of hosts; they are placed in the zones in turn.
+    pub count: usize,
+    /// The cores of each host.
+    pub cores: usize,
+    /// Work in ms that a core does in a ms, drawn for each host.
+    pub core_speed: ValueRange,
+}
+
+/// The requests of one class.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ClassLoad {
+    /// The name of the class.
+    pub name: String,
+    /// Its share of all requests, relative to the shares of the other classes.
+    pub share: f64,
+    /// The mean work of a request in ms of a core of speed 1, drawn for each run; each request varies around it.
+    pub mean_work_ms: ValueRange,
+    /// The class in the settings of the decision module.
+    pub class: Class,
+}
+
+/// Random messages between directors, so that captures hold some.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PeerTraffic {
+    /// Messages from each director per second.
+    pub messages_per_s: f64,
+    /// The share of all messages between directors that is lost.
+    pub loss_ratio: f64,
+}
+
+/// A site, its traffic and its faults.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Scenario {
+    /// The scenario's name.
+    pub name: String,
+    /// What the scenario is for.
+    pub description: String,
+    /// How long a run lasts in virtual time.
+    pub duration: Micros,
+    /// The hosts by machine type.
+    pub host_groups: Vec<HostGroup>,
+    /// The classes of requests.
+    pub classes: Vec<ClassLoad>,
+    /// Requests per second at all proxies together.
+    pub rate_per_s: f64,
+    /// How unequal the rates of the proxies are: 0 all alike, 1 up to ten times apart.
+    pub rate_skew: f64,
+    /// The shortest one-way latency between zones.
+    pub cross_zone_latency: Micros,
+    /// The shortest one-way latency within a zone.
+    pub same_zone_latency: Micros,
+    /// The shortest delay of a load report; the longest is twice that.
+    pub report_delay: Micros,
+    /// The share of the load reports that arrives out of order.
+    pub reorder_ratio: f64,
+    /// The shortest delay of a change of the endpoint list; the longest is twice that.
+    pub discovery_delay: Micros,
+    /// Messages between directors.
+    pub peers: PeerTraffic,
+    /// The settings of the decision module.
+    pub settings: Settings,
+    /// The faults in the order of the file.
+    pub faults: Vec<Fault>,
+}
+
+impl Scenario {
+    /// Reads a scenario. The error names everything that is wrong with it; `file` is the name that it gives as the place.
+    pub fn read(file: &str, text: &str) -> Result<Scenario, Faults> {
+        reader::read(file, text)
+    }
+}
