--- a/crates/wingfold-scale/src/cli.rs
+++ b/crates/wingfold-scale/src/cli.rs
@@ -2,10 +2,10 @@
 
 use crate::faults::Fault;
 use crate::ladder::{self, Ladder, Summary};
-use crate::limits::{LimitsError, Machine, Refusal};
+use crate::limits::{LimitsError, MachineLimits, PlanError};
 use crate::plan::{Plan, Step};
 use crate::report::Report;
-use crate::run::{Patience, Run, RunError};
+use crate::run::{Run, RunError, Timeouts};
 use crate::script::FaultPlan;
 use clap::error::{ContextKind, ErrorKind};
 use clap::{Args, CommandFactory, Parser, Subcommand, ValueEnum};
@@ -19,9 +19,9 @@
 use tokio::signal::unix::{signal, SignalKind};
 
 /// The whole ladder takes no longer than this.
-const LADDER_WITHIN: Duration = Duration::from_secs(600);
+const LADDER_TIME_LIMIT: Duration = Duration::from_secs(600);
 /// Threads of the hollow parts; real directors need cores too.
-const WORKERS: usize = 3;
+const WORKER_THREADS: usize = 3;
 
 const EXAMPLES: &str = "\
 Exit codes: 0 played and as it should be, 1 could not be played or something of it failed, 2 a wrong option.
@@ -125,7 +125,7 @@
             program: self.program.clone(),
             faults: faults.collect(),
             fault_step: self.fault_step,
-            fault_lasts: Duration::from_secs(self.fault_seconds),
+            fault_duration: Duration::from_secs(self.fault_seconds),
         }
     }
 }
@@ -148,7 +148,7 @@
         problem: io::Error,
     },
     /// The ladder takes longer than it may.
-    #[error("the ladder was not over within {} s", LADDER_WITHIN.as_secs())]
+    #[error("the ladder was not over within {} s", LADDER_TIME_LIMIT.as_secs())]
     LadderOverrun,
     /// The runtime or its signals cannot be had.
     #[error("the runtime cannot be started: {0}")]
@@ -158,19 +158,19 @@
     Limits(#[from] LimitsError),
     /// The run would take too much.
     #[error(transparent)]
-    Refused(#[from] Refusal),
+    Rejected(#[from] PlanError),
 }
 
 impl RunOptions {
     /// The plan that these options ask for.
-    pub fn plan(&self) -> Result<Plan, Refusal> {
+    pub fn plan(&self) -> Result<Plan, PlanError> {
         Plan::new(self.step, self.real_directors, Duration::from_secs(self.seconds), self.seed)
     }
 
     /// The run that these options ask for.
-    pub fn run(&self) -> Result<Run, Refusal> {
-        let fault = FaultPlan { fault: self.fault, lasts: Duration::from_secs(self.fault_seconds) };
-        Ok(Run { plan: self.plan()?, program: self.program.clone(), fault, patience: Patience::default() })
+    pub fn run(&self) -> Result<Run, PlanError> {
+        let fault = FaultPlan { fault: self.fault, duration: Duration::from_secs(self.fault_seconds) };
+        Ok(Run { plan: self.plan()?, program: self.program.clone(), fault, timeouts: Timeouts::default() })
     }
 }
 
@@ -230,7 +230,7 @@
     if let Some(path) = &options.json {
         write_json(path, &report)?;
     }
-    check_compared(&report)
+    check_comparisons(&report)
 }
 
 /// Plays the ladder; what is measured is written after each run.
@@ -242,21 +242,21 @@
     let mut ended = pin!(async {
         tokio::select! {
             () = signals => {}
-            () = tokio::time::sleep(LADDER_WITHIN) => {}
+            () = tokio::time::sleep(LADDER_TIME_LIMIT) => {}
         }
     });
     let (mut reports, mut differ) = (Vec::new(), Vec::new());
     for run in &runs {
         println!("{}", run.plan);
         let report = run.play(&mut ended).await.map_err(|error| match error {
-            RunError::Interrupted if begun.elapsed() >= LADDER_WITHIN => CommandError::LadderOverrun,
+            RunError::Interrupted if begun.elapsed() >= LADDER_TIME_LIMIT => CommandError::LadderOverrun,
             error => CommandError::Run(error),
         })?;
         println!("{report}");
         write_json(&options.out.join(ladder::report_name(run) + ".json"), &report)?;
         let differences = report.differences();
         differ.extend(
-            differences.iter().map(|compared| format!("{} of step {}", compared.figure, report.step)),
+            differences.iter().map(|comparison| format!("{} of step {}", comparison.metric, report.step)),
         );
         reports.push(report);
         write_tables(&options.out.join("scale-ladder.txt"), &reports)?;
@@ -279,8 +279,8 @@
     std::fs::write(path, text + "\n").map_err(|problem| CommandError::Output { path: path.into(), problem })
 }
 
-fn check_compared(report: &Report) -> Result<(), CommandError> {
-    let differ: Vec<&str> = report.differences().iter().map(|compared| compared.figure).collect();
+fn check_comparisons(report: &Report) -> Result<(), CommandError> {
+    let differ: Vec<&str> = report.differences().iter().map(|comparison| comparison.metric).collect();
     match differ.is_empty() {
         true => Ok(()),
         false => Err(CommandError::Differs(differ.join(", "))),
@@ -289,7 +289,7 @@
 
 fn runtime() -> Result<Runtime, CommandError> {
     let mut builder = Builder::new_multi_thread();
-    builder.worker_threads(WORKERS).enable_all().build().map_err(CommandError::Runtime)
+    builder.worker_threads(WORKER_THREADS).enable_all().build().map_err(CommandError::Runtime)
 }
 
 /// Ends when the process is asked to end.
@@ -307,6 +307,6 @@
 fn state_plan(options: &RunOptions) -> Result<(), CommandError> {
     let plan = options.plan()?;
     println!("{plan}");
-    plan.check(&Machine::read()?)?;
+    plan.check(&MachineLimits::read()?)?;
     Ok(())
 }
--- a/crates/wingfold-scale/src/compare.rs
+++ b/crates/wingfold-scale/src/compare.rs
@@ -1,66 +1,68 @@
-//! Whether hollow directors do as real ones: calls and bytes at discovery, and probes, of a director of either kind in
+//! Whether simulated directors do as real ones: calls and bytes at discovery, and health checks, of a director of either kind in
 //! the same time.
 
 use crate::counters::TrafficCount;
 use serde::Serialize;
 
-/// What may lie between a hollow director's figure and a real one's.
+/// The ratio by which a simulated director's metric may differ from a real one's.
 const TOLERANCE: f64 = 0.10;
-/// Figures drawn at random, as probes are, may differ by so many standard deviations more.
-const DEVIATIONS: f64 = 4.0;
+/// Random metrics, as the number of health checks, may differ by this many standard deviations more.
+const STANDARD_DEVIATIONS: f64 = 4.0;
 
-/// One figure of both kinds.
+/// A metric of both kinds of director.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Compared {
+pub struct Comparison {
     /// What is compared.
-    pub figure: &'static str,
+    #[serde(rename = "figure")]
+    pub metric: &'static str,
     /// Of one real director, on the mean.
     pub real: f64,
-    /// Of one hollow director, on the mean.
-    pub hollow: f64,
+    /// Of one simulated director, on the mean.
+    #[serde(rename = "hollow")]
+    pub simulated: f64,
     /// The share by which they may differ.
     pub tolerance: f64,
 }
 
-impl Compared {
-    /// Whether the two lie close enough.
-    pub fn holds(&self) -> bool {
-        (self.hollow - self.real).abs() <= self.tolerance * self.real
+impl Comparison {
+    /// Returns whether the two are close enough.
+    pub fn is_within_tolerance(&self) -> bool {
+        (self.simulated - self.real).abs() <= self.tolerance * self.real
     }
 }
 
-/// What the directors of one kind did together in the same time.
+/// The sums over the directors of one kind, in the same time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Kind {
+pub struct DirectorGroup {
     /// Directors.
     pub directors: usize,
     /// Their calls at discovery.
     pub discovery: TrafficCount,
-    /// Directors that probed.
-    pub probers: usize,
-    /// Their probes.
-    pub probes: u64,
+    /// Directors that sent health checks.
+    pub checking_directors: usize,
+    /// Their health checks.
+    pub health_checks: u64,
 }
 
-/// Compares real directors with hollow ones.
-pub fn compare(real: &Kind, hollow: &Kind) -> Vec<Compared> {
+/// Compares real directors with simulated ones.
+pub fn compare(real: &DirectorGroup, simulated: &DirectorGroup) -> Vec<Comparison> {
     let mean = |sum: u64, of: usize| sum as f64 / of.max(1) as f64;
-    let exact = |figure, of: fn(&Kind) -> u64| Compared {
-        figure,
+    let exact = |metric, of: fn(&DirectorGroup) -> u64| Comparison {
+        metric,
         real: mean(of(real), real.directors),
-        hollow: mean(of(hollow), hollow.directors),
+        simulated: mean(of(simulated), simulated.directors),
         tolerance: TOLERANCE,
     };
-    let by_chance = DEVIATIONS / (real.probes.max(1) as f64).sqrt();
+    let random_tolerance = STANDARD_DEVIATIONS / (real.health_checks.max(1) as f64).sqrt();
     vec![
-        exact("calls at discovery", |kind| kind.discovery.messages),
-        exact("bytes to discovery", |kind| kind.discovery.bytes_in),
-        exact("bytes from discovery", |kind| kind.discovery.bytes_out),
-        Compared {
-            figure: "probes",
-            real: mean(real.probes, real.probers),
-            hollow: mean(hollow.probes, hollow.probers),
-            tolerance: TOLERANCE + by_chance,
+        exact("calls at discovery", |group| group.discovery.messages),
+        exact("bytes to discovery", |group| group.discovery.bytes_in),
+        exact("bytes from discovery", |group| group.discovery.bytes_out),
+        Comparison {
+            metric: "probes",
+            real: mean(real.health_checks, real.checking_directors),
+            simulated: mean(simulated.health_checks, simulated.checking_directors),
+            tolerance: TOLERANCE + random_tolerance,
         },
     ]
 }
--- a/crates/wingfold-scale/src/counters.rs
+++ b/crates/wingfold-scale/src/counters.rs
@@ -1,4 +1,4 @@
-//! What hollow parts count of what they send and receive.
+//! What simulated parts count of what they send and receive.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -8,7 +8,7 @@
 
 impl Counter {
     /// Adds one.
-    pub fn one(&self) {
+    pub fn increment(&self) {
         self.add(1);
     }
 
@@ -23,10 +23,10 @@
     }
 }
 
-/// Calls and bytes, as the end counts them that is called or dialled by a director.
+/// Messages and bytes between a director and a peer, as the peer counts them.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// Calls, orders or messages from the director.
+    /// Calls, updates or other messages from the director.
     pub messages: Counter,
     /// Bytes from the director.
     pub bytes_in: Counter,
@@ -34,10 +34,10 @@
     pub bytes_out: Counter,
 }
 
-/// The figures of [`Traffic`] at one time.
+/// The counts of [`Traffic`] at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct TrafficCount {
-    /// Calls, orders or messages from the director.
+    /// Calls, updates or other messages from the director.
     pub messages: u64,
     /// Bytes from the director.
     pub bytes_in: u64,
@@ -46,7 +46,7 @@
 }
 
 impl Traffic {
-    /// The figures as they stand.
+    /// Returns the current counts.
     pub fn count(&self) -> TrafficCount {
         TrafficCount {
             messages: self.messages.get(),
--- a/crates/wingfold-scale/src/delays.rs
+++ b/crates/wingfold-scale/src/delays.rs
@@ -1,43 +1,48 @@
-//! Times from a change until somebody has it, and how they are spread.
+//! Delays from a change until somebody has it, and their distribution.
 
 use serde::Serialize;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Times of one kind, taken down by many tasks.
+/// Delays of one kind, recorded by many tasks.
 #[derive(Clone, Debug, Default)]
 pub struct Delays {
     microseconds: Arc<Mutex<Vec<u64>>>,
 }
 
-/// How times of one kind are spread, in milliseconds.
+/// The distribution of delays of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Spread {
-    /// How many there are.
+pub struct DelaySummary {
+    /// How many were recorded.
     pub count: usize,
-    /// Half of them are shorter.
+    /// The median.
     pub median_ms: f64,
-    /// 99 in 100 are shorter.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// The maximum.
     pub worst_ms: f64,
 }
 
 impl Delays {
-    /// Takes one down.
+    /// Records a delay.
     pub fn record(&self, delay: Duration) {
         let mut all = self.microseconds.lock().unwrap_or_else(PoisonError::into_inner);
         all.push(delay.as_micros() as u64);
     }
 
-    /// How they are spread.
-    pub fn spread(&self) -> Spread {
+    /// Summarizes the delays so far.
+    pub fn summary(&self) -> DelaySummary {
         let mut all = self.microseconds.lock().unwrap_or_else(PoisonError::into_inner).clone();
         all.sort_unstable();
-        let at = |share: f64| {
-            let place = (share * all.len() as f64).ceil() as usize;
+        let quantile = |ratio: f64| {
+            let place = (ratio * all.len() as f64).ceil() as usize;
             all.get(place.saturating_sub(1)).map_or(0.0, |microseconds| *microseconds as f64 / 1e3)
         };
-        Spread { count: all.len(), median_ms: at(0.5), p99_ms: at(0.99), worst_ms: at(1.0) }
+        DelaySummary {
+            count: all.len(),
+            median_ms: quantile(0.5),
+            p99_ms: quantile(0.99),
+            worst_ms: quantile(1.0),
+        }
     }
 }
--- a/crates/wingfold-scale/src/fleet.rs
+++ b/crates/wingfold-scale/src/fleet.rs
@@ -2,20 +2,19 @@
 
 use crate::counters::{Traffic, TrafficCount};
 use crate::deployment::{
-    configuration, lines_per_second, proxy_number, proxy_zone, reports_per_second, Addresses,
-    REQUESTS_PER_PROXY,
+    configuration, drain_rate_per_s, proxy_number, proxy_zone, reports_per_s, Addresses, REQUESTS_PER_PROXY,
 };
 use crate::discovery::Discovery;
+use crate::endpoint_list::EndpointList;
 use crate::faults::is_in_region;
-use crate::hollow::collector::Collector;
-use crate::hollow::director::{self, Controls, HollowDirector};
-use crate::hollow::host::{Host, Hosts};
-use crate::hollow::proxy::{Channel, Departures, Proxy, Tables};
-use crate::hollow::HollowError;
-use crate::list::HostList;
-use crate::measure;
-use crate::plan::{Plan, Sizes, COLLECTORS_PER_HOLLOW, PROXIES_PER_HOLLOW};
-use crate::real::{RealDirector, RealError};
+use crate::plan::{FleetSize, Plan, COLLECTORS_PER_SIMULATED_DIRECTOR, PROXIES_PER_SIMULATED_DIRECTOR};
+use crate::process_usage;
+use crate::real_director::{RealDirector, RealDirectorError};
+use crate::simulated::collector::Collector;
+use crate::simulated::director::{self, DirectorControls, SimulatedDirector};
+use crate::simulated::host::{Host, Hosts};
+use crate::simulated::proxy::{Departures, Proxy, ProxyTables, SendQueue};
+use crate::simulated::SimulationError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -26,28 +25,28 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Why a fleet is not whole.
+/// Why a fleet failed.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// An address cannot be listened at, or the folder for files cannot be made.
+    /// An address cannot be listened at, or the directory for files cannot be made.
     #[error("the fleet cannot be set up: {0}")]
     SetUp(#[from] io::Error),
     /// A real director has failed.
     #[error(transparent)]
-    Real(#[from] RealError),
-    /// A hollow part has ended.
+    Real(#[from] RealDirectorError),
+    /// A simulated part has ended.
     #[error(transparent)]
-    Hollow(#[from] HollowError),
-    /// A hollow part has panicked.
+    Simulated(#[from] SimulationError),
+    /// A simulated part has panicked.
     #[error("a hollow part has died: {0}")]
     Panic(#[from] tokio::task::JoinError),
-    /// A hollow part has ended, which none does by itself.
+    /// A simulated part has ended, which none does by itself.
     #[error("a hollow part has ended by itself")]
-    Over,
+    EndedUnexpectedly,
 }
 
-/// Orders that wait for less than this in a channel are the usual ones.
-const LITTLE_WAITS: Duration = Duration::from_millis(250);
+/// Updates that wait for less than this in a send queue count as idle.
+const MAX_IDLE_BACKLOG: Duration = Duration::from_millis(250);
 
 /// What passes between one real director and its clients.
 #[derive(Debug)]
@@ -56,17 +55,17 @@
     pub collectors: Arc<Traffic>,
     /// Counts of proxies.
     pub proxies: Arc<Traffic>,
-    /// The channel to the proxies.
-    pub channel: Arc<Channel>,
+    /// The send queue to the proxies.
+    pub send_queue: Arc<SendQueue>,
 }
 
 /// A real director and what is counted of it.
 #[derive(Debug)]
-pub struct RealPart {
+pub struct MeasuredDirector {
     /// Its process.
     pub process: RealDirector,
     /// Time from its start until it answered.
-    pub ready: Duration,
+    pub ready_after: Duration,
     /// Its clients.
     pub clients: Clients,
 }
@@ -74,60 +73,61 @@
 /// A running fleet. Directors are numbered, real ones first.
 #[derive(Debug)]
 pub struct Fleet {
-    sizes: Sizes,
+    fleet_size: FleetSize,
     seed: u64,
     addresses: Addresses,
-    folder: PathBuf,
+    directory: PathBuf,
     own_peak_descriptors: usize,
     ready_within: Duration,
     /// Discovery.
     pub discovery: Discovery,
     /// Hosts.
     pub hosts: Arc<Hosts>,
-    /// What hollow directors share.
-    pub shared: Arc<director::Fleet>,
-    /// Hollow directors.
-    pub hollow: Vec<Controls>,
+    /// The state that simulated directors share.
+    pub shared: Arc<director::SharedState>,
+    /// Simulated directors.
+    pub simulated: Vec<DirectorControls>,
     /// Real directors.
-    pub real: Vec<RealPart>,
-    /// Hosts that leave.
+    pub real: Vec<MeasuredDirector>,
+    /// The hosts that are leaving.
     pub departures: Arc<Departures>,
-    tables: Vec<Arc<Mutex<Tables>>>,
-    tasks: JoinSet<Result<(), HollowError>>,
+    tables: Vec<Arc<Mutex<ProxyTables>>>,
+    tasks: JoinSet<Result<(), SimulationError>>,
 }
 
 impl Fleet {
     /// Sets up hosts and discovery. Real directors will have so long to answer after a start.
     pub async fn set_up(plan: &Plan, ready_within: Duration) -> Result<Fleet, FleetError> {
-        let (sizes, addresses, mut tasks) = (plan.sizes, Addresses::of_this_process(), JoinSet::new());
-        let hosts = Arc::new(Hosts::new(&sizes));
-        let host_addresses = start_hosts(&sizes, &addresses, &hosts, &mut tasks).await?;
-        let list = HostList::new(&sizes, &host_addresses);
-        let (discovery, queue) = Discovery::new(&sizes, list);
+        let (fleet_size, addresses, mut tasks) =
+            (plan.fleet_size, Addresses::of_this_process(), JoinSet::new());
+        let hosts = Arc::new(Hosts::new(&fleet_size));
+        let host_addresses = start_hosts(&fleet_size, &addresses, &hosts, &mut tasks).await?;
+        let list = EndpointList::new(&fleet_size, &host_addresses);
+        let (discovery, queue) = Discovery::new(&fleet_size, list);
         tasks.spawn(async move {
             queue.await;
             Ok(())
         });
-        let shared = Arc::new(director::Fleet {
+        let shared = Arc::new(director::SharedState {
             discovery: discovery.clone(),
             hosts: host_addresses,
-            directors: sizes.directors,
+            directors: fleet_size.directors,
             list_delays: Default::default(),
             start_delays: Default::default(),
             move_delays: Default::default(),
         });
-        let folder = own_folder()?;
+        let directory = create_run_directory()?;
         Ok(Fleet {
-            sizes,
+            fleet_size,
             seed: plan.seed,
             addresses,
-            folder,
+            directory,
             own_peak_descriptors: 0,
             ready_within,
             discovery,
             hosts,
             shared,
-            hollow: Vec::new(),
+            simulated: Vec::new(),
             real: Vec::new(),
             departures: Arc::default(),
             tables: Vec::new(),
@@ -137,31 +137,32 @@
 
     /// Starts all directors, and their clients once the real ones answer.
     pub async fn start(&mut self, program: &Path) -> Result<(), FleetError> {
-        for director in 0..self.sizes.real_directors {
+        for director in 0..self.fleet_size.real_directors {
             self.start_real(program, director).await?;
         }
-        let mut hollow = Vec::new();
-        for director in self.sizes.real_directors..self.sizes.directors {
-            hollow.push((director, self.start_hollow(director).await?));
+        let mut simulated = Vec::new();
+        for director in self.fleet_size.real_directors..self.fleet_size.directors {
+            simulated.push((director, self.start_simulated(director).await?));
         }
-        for director in 0..self.sizes.real_directors {
-            self.real[director].ready = self.real[director].process.ready(self.ready_within).await?;
-            self.dial_real(director);
+        for director in 0..self.fleet_size.real_directors {
+            self.real[director].ready_after =
+                self.real[director].process.wait_until_ready(self.ready_within).await?;
+            self.connect_clients_of_real(director);
         }
-        for (director, address) in hollow {
-            self.dial_hollow(director, address);
+        for (director, address) in simulated {
+            self.connect_clients_of_simulated(director, address);
         }
         Ok(())
     }
 
     /// Fails if any part has ended.
-    pub fn check(&mut self) -> Result<(), FleetError> {
-        self.real.iter_mut().try_for_each(|real| real.process.check())?;
+    pub fn ensure_running(&mut self) -> Result<(), FleetError> {
+        self.real.iter_mut().try_for_each(|real| real.process.ensure_running())?;
         match self.tasks.try_join_next() {
             None => Ok(()),
             Some(ended) => {
                 ended??;
-                Err(FleetError::Over)
+                Err(FleetError::EndedUnexpectedly)
             }
         }
     }
@@ -173,7 +174,7 @@
 
     /// Measures all real directors and this process.
     pub fn measure(&mut self) -> Result<(), FleetError> {
-        let own = measure::usage(std::process::id()).map_err(RealError::from)?;
+        let own = process_usage::measure(std::process::id()).map_err(RealDirectorError::from)?;
         self.own_peak_descriptors = self.own_peak_descriptors.max(own.descriptors);
         for real in &mut self.real {
             real.process.measure()?;
@@ -181,39 +182,39 @@
         Ok(())
     }
 
-    /// Restarts directors: all the hollow ones at once, then the real ones.
-    pub async fn restart(&mut self, of: fn(usize) -> bool) -> Result<(), FleetError> {
-        let first_hollow = self.sizes.real_directors;
-        let hollow = self.hollow.iter().enumerate().filter(|(at, _)| of(first_hollow + at));
-        hollow.for_each(|(_, controls)| controls.starts.send_modify(|starts| *starts += 1));
-        for director in (0..first_hollow).filter(|director| of(*director)) {
-            self.discovery.forget(director);
+    /// Restarts directors: all the simulated ones at once, then the real ones.
+    pub async fn restart(&mut self, selects: fn(usize) -> bool) -> Result<(), FleetError> {
+        let first_simulated = self.fleet_size.real_directors;
+        let simulated = self.simulated.iter().enumerate().filter(|(at, _)| selects(first_simulated + at));
+        simulated.for_each(|(_, controls)| controls.starts.send_modify(|starts| *starts += 1));
+        for director in (0..first_simulated).filter(|director| selects(*director)) {
+            self.discovery.reset_delivered_version(director);
             self.real[director].process.restart().await?;
         }
-        for director in (0..first_hollow).filter(|director| of(*director)) {
-            self.real[director].process.ready(self.ready_within).await?;
+        for director in (0..first_simulated).filter(|director| selects(*director)) {
+            self.real[director].process.wait_until_ready(self.ready_within).await?;
         }
         Ok(())
     }
 
     /// Cuts the directors of the region off from discovery, or lets them through again.
     pub fn cut_region(&self, cut: bool) {
-        let region = (0..self.sizes.directors).filter(|director| is_in_region(*director));
+        let region = (0..self.fleet_size.directors).filter(|director| is_in_region(*director));
         region.for_each(|director| self.discovery.set_cut(director, cut));
     }
 
-    /// Moves discovery: every director is told another address of it.
+    /// Moves discovery: every director gets a new address of it.
     pub async fn move_discovery(&mut self) -> Result<(), FleetError> {
         let now = Instant::now();
-        for director in 0..self.sizes.directors {
-            let address = self.listen_for(director, Some(now)).await?;
-            match director.checked_sub(self.sizes.real_directors) {
-                Some(hollow) => {
-                    self.hollow[hollow].discovery.send_replace(address);
+        for director in 0..self.fleet_size.directors {
+            let address = self.start_discovery_listener(director, Some(now)).await?;
+            match director.checked_sub(self.fleet_size.real_directors) {
+                Some(simulated) => {
+                    self.simulated[simulated].discovery.send_replace(address);
                 }
                 None => {
                     let process = &self.real[director].process;
-                    let text = configuration(&self.sizes, director, self.seed, process.listen, address);
+                    let text = configuration(&self.fleet_size, director, self.seed, process.listen, address);
                     process.reload(&text.to_string())?;
                 }
             }
@@ -221,82 +222,87 @@
         Ok(())
     }
 
-    /// Directors that do not hold the list as it stands.
-    pub fn behind(&self) -> Vec<usize> {
+    /// Returns the directors that do not hold the current version of the list.
+    pub fn directors_behind(&self) -> Vec<usize> {
         let version = self.discovery.version();
-        let holds = |director: usize| match director.checked_sub(self.sizes.real_directors) {
-            Some(hollow) => self.hollow[hollow].version.load(Ordering::Relaxed),
+        let holds = |director: usize| match director.checked_sub(self.fleet_size.real_directors) {
+            Some(simulated) => self.simulated[simulated].version.load(Ordering::Relaxed),
             None => self.discovery.written_version(director),
         };
-        (0..self.sizes.directors).filter(|director| holds(*director) < version).collect()
+        (0..self.fleet_size.directors).filter(|director| holds(*director) < version).collect()
     }
 
-    /// Uses of these hosts by proxies of real directors.
+    /// Returns how many times these hosts are used by proxies of real directors.
     pub fn uses_of(&self, hosts: &[usize]) -> usize {
-        let uses = |tables: &Arc<Mutex<Tables>>| {
+        let uses = |tables: &Arc<Mutex<ProxyTables>>| {
             let tables = tables.lock().unwrap_or_else(PoisonError::into_inner);
             hosts.iter().filter(|host| tables.uses(**host)).count()
         };
         self.tables.iter().map(uses).sum()
     }
 
-    /// Proxies of real directors that hold tables.
-    pub fn bound_proxies(&self) -> usize {
-        let is_bound =
-            |tables: &&Arc<Mutex<Tables>>| !tables.lock().unwrap_or_else(PoisonError::into_inner).is_empty();
-        self.tables.iter().filter(is_bound).count()
+    /// Returns how many proxies of real directors hold tables.
+    pub fn proxies_with_tables(&self) -> usize {
+        let has_table = |tables: &&Arc<Mutex<ProxyTables>>| {
+            !tables.lock().unwrap_or_else(PoisonError::into_inner).is_empty()
+        };
+        self.tables.iter().filter(has_table).count()
     }
 
-    /// Whether the channels of all real directors are nearly empty.
-    pub fn channels_are_free(&self) -> bool {
-        self.real.iter().all(|real| real.clients.channel.backlog() < LITTLE_WAITS)
+    /// Returns whether the send queues of all real directors are nearly empty.
+    pub fn send_queues_are_idle(&self) -> bool {
+        self.real.iter().all(|real| real.clients.send_queue.backlog() < MAX_IDLE_BACKLOG)
     }
 
-    /// Proxies of real directors.
-    pub fn proxies(&self) -> usize {
+    /// Returns how many proxies real directors have.
+    pub fn proxy_count(&self) -> usize {
         self.tables.len()
     }
 
-    /// What passed between discovery and directors, together.
+    /// Returns the sum of what passed between discovery and these directors.
     pub fn discovery_traffic(&self, of: impl Iterator<Item = usize>) -> TrafficCount {
         of.map(|director| self.discovery.traffic(director).count())
             .fold(TrafficCount::default(), TrafficCount::plus)
     }
 
-    /// Ends all that was started, in every case all of it.
-    pub async fn end(mut self) -> Result<(), FleetError> {
+    /// Stops everything that was started, even if something fails to stop.
+    pub async fn stop(mut self) -> Result<(), FleetError> {
         self.tasks.shutdown().await;
-        let mut ended = Ok(());
+        let mut stopped = Ok(());
         for real in &mut self.real {
-            ended = ended.and(real.process.end().await);
+            stopped = stopped.and(real.process.stop().await);
         }
-        Ok(ended?)
+        Ok(stopped?)
     }
 
     async fn start_real(&mut self, program: &Path, director: usize) -> Result<(), FleetError> {
-        let discovery = self.listen_for(director, None).await?;
+        let discovery = self.start_discovery_listener(director, None).await?;
         let listen = wingfold_test_support::free_address(self.addresses.director(director));
-        let text = configuration(&self.sizes, director, self.seed, listen, discovery).to_string();
+        let text = configuration(&self.fleet_size, director, self.seed, listen, discovery).to_string();
         let name = format!("n{director}");
-        let process = RealDirector::start(program, &self.folder, name, listen, &text).await?;
-        let clients =
-            Clients { collectors: Arc::default(), proxies: Arc::default(), channel: self.channel() };
-        self.real.push(RealPart { process, ready: Duration::ZERO, clients });
+        let process = RealDirector::start(program, &self.directory, name, listen, &text).await?;
+        let clients = Clients {
+            collectors: Arc::default(),
+            proxies: Arc::default(),
+            send_queue: self.new_send_queue(),
+        };
+        self.real.push(MeasuredDirector { process, ready_after: Duration::ZERO, clients });
         Ok(())
     }
 
-    async fn start_hollow(&mut self, director: usize) -> Result<SocketAddr, FleetError> {
+    async fn start_simulated(&mut self, director: usize) -> Result<SocketAddr, FleetError> {
         let at = self.addresses.director(director);
-        let discovery = self.listen_for(director, None).await?;
+        let discovery = self.start_discovery_listener(director, None).await?;
         let listener = TcpListener::bind((at, 0)).await?;
         let address = listener.local_addr()?;
-        let (part, controls) = HollowDirector::new(director, at, discovery, self.shared.clone(), self.seed);
+        let (part, controls) =
+            SimulatedDirector::new(director, at, discovery, self.shared.clone(), self.seed);
         self.tasks.spawn(part.run(listener));
-        self.hollow.push(controls);
+        self.simulated.push(controls);
         Ok(address)
     }
 
-    async fn listen_for(
+    async fn start_discovery_listener(
         &mut self,
         director: usize,
         moved: Option<Instant>,
@@ -304,106 +310,113 @@
         let at = self.addresses.director(director);
         let (address, serving) = self.discovery.listen(at, director, moved).await?;
         let part = format!("discovery of director {director}");
-        self.tasks
-            .spawn(async move { serving.await.map_err(|problem| HollowError::Listener { part, problem }) });
+        self.tasks.spawn(async move {
+            serving.await.map_err(|problem| SimulationError::Listener { part, problem })
+        });
         Ok(address)
     }
 
-    /// Has all clients of a real director dial it.
-    fn dial_real(&mut self, director: usize) {
+    /// Starts all clients of a real director.
+    fn connect_clients_of_real(&mut self, director: usize) {
         let real = &self.real[director];
-        let (address, channel) = (real.process.listen, real.clients.channel.clone());
+        let (address, send_queue) = (real.process.listen, real.clients.send_queue.clone());
         let (collectors, proxies) = (real.clients.collectors.clone(), real.clients.proxies.clone());
-        for zone in 0..self.sizes.zones {
-            let collector = self.collector(address, zone, collectors.clone());
+        for zone in 0..self.fleet_size.zones {
+            let collector = self.new_collector(address, zone, collectors.clone());
             self.tasks.spawn(collector.run());
         }
-        for place in 0..self.sizes.proxies_per_director {
-            let mut proxy = self.proxy(director, address, place, &channel);
+        for place in 0..self.fleet_size.proxies_per_director {
+            let mut proxy = self.new_proxy(director, address, place, &send_queue);
             (proxy.traffic, proxy.departures) = (proxies.clone(), Some(self.departures.clone()));
             self.tables.push(proxy.tables.clone());
             self.tasks.spawn(proxy.run());
         }
     }
 
-    /// Has clients dial a hollow director: all of them the first one, a few each other.
-    fn dial_hollow(&mut self, director: usize, address: SocketAddr) {
-        let is_reference = director == self.sizes.real_directors;
+    /// Starts the clients of a simulated director: all of them for the first one, a few for each other.
+    fn connect_clients_of_simulated(&mut self, director: usize, address: SocketAddr) {
+        let is_reference = director == self.fleet_size.real_directors;
         let (collectors, proxies) = match is_reference {
-            true => (self.sizes.zones, self.sizes.proxies_per_director),
-            false => (COLLECTORS_PER_HOLLOW, PROXIES_PER_HOLLOW),
+            true => (self.fleet_size.zones, self.fleet_size.proxies_per_director),
+            false => (COLLECTORS_PER_SIMULATED_DIRECTOR, PROXIES_PER_SIMULATED_DIRECTOR),
         };
         for zone in 0..collectors {
-            let collector = self.collector(address, zone, Arc::default());
+            let collector = self.new_collector(address, zone, Arc::default());
             self.tasks.spawn(collector.run());
         }
-        let channel = self.channel();
+        let send_queue = self.new_send_queue();
         for place in 0..proxies {
-            let proxy = self.proxy(director, address, place, &channel);
+            let proxy = self.new_proxy(director, address, place, &send_queue);
             self.tasks.spawn(proxy.run());
         }
     }
 
-    fn collector(&self, director: SocketAddr, zone: usize, traffic: Arc<Traffic>) -> Collector {
-        let zones = self.sizes.zones as f64;
-        let requests = REQUESTS_PER_PROXY * self.sizes.proxies_per_director as f64 / zones;
+    fn new_collector(&self, director: SocketAddr, zone: usize, traffic: Arc<Traffic>) -> Collector {
+        let zones = self.fleet_size.zones as f64;
+        let requests = REQUESTS_PER_PROXY * self.fleet_size.proxies_per_director as f64 / zones;
         Collector {
             zone,
             director,
             traffic,
-            hosts: self.sizes.hosts,
-            lines_per_second: reports_per_second(&self.sizes) as f64 / zones,
-            requests_per_host: requests / self.sizes.hosts as f64,
-            silent: self.hosts.silence(zone),
+            hosts: self.fleet_size.hosts,
+            reports_per_s: reports_per_s(&self.fleet_size) as f64 / zones,
+            requests_per_host: requests / self.fleet_size.hosts as f64,
+            silent: self.hosts.subscribe_silence(zone),
         }
     }
 
-    fn channel(&self) -> Arc<Channel> {
-        Arc::new(Channel::new(lines_per_second(&self.sizes)))
+    fn new_send_queue(&self) -> Arc<SendQueue> {
+        Arc::new(SendQueue::new(drain_rate_per_s(&self.fleet_size)))
     }
 
-    /// A proxy of a director; nobody counts it or looks at its tables yet.
-    fn proxy(&self, director: usize, address: SocketAddr, place: usize, channel: &Arc<Channel>) -> Proxy {
-        let number = proxy_number(&self.sizes, director, place);
-        let zone = proxy_zone(&self.sizes, number);
+    /// Creates a proxy of a director. Its traffic and tables are not shared with anyone yet.
+    fn new_proxy(
+        &self,
+        director: usize,
+        address: SocketAddr,
+        place: usize,
+        send_queue: &Arc<SendQueue>,
+    ) -> Proxy {
+        let number = proxy_number(&self.fleet_size, director, place);
+        let zone = proxy_zone(&self.fleet_size, number);
         Proxy {
             number,
             zone,
             director: address,
-            channel: channel.clone(),
+            send_queue: send_queue.clone(),
             traffic: Arc::default(),
             departures: None,
-            tables: Arc::new(Mutex::new(Tables::new(self.sizes.hosts))),
-            silent: self.hosts.silence(zone),
+            tables: Arc::new(Mutex::new(ProxyTables::new(self.fleet_size.hosts))),
+            silent: self.hosts.subscribe_silence(zone),
         }
     }
 }
 
 impl Drop for Fleet {
-    /// Removes the files; processes that [`Fleet::end`] did not come to are killed by their handles.
+    /// Removes the files. Processes that [`Fleet::stop`] did not reach are killed by their handles.
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-/// A folder for the files of one run.
-fn own_folder() -> io::Result<PathBuf> {
+/// Creates a directory for the files of one run.
+fn create_run_directory() -> io::Result<PathBuf> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (process, run) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
-    let folder = std::env::temp_dir().join(format!("wingfold-scale-{process}-{run}"));
-    std::fs::create_dir_all(&folder)?;
-    Ok(folder)
+    let directory = std::env::temp_dir().join(format!("wingfold-scale-{process}-{run}"));
+    std::fs::create_dir_all(&directory)?;
+    Ok(directory)
 }
 
 async fn start_hosts(
-    sizes: &Sizes,
+    fleet_size: &FleetSize,
     addresses: &Addresses,
     hosts: &Arc<Hosts>,
-    tasks: &mut JoinSet<Result<(), HollowError>>,
+    tasks: &mut JoinSet<Result<(), SimulationError>>,
 ) -> io::Result<Vec<SocketAddr>> {
     let mut listening = Vec::new();
-    for number in 0..sizes.hosts {
-        let host = Host::listen(addresses.host(number), number, sizes, hosts.clone()).await?;
+    for number in 0..fleet_size.hosts {
+        let host = Host::listen(addresses.host(number), number, fleet_size, hosts.clone()).await?;
         listening.push(host.address()?);
         tasks.spawn(host.run());
     }
--- a/crates/wingfold-scale/src/http.rs
+++ b/crates/wingfold-scale/src/http.rs
@@ -5,31 +5,30 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
+use wingfold_test_support::http;
 
-/// A longer line in a head is none of this protocol.
-const LONGEST_LINE: u64 = 8 << 10;
+/// The longest line of a header that is read.
+const MAX_LINE_BYTES: u64 = 8 << 10;
 
 /// A request as it arrived.
 #[derive(Debug)]
 pub struct Request {
-    /// Its page, with the query.
-    pub page: String,
-    /// Bytes of the whole request.
+    /// The request target: path and query.
+    pub target: String,
+    /// The size of the request in bytes.
     pub bytes: u64,
 }
 
 impl Request {
-    /// A number of the query.
-    pub fn number(&self, key: &str) -> Option<u64> {
-        let (_, query) = self.page.split_once('?')?;
-        let value = query.split('&').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('='));
-        value?.parse().ok()
+    /// Returns the value of a number in the query.
+    pub fn query_number(&self, key: &str) -> Option<u64> {
+        http::query_number(&self.target, key)
     }
 }
 
 /// An answer as it arrived.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Its status.
     pub status: u16,
     /// Its body.
@@ -53,45 +52,45 @@
     }
 
     /// The next request; `None` once the other end has closed.
-    pub async fn request(&mut self) -> io::Result<Option<Request>> {
-        let Some(first) = self.line().await? else { return Ok(None) };
-        let page = first.split(' ').nth(1).ok_or(io::ErrorKind::InvalidData)?.to_string();
+    pub async fn read_request(&mut self) -> io::Result<Option<Request>> {
+        let Some(first) = self.read_line().await? else { return Ok(None) };
+        let target = first.split(' ').nth(1).ok_or(io::ErrorKind::InvalidData)?.to_string();
         let mut bytes = first.len() as u64;
         loop {
-            let line = self.line().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
+            let line = self.read_line().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
             bytes += line.len() as u64;
             if line == "\r\n" {
-                return Ok(Some(Request { page, bytes }));
+                return Ok(Some(Request { target, bytes }));
             }
         }
     }
 
-    /// Answers a request; gives the bytes written.
-    pub async fn answer(&mut self, status: &str, body: &str) -> io::Result<u64> {
-        let head = format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n", body.len());
-        self.writer.write_all(&[head.as_bytes(), body.as_bytes()].concat()).await?;
-        Ok((head.len() + body.len()) as u64)
+    /// Writes a response; returns its size in bytes.
+    pub async fn write_response(&mut self, status: &str, body: &str) -> io::Result<u64> {
+        let bytes = http::encode_response(status, body);
+        self.writer.write_all(&bytes).await?;
+        Ok(bytes.len() as u64)
     }
 
-    /// Gets a page.
-    pub async fn get(&mut self, page: &str, host: &str) -> io::Result<Answer> {
-        let request = format!("GET {page} HTTP/1.1\r\nhost: {host}\r\n\r\n");
+    /// Sends a GET request and reads its response.
+    pub async fn get(&mut self, target: &str, host: &str) -> io::Result<Response> {
+        let request = format!("GET {target} HTTP/1.1\r\nhost: {host}\r\n\r\n");
         self.writer.write_all(request.as_bytes()).await?;
-        let first = self.line().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
+        let first = self.read_line().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
         let status = first.split(' ').nth(1).and_then(|status| status.parse().ok());
         let status = status.ok_or(io::ErrorKind::InvalidData)?;
         let mut body = vec![0; self.content_length().await?];
         self.reader.read_exact(&mut body).await?;
-        Ok(Answer { status, body })
+        Ok(Response { status, body })
     }
 
     /// Ends when the other end closes; what arrives meanwhile is left where it is.
-    pub async fn closed(&mut self) {
+    pub async fn wait_until_closed(&mut self) {
         let _ = self.reader.fill_buf().await;
     }
 
     /// Passes over whatever arrives until the other end closes.
-    pub async fn drained(&mut self) {
+    pub async fn discard_until_closed(&mut self) {
         let _ = tokio::io::copy(&mut self.reader, &mut tokio::io::sink()).await;
     }
 
@@ -105,7 +104,7 @@
     async fn content_length(&mut self) -> io::Result<usize> {
         let mut length = 0;
         loop {
-            let line = self.line().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
+            let line = self.read_line().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
             if line == "\r\n" {
                 return Ok(length);
             }
@@ -115,10 +114,10 @@
         }
     }
 
-    /// A line with its end; `None` at the end of the connection.
-    async fn line(&mut self) -> io::Result<Option<String>> {
+    /// Reads a line with its end; `None` at the end of the connection.
+    async fn read_line(&mut self) -> io::Result<Option<String>> {
         let mut line = String::new();
-        let read = (&mut self.reader).take(LONGEST_LINE).read_line(&mut line).await?;
+        let read = (&mut self.reader).take(MAX_LINE_BYTES).read_line(&mut line).await?;
         match line.ends_with("\r\n") {
             true => Ok(Some(line)),
             false if read == 0 => Ok(None),
@@ -128,7 +127,7 @@
 }
 
 /// Dials within a time.
-pub async fn dial(
+pub async fn connect_within(
     socket: tokio::net::TcpSocket,
     to: std::net::SocketAddr,
     within: Duration,
--- a/crates/wingfold-scale/src/ladder.rs
+++ b/crates/wingfold-scale/src/ladder.rs
@@ -1,10 +1,10 @@
 //! The whole ladder: every step without a fault, then faults on one step, with a row for each in one table.
 
 use crate::faults::Fault;
-use crate::limits::Refusal;
+use crate::limits::PlanError;
 use crate::plan::{Plan, Step};
 use crate::report::Report;
-use crate::run::{Patience, Run};
+use crate::run::{Run, Timeouts};
 use crate::script::FaultPlan;
 use std::fmt;
 use std::path::PathBuf;
@@ -26,23 +26,23 @@
     /// The step they are played on.
     pub fault_step: Step,
     /// How long a fault lasts.
-    pub fault_lasts: Duration,
+    pub fault_duration: Duration,
 }
 
 impl Ladder {
-    /// Its runs in order; each is refused here, before the first is played, if its plan makes no sense.
-    pub fn runs(&self) -> Result<Vec<Run>, Refusal> {
+    /// Its runs in order; each is rejected here, before the first is played, if its plan is invalid.
+    pub fn runs(&self) -> Result<Vec<Run>, PlanError> {
         let steps = Step::ALL.iter().map(|step| (*step, Fault::None));
         let faults = self.faults.iter().map(|fault| (self.fault_step, *fault));
         steps.chain(faults).map(|(step, fault)| self.run(step, fault)).collect()
     }
 
-    fn run(&self, step: Step, fault: Fault) -> Result<Run, Refusal> {
+    fn run(&self, step: Step, fault: Fault) -> Result<Run, PlanError> {
         Ok(Run {
             plan: Plan::new(step, self.real_directors, self.duration, self.seed)?,
             program: self.program.clone(),
-            fault: FaultPlan { fault, lasts: self.fault_lasts },
-            patience: Patience::default(),
+            fault: FaultPlan { fault, duration: self.fault_duration },
+            timeouts: Timeouts::default(),
         })
     }
 }
@@ -83,21 +83,22 @@
 }
 
 fn write_row(f: &mut fmt::Formatter<'_>, report: &Report) -> fmt::Result {
-    let most = |of: fn(&crate::report::RealFigures) -> f64| report.real.iter().map(of).fold(0.0, f64::max);
+    let most =
+        |of: fn(&crate::report::DirectorMetrics) -> f64| report.real.iter().map(of).fold(0.0, f64::max);
     writeln!(
         f,
         "{:<22}{:>9}{:>7}{:>10.1}%{:>8.1} MiB{:>6.0}{:>17.0} ms{:>17.0} ms{:>9.0} ms{:>9}{:>10}{:>13.2}",
         format!("{}, {}", report.step, report.fault),
-        report.sizes.directors,
-        report.sizes.hosts,
+        report.fleet_size.directors,
+        report.fleet_size.hosts,
         100.0 * most(|real| real.processor_share),
         most(|real| real.peak_memory_mib),
         most(|real| real.peak_descriptors as f64),
-        report.delays.list_to_hollow.worst_ms,
+        report.delays.list_to_simulated.worst_ms,
         report.delays.list_to_proxies.worst_ms,
-        report.delays.configuration_to_hollow.worst_ms,
-        report.discovery.refused,
-        report.discovery.given_up,
-        report.probes.mean_per_host,
+        report.delays.configuration_to_simulated.worst_ms,
+        report.discovery.rejected,
+        report.discovery.abandoned,
+        report.health_checks.mean_per_host,
     )
 }
--- a/crates/wingfold-scale/src/limits.rs
+++ b/crates/wingfold-scale/src/limits.rs
@@ -1,10 +1,10 @@
-//! What the machine allows, and why a plan is refused.
+//! What the machine allows, and why a plan is rejected.
 
 use std::path::PathBuf;
 
 /// What the machine gives this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Machine {
+pub struct MachineLimits {
     /// All of its memory.
     pub memory_bytes: usize,
     /// Descriptors that this process may hold; never raised here.
@@ -13,13 +13,13 @@
 
 /// Why a run is not started.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum PlanError {
     /// Fewer or more real directors than the step has places for.
     #[error("{asked} real directors were asked for; this step takes 1 to {most}")]
     RealDirectors {
         /// As asked for.
         asked: usize,
-        /// As many as leave one hollow director.
+        /// As many as leave one simulated director.
         most: usize,
     },
     /// Too many processes.
@@ -74,13 +74,13 @@
 const LIMITS_FILE: &str = "/proc/self/limits";
 const LIMITS_LINE: &str = "Max open files";
 
-impl Machine {
+impl MachineLimits {
     /// Reads what this machine allows this process.
-    pub fn read() -> Result<Machine, LimitsError> {
+    pub fn read() -> Result<MachineLimits, LimitsError> {
         let missing = |path: &str, line| LimitsError::Line { path: path.into(), line };
         let memory = memory_bytes(&read(MEMORY_FILE)?).ok_or_else(|| missing(MEMORY_FILE, MEMORY_LINE))?;
         let open = open_files(&read(LIMITS_FILE)?).ok_or_else(|| missing(LIMITS_FILE, LIMITS_LINE))?;
-        Ok(Machine { memory_bytes: memory, descriptors: open })
+        Ok(MachineLimits { memory_bytes: memory, descriptors: open })
     }
 }
 
--- a/crates/wingfold-scale/src/messages.rs
+++ b/crates/wingfold-scale/src/messages.rs
@@ -1,142 +1,171 @@
-//! The messages at a director's address, as its clients write and read them.
+//! The messages between a director and its clients, as the clients write and read them.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
+use wingfold_test_support::frame;
 
-/// What a client writes.
+/// A message from a client to a director.
 #[derive(Debug, Serialize)]
-#[serde(tag = "type", rename_all = "UPPERCASE")]
+#[serde(tag = "type")]
 pub enum ClientMessage<'a> {
-    /// Asks for an answer.
+    /// Asks for a [`DirectorMessage::Pong`].
+    #[serde(rename = "PING")]
     Ping,
     /// A collector names its zone.
-    Source {
+    #[serde(rename = "SOURCE")]
+    CollectorHello {
         /// The zone.
-        site: &'a str,
+        #[serde(rename = "site")]
+        zone: &'a str,
     },
-    /// What a zone's proxies met at a host.
-    Load {
+    /// What the proxies of a zone saw of a host.
+    #[serde(rename = "LOAD")]
+    LoadReport {
         /// The zone.
-        site: &'a str,
+        #[serde(rename = "site")]
+        zone: &'a str,
         /// The host.
-        target: &'a str,
-        /// Tries.
-        count: u64,
-        /// Of these, failed ones.
-        fail: u64,
-        /// Mean time of the rest, in milliseconds.
-        mean: f64,
-        /// In so many milliseconds.
-        over: f64,
+        #[serde(rename = "target")]
+        host: &'a str,
+        /// All attempts.
+        #[serde(rename = "count")]
+        attempts: u64,
+        /// Failed attempts.
+        #[serde(rename = "fail")]
+        failed: u64,
+        /// Mean latency of the attempts that succeeded.
+        #[serde(rename = "mean")]
+        mean_latency_ms: f64,
+        /// The period that the report covers.
+        #[serde(rename = "over")]
+        period_ms: f64,
     },
     /// A proxy joins.
-    Subscribe {
-        /// Its number.
-        id: u32,
-        /// Its zone.
-        site: &'a str,
-        /// Its requests a second.
-        rps: f64,
-        /// Whether it holds no table.
-        new: bool,
+    #[serde(rename = "SUBSCRIBE")]
+    ProxyHello {
+        /// The proxy's number.
+        #[serde(rename = "id")]
+        proxy: u32,
+        /// The proxy's zone.
+        #[serde(rename = "site")]
+        zone: &'a str,
+        /// Requests that reach the proxy.
+        #[serde(rename = "rps")]
+        requests_per_s: f64,
+        /// Whether the proxy holds no table.
+        #[serde(rename = "new")]
+        is_new: bool,
     },
-    /// A proxy has applied a mark.
-    Ack {
-        /// Its number.
-        id: u32,
-        /// The mark.
-        seq: u64,
-        /// What that took, in milliseconds.
-        ms: f64,
+    /// A proxy has applied everything up to a barrier.
+    #[serde(rename = "ACK")]
+    Acknowledgement {
+        /// The proxy's number.
+        #[serde(rename = "id")]
+        proxy: u32,
+        /// The barrier.
+        #[serde(rename = "seq")]
+        barrier: u64,
+        /// How long that took.
+        #[serde(rename = "ms")]
+        elapsed_ms: f64,
     },
-    /// What came to a proxy of a class.
-    Rate {
-        /// Its number.
-        id: u32,
+    /// The requests of one class that reached a proxy.
+    #[serde(rename = "RATE")]
+    UsageReport {
+        /// The proxy's number.
+        #[serde(rename = "id")]
+        proxy: u32,
         /// The class.
-        lane: &'a str,
-        /// Requests.
-        count: u64,
-        /// Of these, ones that could not be served.
-        fail: u64,
-        /// In so many milliseconds.
-        over: f64,
+        #[serde(rename = "lane")]
+        class: &'a str,
+        /// All requests.
+        #[serde(rename = "count")]
+        requests: u64,
+        /// Requests that were admitted and failed.
+        #[serde(rename = "fail")]
+        failed: u64,
+        /// The period that the report covers.
+        #[serde(rename = "over")]
+        period_ms: f64,
     },
 }
 
-/// What a director writes.
+/// A message from a director to a client.
 #[derive(Debug, Deserialize)]
-#[serde(tag = "type", rename_all = "UPPERCASE")]
+#[serde(tag = "type")]
 pub enum DirectorMessage<'a> {
     /// The answer to [`ClientMessage::Ping`].
+    #[serde(rename = "PONG")]
     Pong,
-    /// A part of an order.
-    #[serde(borrow)]
-    Config(Order<'a>),
+    /// A part of an update for a proxy.
+    #[serde(rename = "CONFIG", borrow)]
+    ProxyUpdate(ProxyUpdatePart<'a>),
 }
 
-/// A part of an order.
+/// A part of an update for a proxy.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct Order<'a> {
-    /// The classes meant; all of them where none is named.
+pub struct ProxyUpdatePart<'a> {
+    /// The classes whose tables change; all of them if none is named.
     #[serde(borrow)]
     pub classes: Vec<Cow<'a, str>>,
-    /// The lines are the whole table.
-    pub whole: bool,
+    /// The entries are the complete table.
+    #[serde(rename = "whole")]
+    pub complete: bool,
     /// Hosts and their weights.
-    #[serde(borrow)]
-    pub lines: Vec<(Cow<'a, str>, f64)>,
-    /// Hosts to shut out.
-    #[serde(borrow)]
-    pub out: Vec<Cow<'a, str>>,
-    /// Hosts to let back.
-    #[serde(borrow)]
-    pub back: Vec<Cow<'a, str>>,
-    /// The level of the classes; a hollow proxy only counts it.
-    pub level: Option<f64>,
-    /// A mark to be answered.
-    pub ticket: Option<u64>,
-    /// A further part of the same message follows.
-    pub more: bool,
+    #[serde(rename = "lines", borrow)]
+    pub entries: Vec<(Cow<'a, str>, f64)>,
+    /// Hosts to eject.
+    #[serde(rename = "out", borrow)]
+    pub ejected: Vec<Cow<'a, str>>,
+    /// Hosts whose ejection ends.
+    #[serde(rename = "back", borrow)]
+    pub restored: Vec<Cow<'a, str>>,
+    /// The admission level of the classes; a simulated proxy only counts it.
+    #[serde(rename = "level")]
+    pub admission_level: Option<f64>,
+    /// A barrier that the proxy acknowledges.
+    #[serde(rename = "ticket")]
+    pub barrier: Option<u64>,
+    /// A further part of the same update follows.
+    #[serde(rename = "more")]
+    pub has_more: bool,
 }
 
-impl Order<'_> {
-    /// What the part counts in the channel: every line, host shut out or let back, level, mark and `whole`.
-    pub fn count(&self) -> usize {
-        let flags = [self.level.is_some(), self.ticket.is_some(), self.whole];
+impl ProxyUpdatePart<'_> {
+    /// Returns how many lines the part takes of the send queue: each entry, ejection, restored host, admission level,
+    /// barrier and `complete` is one.
+    pub fn line_count(&self) -> usize {
+        let flags = [self.admission_level.is_some(), self.barrier.is_some(), self.complete];
         let flags = flags.into_iter().filter(|is_set| *is_set).count();
-        self.lines.len() + self.out.len() + self.back.len() + flags
+        self.entries.len() + self.ejected.len() + self.restored.len() + flags
     }
 }
 
-/// Bytes of the length before a message.
-pub const HEAD: usize = 4;
-/// No message is longer.
-const LONGEST: usize = 1 << 20;
+/// No frame of the protocol is longer.
+const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// Appends a message with its length.
-pub fn write_frame(to: &mut Vec<u8>, message: &ClientMessage) {
-    let text = serde_json::to_vec(message).expect("a message is plain JSON");
-    to.extend_from_slice(&(text.len() as u32).to_be_bytes());
-    to.extend_from_slice(&text);
+/// Appends a message as a frame.
+pub fn append_frame(buffer: &mut Vec<u8>, message: &ClientMessage) {
+    let body = serde_json::to_vec(message).expect("a message is plain JSON");
+    frame::append(buffer, &body);
 }
 
-/// A message with its length.
-pub fn frame(message: &ClientMessage) -> Vec<u8> {
+/// Encodes a message as a frame.
+pub fn encode_frame(message: &ClientMessage) -> Vec<u8> {
     let mut bytes = Vec::new();
-    write_frame(&mut bytes, message);
+    append_frame(&mut bytes, message);
     bytes
 }
 
-/// Reads the next message's text into `body`.
+/// Reads the next frame's body.
 pub async fn read_frame(from: &mut (impl AsyncRead + Unpin), body: &mut Vec<u8>) -> io::Result<()> {
-    let mut head = [0; HEAD];
-    from.read_exact(&mut head).await?;
-    let length = u32::from_be_bytes(head) as usize;
-    if length > LONGEST {
+    let mut header = [0; frame::HEADER_BYTES];
+    from.read_exact(&mut header).await?;
+    let length = u32::from_be_bytes(header) as usize;
+    if length > MAX_FRAME_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
     body.resize(length, 0);
--- a/crates/wingfold-scale/src/plan.rs
+++ b/crates/wingfold-scale/src/plan.rs
@@ -1,45 +1,45 @@
 //! The sizes of a run, and what it takes of the machine.
 
-use crate::limits::{Machine, Refusal};
+use crate::limits::{MachineLimits, PlanError};
 use clap::ValueEnum;
 use std::fmt;
 use std::time::Duration;
 
-/// Sizes of the whole fleet, which the steps of the ladder are parts of.
-const WHOLE_DIRECTORS: usize = 480;
-const WHOLE_HOSTS: usize = 2_700;
-const WHOLE_ZONES: usize = 30;
+/// Size of the full fleet, of which the steps of the ladder are parts.
+const FULL_FLEET_DIRECTORS: usize = 480;
+const FULL_FLEET_HOSTS: usize = 2_700;
+const FULL_FLEET_ZONES: usize = 30;
 /// Proxies at one director, the same on every step: the fleet grows by directors.
 const PROXIES_PER_DIRECTOR: usize = 48;
-/// A fleet of one zone would leave all rules about zones out.
-const LEAST_ZONES: usize = 2;
+/// With a single zone, no rule about other zones would be exercised.
+const MIN_ZONES: usize = 2;
 
 /// Processes that a run may take, its own included.
-const MOST_PROCESSES: usize = 300;
+const MAX_PROCESSES: usize = 300;
 
-/// Proxies and collectors that dial each hollow director, but for the reference one, which is dialled in full. All of
+/// Proxies and collectors of each simulated director, except the reference one, which has all of them. All of
 /// them would take more descriptors than one process has, and touch nothing that is measured.
-pub const PROXIES_PER_HOLLOW: usize = 1;
-/// See [`PROXIES_PER_HOLLOW`].
-pub const COLLECTORS_PER_HOLLOW: usize = 1;
-
-/// Descriptors of a hollow director beside those that dial it: its listener, both ends of its connection to
-/// discovery, and both ends of two probes under way.
-const DESCRIPTORS_PER_HOLLOW: usize = 7;
-/// Connections to hosts that a real director keeps, at most: some 16 probes a second, each kept for 5 s, and a fifth.
-const PROBE_CONNECTIONS_PER_REAL: usize = 96;
+pub const PROXIES_PER_SIMULATED_DIRECTOR: usize = 1;
+/// See [`PROXIES_PER_SIMULATED_DIRECTOR`].
+pub const COLLECTORS_PER_SIMULATED_DIRECTOR: usize = 1;
+
+/// Descriptors of a simulated director besides those of its clients: its listener, both ends of its connection to
+/// discovery, and both ends of two health checks under way.
+const DESCRIPTORS_PER_SIMULATED_DIRECTOR: usize = 7;
+/// Connections to hosts that a real director keeps, at most: some 16 health checks a second, each kept for 5 s, and a fifth.
+const HOST_CONNECTIONS_PER_REAL_DIRECTOR: usize = 96;
 /// Descriptors of the process itself: its runtime, its output, logs of real directors, files of /proc.
-const DESCRIPTORS_FOR_ITSELF: usize = 64;
+const OWN_DESCRIPTORS: usize = 64;
 
 /// Memory limit that a real director is given, in MiB: that of scored deployments.
 pub const REAL_MEMORY_MIB: usize = 192;
 /// Descriptors that a real director is given.
 pub const REAL_DESCRIPTORS: usize = 1_024;
-/// Estimates of what hollow parts hold, in bytes: the tasks and buffers of a connection, a host in the list and in its
-/// answer, a figure kept for the report.
+/// Estimates of what simulated parts hold, in bytes: the tasks and buffers of a connection, a host in the list and in its
+/// answer, a measurement kept for the report.
 const BYTES_PER_CONNECTION: usize = 48 << 10;
 const BYTES_PER_LISTED_HOST: usize = 512;
-const BYTES_FOR_ITSELF: usize = 128 << 20;
+const OWN_MEMORY_BYTES: usize = 128 << 20;
 
 /// A step of the ladder: the part of the whole fleet that is played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
@@ -65,7 +65,7 @@
     /// All steps, the smallest first.
     pub const ALL: [Step; 5] = [Step::Sixteenth, Step::Eighth, Step::Quarter, Step::Half, Step::Whole];
 
-    /// The whole fleet divided by this is the step.
+    /// The full fleet divided by this is the step.
     fn divisor(self) -> usize {
         match self {
             Step::Sixteenth => 16,
@@ -91,10 +91,10 @@
     }
 }
 
-/// How many of each part are played.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
-pub struct Sizes {
-    /// Directors in all, real and hollow.
+pub struct FleetSize {
+    /// Directors in all, real and simulated.
     pub directors: usize,
     /// Of these, real ones.
     pub real_directors: usize,
@@ -102,29 +102,29 @@
     pub hosts: usize,
     /// Zones, each with one collector.
     pub zones: usize,
-    /// Proxies at each real director, and at the reference hollow one.
+    /// Proxies at each real director, and at the reference simulated one.
     pub proxies_per_director: usize,
 }
 
-impl Sizes {
+impl FleetSize {
     /// The sizes of a step.
-    pub fn of(step: Step, real_directors: usize) -> Sizes {
+    pub fn of_step(step: Step, real_directors: usize) -> FleetSize {
         let part = |whole: usize| whole.div_ceil(step.divisor());
-        Sizes {
-            directors: part(WHOLE_DIRECTORS),
+        FleetSize {
+            directors: part(FULL_FLEET_DIRECTORS),
             real_directors,
-            hosts: part(WHOLE_HOSTS),
-            zones: part(WHOLE_ZONES).max(LEAST_ZONES),
+            hosts: part(FULL_FLEET_HOSTS),
+            zones: part(FULL_FLEET_ZONES).max(MIN_ZONES),
             proxies_per_director: PROXIES_PER_DIRECTOR,
         }
     }
 
-    /// Hollow directors.
-    pub fn hollow_directors(&self) -> usize {
+    /// Simulated directors.
+    pub fn simulated_directors(&self) -> usize {
         self.directors - self.real_directors
     }
 
-    /// Connections that dial a director in full.
+    /// Connections of all clients of a director.
     pub fn clients_per_director(&self) -> usize {
         self.proxies_per_director + self.zones
     }
@@ -132,7 +132,7 @@
 
 /// What a run takes of the machine at most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
-pub struct Needs {
+pub struct ResourceEstimate {
     /// Processes, this one included.
     pub processes: usize,
     /// Descriptors of this process; each real director has its own.
@@ -147,96 +147,104 @@
     /// The step of the ladder.
     pub step: Step,
     /// What the step means in numbers.
-    pub sizes: Sizes,
+    pub fleet_size: FleetSize,
     /// How long the fleet is watched once it is up.
     pub duration: Duration,
-    /// For the script and for the hollow parts.
+    /// For the script and for the simulated parts.
     pub seed: u64,
 }
 
 impl Plan {
     /// A plan, or why it makes no sense.
-    pub fn new(step: Step, real_directors: usize, duration: Duration, seed: u64) -> Result<Plan, Refusal> {
-        let sizes = Sizes::of(step, real_directors);
-        let most = sizes.directors - 1;
+    pub fn new(step: Step, real_directors: usize, duration: Duration, seed: u64) -> Result<Plan, PlanError> {
+        let fleet_size = FleetSize::of_step(step, real_directors);
+        let most = fleet_size.directors - 1;
         if !(1..=most).contains(&real_directors) {
-            return Err(Refusal::RealDirectors { asked: real_directors, most });
+            return Err(PlanError::RealDirectors { asked: real_directors, most });
         }
-        Ok(Plan { step, sizes, duration, seed })
+        Ok(Plan { step, fleet_size, duration, seed })
     }
 
     /// What the run takes.
-    pub fn needs(&self) -> Needs {
-        let sizes = &self.sizes;
-        Needs {
-            processes: 1 + sizes.real_directors,
+    pub fn estimate(&self) -> ResourceEstimate {
+        let fleet_size = &self.fleet_size;
+        ResourceEstimate {
+            processes: 1 + fleet_size.real_directors,
             descriptors: self.descriptors(),
             memory_bytes: self.memory_bytes(),
         }
     }
 
     /// Refuses a run that would take more of the machine than it may.
-    pub fn check(&self, machine: &Machine) -> Result<Needs, Refusal> {
-        let needs = self.needs();
-        if needs.processes > MOST_PROCESSES {
-            return Err(Refusal::Processes { needed: needs.processes, allowed: MOST_PROCESSES });
+    pub fn check(&self, machine: &MachineLimits) -> Result<ResourceEstimate, PlanError> {
+        let estimate = self.estimate();
+        if estimate.processes > MAX_PROCESSES {
+            return Err(PlanError::Processes { needed: estimate.processes, allowed: MAX_PROCESSES });
         }
-        if needs.descriptors > machine.descriptors {
-            return Err(Refusal::Descriptors { needed: needs.descriptors, allowed: machine.descriptors });
+        if estimate.descriptors > machine.descriptors {
+            return Err(PlanError::Descriptors {
+                needed: estimate.descriptors,
+                allowed: machine.descriptors,
+            });
         }
         let allowed = machine.memory_bytes / 2;
-        if needs.memory_bytes > allowed {
-            return Err(Refusal::Memory { needed_mib: needs.memory_bytes >> 20, allowed_mib: allowed >> 20 });
+        if estimate.memory_bytes > allowed {
+            return Err(PlanError::Memory {
+                needed_mib: estimate.memory_bytes >> 20,
+                allowed_mib: allowed >> 20,
+            });
         }
-        Ok(needs)
+        Ok(estimate)
     }
 
     fn descriptors(&self) -> usize {
-        let sizes = &self.sizes;
+        let fleet_size = &self.fleet_size;
         let both_ends = 2;
-        let per_hollow = DESCRIPTORS_PER_HOLLOW + both_ends * (PROXIES_PER_HOLLOW + COLLECTORS_PER_HOLLOW);
-        let reference = both_ends * sizes.clients_per_director();
-        let per_real = 1 + sizes.clients_per_director() + PROBE_CONNECTIONS_PER_REAL.min(sizes.hosts);
+        let per_simulated = DESCRIPTORS_PER_SIMULATED_DIRECTOR
+            + both_ends * (PROXIES_PER_SIMULATED_DIRECTOR + COLLECTORS_PER_SIMULATED_DIRECTOR);
+        let reference = both_ends * fleet_size.clients_per_director();
+        let per_real =
+            1 + fleet_size.clients_per_director() + HOST_CONNECTIONS_PER_REAL_DIRECTOR.min(fleet_size.hosts);
         // One before discovery moves and one after.
-        let discovery_listeners = 2 * sizes.directors;
-        sizes.hollow_directors() * per_hollow
+        let discovery_listeners = 2 * fleet_size.directors;
+        fleet_size.simulated_directors() * per_simulated
             + reference
-            + sizes.real_directors * per_real
+            + fleet_size.real_directors * per_real
             + discovery_listeners
-            + sizes.hosts
-            + DESCRIPTORS_FOR_ITSELF
+            + fleet_size.hosts
+            + OWN_DESCRIPTORS
     }
 
     fn memory_bytes(&self) -> usize {
-        let list = self.sizes.hosts * BYTES_PER_LISTED_HOST;
-        self.sizes.real_directors * (REAL_MEMORY_MIB << 20)
+        let list = self.fleet_size.hosts * BYTES_PER_LISTED_HOST;
+        self.fleet_size.real_directors * (REAL_MEMORY_MIB << 20)
             + self.descriptors() * BYTES_PER_CONNECTION
-            + self.sizes.directors * list
-            + BYTES_FOR_ITSELF
+            + self.fleet_size.directors * list
+            + OWN_MEMORY_BYTES
     }
 }
 
 impl fmt::Display for Plan {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (sizes, needs) = (&self.sizes, self.needs());
+        let (fleet_size, estimate) = (&self.fleet_size, self.estimate());
         writeln!(
             f,
             "step {}: {} directors ({} real), {} hosts, {} zones, {} proxies at each real director, {} s, seed {}",
             self.step,
-            sizes.directors,
-            sizes.real_directors,
-            sizes.hosts,
-            sizes.zones,
-            sizes.proxies_per_director,
+            fleet_size.directors,
+            fleet_size.real_directors,
+            fleet_size.hosts,
+            fleet_size.zones,
+            fleet_size.proxies_per_director,
             self.duration.as_secs(),
             self.seed,
         )?;
         write!(
             f,
             "plan: {} processes, {} descriptors in this one, {} MiB of memory at most",
-            needs.processes,
-            needs.descriptors,
-            needs.memory_bytes >> 20
+            estimate.processes,
+            estimate.descriptors,
+            estimate.memory_bytes >> 20
         )
     }
 }
--- a/crates/wingfold-scale/src/measure.rs
+++ b/crates/wingfold-scale/src/process_usage.rs
@@ -24,7 +24,7 @@
         /// Why.
         problem: io::Error,
     },
-    /// A figure is missing.
+    /// A value is missing.
     #[error("process {pid} cannot be measured: /proc has no {figure}")]
     Missing {
         /// The process.
@@ -39,7 +39,7 @@
 const SYSTEM_TIME: usize = 12;
 
 /// Measures a process.
-pub fn usage(pid: u32) -> Result<Usage, MeasureError> {
+pub fn measure(pid: u32) -> Result<Usage, MeasureError> {
     let unreadable = |problem| MeasureError::Unreadable { pid, problem };
     let missing = |figure| MeasureError::Missing { pid, figure };
     let read = |file: &str| std::fs::read_to_string(format!("/proc/{pid}/{file}")).map_err(unreadable);
--- a/crates/wingfold-scale/src/real.rs
+++ b/crates/wingfold-scale/src/real_director.rs
@@ -1,7 +1,7 @@
 //! Real directors: processes that are started, watched and ended by their ids.
 
-use crate::measure::{self, MeasureError, Usage};
-use crate::messages::{frame, read_frame, ClientMessage, DirectorMessage};
+use crate::messages::{encode_frame, read_frame, ClientMessage, DirectorMessage};
+use crate::process_usage::{self, MeasureError, Usage};
 use rustix::process::{kill_process, Pid, Signal};
 use std::io;
 use std::net::SocketAddr;
@@ -13,16 +13,18 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Pause between two tries whether it answers.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// Pause between two attempts to ping it.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between SIGTERM and SIGKILL.
-const END_WITHIN: Duration = Duration::from_millis(700);
-/// Last lines of its log that an error shows.
-const LINES_SHOWN: usize = 3;
+const TERMINATION_GRACE_PERIOD: Duration = Duration::from_millis(700);
+/// Time for the answer to a ping.
+const PING_TIMEOUT: Duration = Duration::from_secs(1);
+/// How many of its last log lines an error shows.
+const LOG_LINES_SHOWN: usize = 3;
 
 /// What went wrong with a real director.
 #[derive(Debug, thiserror::Error)]
-pub enum RealError {
+pub enum RealDirectorError {
     /// The program cannot be started.
     #[error("{name}: {} cannot be started: {problem}", program.display())]
     Start {
@@ -71,7 +73,7 @@
         /// Why not.
         problem: io::Error,
     },
-    /// What it takes cannot be told.
+    /// Its resource usage cannot be read.
     #[error(transparent)]
     Measure(#[from] MeasureError),
 }
@@ -86,26 +88,26 @@
     config: PathBuf,
     log: PathBuf,
     child: Child,
-    /// What its processes before this one have taken.
-    before: Usage,
-    most: Usage,
+    /// The usage of its processes before this one.
+    previous: Usage,
+    peak: Usage,
 }
 
 impl RealDirector {
-    /// Starts a director in a folder for its files.
+    /// Starts a director in a directory for its files.
     pub async fn start(
         program: &Path,
-        folder: &Path,
+        directory: &Path,
         name: String,
         listen: SocketAddr,
         configuration: &str,
-    ) -> Result<RealDirector, RealError> {
-        let (config, log) = (folder.join(format!("{name}.json")), folder.join(format!("{name}.log")));
+    ) -> Result<RealDirector, RealDirectorError> {
+        let (config, log) = (directory.join(format!("{name}.json")), directory.join(format!("{name}.log")));
         write(&name, &config, configuration)?;
         write(&name, &log, "")?;
         let child = spawn(&name, program, &config, &log)?;
-        let (before, most) = (Usage::default(), Usage::default());
-        Ok(RealDirector { name, program: program.into(), listen, config, log, child, before, most })
+        let (previous, peak) = (Usage::default(), Usage::default());
+        Ok(RealDirector { name, program: program.into(), listen, config, log, child, previous, peak })
     }
 
     /// Its process.
@@ -113,45 +115,51 @@
         self.child.id()
     }
 
-    /// Waits until it answers, for so long at most; gives the time that took.
-    pub async fn ready(&mut self, within: Duration) -> Result<Duration, RealError> {
+    /// Waits until it answers a ping; returns how long that took.
+    pub async fn wait_until_ready(&mut self, within: Duration) -> Result<Duration, RealDirectorError> {
         let begun = Instant::now();
-        while !answers(self.listen).await {
-            self.check()?;
+        while !answers_ping(self.listen).await {
+            self.ensure_running()?;
             if begun.elapsed() > within {
-                return Err(RealError::NotReady { within, name: self.name.clone(), log: self.last_lines() });
+                return Err(RealDirectorError::NotReady {
+                    within,
+                    name: self.name.clone(),
+                    log: self.last_lines(),
+                });
             }
-            sleep(LOOK_AGAIN).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(begun.elapsed())
     }
 
-    /// Fails if it has ended by itself.
-    pub fn check(&mut self) -> Result<(), RealError> {
-        let problem = |problem| RealError::Unknown { name: self.name.clone(), problem };
+    /// Fails if its process has ended.
+    pub fn ensure_running(&mut self) -> Result<(), RealDirectorError> {
+        let problem = |problem| RealDirectorError::Unknown { name: self.name.clone(), problem };
         match self.child.try_wait().map_err(problem)? {
             None => Ok(()),
-            Some(status) => Err(RealError::Ended { name: self.name.clone(), status, log: self.last_lines() }),
+            Some(status) => {
+                Err(RealDirectorError::Ended { name: self.name.clone(), status, log: self.last_lines() })
+            }
         }
     }
 
-    /// Measures it; the peaks are those of all its processes so far.
-    pub fn measure(&mut self) -> Result<Usage, RealError> {
-        let Some(pid) = self.pid() else { return Ok(self.most) };
-        let now = measure::usage(pid)?;
-        self.most = Usage {
-            processor_s: self.before.processor_s + now.processor_s,
-            peak_memory_kib: self.most.peak_memory_kib.max(now.peak_memory_kib),
-            descriptors: self.most.descriptors.max(now.descriptors),
+    /// Measures its process. Sums and peaks cover all its processes so far.
+    pub fn measure(&mut self) -> Result<Usage, RealDirectorError> {
+        let Some(pid) = self.pid() else { return Ok(self.peak) };
+        let now = process_usage::measure(pid)?;
+        self.peak = Usage {
+            processor_s: self.previous.processor_s + now.processor_s,
+            peak_memory_kib: self.peak.peak_memory_kib.max(now.peak_memory_kib),
+            descriptors: self.peak.descriptors.max(now.descriptors),
         };
-        Ok(self.most)
+        Ok(self.peak)
     }
 
     /// Replaces its configuration and has it read the new one.
-    pub fn reload(&self, configuration: &str) -> Result<(), RealError> {
+    pub fn reload(&self, configuration: &str) -> Result<(), RealDirectorError> {
         let new = self.config.with_extension("new");
         write(&self.name, &new, configuration)?;
-        std::fs::rename(&new, &self.config).map_err(|problem| RealError::File {
+        std::fs::rename(&new, &self.config).map_err(|problem| RealDirectorError::File {
             name: self.name.clone(),
             path: self.config.clone(),
             problem,
@@ -160,48 +168,49 @@
         Ok(())
     }
 
-    /// Ends its process and starts it anew.
-    pub async fn restart(&mut self) -> Result<(), RealError> {
+    /// Stops its process and starts a new one.
+    pub async fn restart(&mut self) -> Result<(), RealDirectorError> {
         self.measure()?;
-        self.before = self.most;
-        self.end().await?;
+        self.previous = self.peak;
+        self.stop().await?;
         self.child = spawn(&self.name, &self.program, &self.config, &self.log)?;
         Ok(())
     }
 
-    /// Ends it: SIGTERM, SIGKILL if that is not heard, and waits for it.
-    pub async fn end(&mut self) -> Result<(), RealError> {
+    /// Stops it with SIGTERM, or with SIGKILL after the grace period, and waits for its end.
+    pub async fn stop(&mut self) -> Result<(), RealDirectorError> {
         self.signal(Signal::TERM);
-        let ended = timeout(END_WITHIN, self.child.wait()).await;
+        let ended = timeout(TERMINATION_GRACE_PERIOD, self.child.wait()).await;
         let status = match ended {
             Ok(status) => status.map(drop),
             Err(_) => self.child.kill().await,
         };
-        status.map_err(|problem| RealError::Unknown { name: self.name.clone(), problem })
+        status.map_err(|problem| RealDirectorError::Unknown { name: self.name.clone(), problem })
     }
 
     /// Sends a signal to its process, if it has one that was not waited for.
     fn signal(&self, signal: Signal) {
         let pid = self.child.id().and_then(|id| Pid::from_raw(id as i32));
-        // One that has just ended hears nothing more, and is waited for as others are.
+        // A process that has just ended is waited for like others.
         let _ = pid.map(|pid| kill_process(pid, signal));
     }
 
     fn last_lines(&self) -> String {
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = log.lines().collect();
-        lines[lines.len().saturating_sub(LINES_SHOWN)..].join(" | ")
+        lines[lines.len().saturating_sub(LOG_LINES_SHOWN)..].join(" | ")
     }
 }
 
-fn write(name: &str, path: &Path, text: &str) -> Result<(), RealError> {
-    let problem = |problem| RealError::File { name: name.into(), path: path.into(), problem };
+fn write(name: &str, path: &Path, text: &str) -> Result<(), RealDirectorError> {
+    let problem = |problem| RealDirectorError::File { name: name.into(), path: path.into(), problem };
     std::fs::write(path, text).map_err(problem)
 }
 
-fn spawn(name: &str, program: &Path, config: &Path, log: &Path) -> Result<Child, RealError> {
+fn spawn(name: &str, program: &Path, config: &Path, log: &Path) -> Result<Child, RealDirectorError> {
     let file = std::fs::OpenOptions::new().append(true).open(log);
-    let file = file.map_err(|problem| RealError::File { name: name.into(), path: log.into(), problem })?;
+    let file =
+        file.map_err(|problem| RealDirectorError::File { name: name.into(), path: log.into(), problem })?;
     Command::new(program)
         .env_clear()
         .env("GW_CONFIG", config)
@@ -210,18 +219,18 @@
         .stderr(file)
         .kill_on_drop(true)
         .spawn()
-        .map_err(|problem| RealError::Start { name: name.into(), program: program.into(), problem })
+        .map_err(|problem| RealDirectorError::Start { name: name.into(), program: program.into(), problem })
 }
 
-/// Whether a director answers a ping.
-async fn answers(listen: SocketAddr) -> bool {
+/// Returns whether a director answers a ping.
+async fn answers_ping(listen: SocketAddr) -> bool {
     let asked = async {
         let mut stream = TcpStream::connect(listen).await?;
-        stream.write_all(&frame(&ClientMessage::Ping)).await?;
+        stream.write_all(&encode_frame(&ClientMessage::Ping)).await?;
         let mut body = Vec::new();
         read_frame(&mut stream, &mut body).await?;
         let pong = matches!(serde_json::from_slice(&body), Ok(DirectorMessage::Pong));
         Ok::<bool, io::Error>(pong)
     };
-    timeout(Duration::from_secs(1), asked).await.is_ok_and(|answer| answer.unwrap_or(false))
+    timeout(PING_TIMEOUT, asked).await.is_ok_and(|answer| answer.unwrap_or(false))
 }
--- a/crates/wingfold-scale/src/run.rs
+++ b/crates/wingfold-scale/src/run.rs
@@ -1,9 +1,9 @@
 //! One run: the plan is checked, the fleet set up, the script played, and all that was started is ended.
 
 use crate::fleet::{Fleet, FleetError};
-use crate::limits::{LimitsError, Machine, Refusal};
-use crate::measure::MeasureError;
-use crate::plan::{Needs, Plan};
+use crate::limits::{LimitsError, MachineLimits, PlanError};
+use crate::plan::{Plan, ResourceEstimate};
+use crate::process_usage::MeasureError;
 use crate::report::Report;
 use crate::script::{FaultPlan, Script};
 use std::future::Future;
@@ -12,13 +12,13 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// Beyond start, script and settling a run takes no longer than this.
-const SPARE: Duration = Duration::from_secs(60);
-/// Pause between two looks at a condition.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+const RUN_MARGIN: Duration = Duration::from_secs(60);
+/// How often a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a run waits for what has to come.
+/// How long a run waits at most.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct Timeouts {
     /// For a real director to answer after its start.
     pub ready: Duration,
     /// For all directors to have the first list, and for the real ones' proxies to hold tables.
@@ -27,9 +27,9 @@
     pub settle: Duration,
 }
 
-impl Default for Patience {
-    fn default() -> Patience {
-        Patience {
+impl Default for Timeouts {
+    fn default() -> Timeouts {
+        Timeouts {
             ready: Duration::from_secs(30),
             start: Duration::from_secs(60),
             settle: Duration::from_secs(45),
@@ -46,8 +46,8 @@
     pub program: PathBuf,
     /// What goes wrong.
     pub fault: FaultPlan,
-    /// How long it waits.
-    pub patience: Patience,
+    /// How long it waits at most.
+    pub timeouts: Timeouts,
 }
 
 /// Why a run has no report.
@@ -55,7 +55,7 @@
 pub enum RunError {
     /// It would take too much.
     #[error(transparent)]
-    Refused(#[from] Refusal),
+    Rejected(#[from] PlanError),
     /// The machine does not tell its limits.
     #[error(transparent)]
     Limits(#[from] LimitsError),
@@ -68,7 +68,7 @@
     /// Directors never had the list.
     #[error(
         "{behind} directors (the first is number {first}) do not have version {version} of the list; \
-         the last calls of {refused} of them were refused by discovery"
+         the last calls of {rejected} of them were refused by discovery"
     )]
     Behind {
         /// How many.
@@ -77,8 +77,8 @@
         first: usize,
         /// The version.
         version: u64,
-        /// Of these, ones that discovery has refused.
-        refused: usize,
+        /// Of these, ones that discovery has rejected.
+        rejected: usize,
     },
     /// Proxies never had tables.
     #[error("{bound} of {proxies} proxies at real directors hold tables after {} s", after.as_secs())]
@@ -99,78 +99,79 @@
 }
 
 impl Run {
-    /// Plays the run; ends all that was started, in every case.
+    /// Plays the run, and stops all that was started in every case.
     pub async fn play(&self, interrupted: impl Future<Output = ()>) -> Result<Report, RunError> {
-        let needs = self.plan.check(&Machine::read()?)?;
-        let mut fleet = Fleet::set_up(&self.plan, self.patience.ready).await?;
-        let Patience { ready, start, settle } = self.patience;
-        let within = ready + start + self.plan.duration + settle + SPARE;
+        let estimate = self.plan.check(&MachineLimits::read()?)?;
+        let mut fleet = Fleet::set_up(&self.plan, self.timeouts.ready).await?;
+        let Timeouts { ready, start, settle } = self.timeouts;
+        let within = ready + start + self.plan.duration + settle + RUN_MARGIN;
         let played = tokio::select! {
-            played = timeout(within, self.play_with(&mut fleet, needs)) => {
+            played = timeout(within, self.play_fleet(&mut fleet, estimate)) => {
                 played.unwrap_or(Err(RunError::Overrun(within)))
             }
             () = interrupted => Err(RunError::Interrupted),
         };
-        let ended = fleet.end().await;
+        let stopped = fleet.stop().await;
         let report = played?;
-        ended?;
+        stopped?;
         Ok(report)
     }
 
-    async fn play_with(&self, fleet: &mut Fleet, needs: Needs) -> Result<Report, RunError> {
+    async fn play_fleet(&self, fleet: &mut Fleet, estimate: ResourceEstimate) -> Result<Report, RunError> {
         fleet.start(&self.program).await?;
         tracing::info!("all directors answer");
-        self.until_up(fleet).await?;
+        self.wait_until_up(fleet).await?;
         tracing::info!("all directors have the list, and the real ones' proxies tables");
         let baseline = self.baseline(fleet)?;
-        let mut script = Script::new(self.plan.sizes.hosts, self.plan.seed, self.plan.duration, self.fault);
+        let mut script =
+            Script::new(self.plan.fleet_size.hosts, self.plan.seed, self.plan.duration, self.fault);
         script.play_steady(fleet).await?;
-        let compared = self.compared(fleet, &baseline);
+        let comparisons = self.comparisons(fleet, &baseline);
         script.play_to_end(fleet).await?;
-        let report = self.report(fleet, &baseline, needs, (script.changes(), compared))?;
-        self.until_settled(fleet).await?;
+        let report = self.report(fleet, &baseline, estimate, script.changes(), comparisons)?;
+        self.wait_until_settled(fleet).await?;
         Ok(self.with_delays(report, fleet))
     }
 
     /// Waits until all directors have the list, and the real ones' proxies tables.
-    async fn until_up(&self, fleet: &mut Fleet) -> Result<(), RunError> {
+    async fn wait_until_up(&self, fleet: &mut Fleet) -> Result<(), RunError> {
         let begun = Instant::now();
         loop {
-            fleet.check()?;
-            let (behind, bound) = (fleet.behind(), fleet.bound_proxies());
-            if behind.is_empty() && bound == fleet.proxies() && fleet.channels_are_free() {
+            fleet.ensure_running()?;
+            let (behind, bound) = (fleet.directors_behind(), fleet.proxies_with_tables());
+            if behind.is_empty() && bound == fleet.proxy_count() && fleet.send_queues_are_idle() {
                 return Ok(());
             }
-            if begun.elapsed() > self.patience.start {
-                still_behind(fleet, &behind)?;
-                let (after, proxies) = (self.patience.start, fleet.proxies());
+            if begun.elapsed() > self.timeouts.start {
+                fail_if_behind(fleet, &behind)?;
+                let (after, proxies) = (self.timeouts.start, fleet.proxy_count());
                 return Err(RunError::Unbound { after, bound, proxies });
             }
-            sleep(LOOK_AGAIN).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Waits until all directors have the list as it is at the end.
-    async fn until_settled(&self, fleet: &mut Fleet) -> Result<(), RunError> {
+    async fn wait_until_settled(&self, fleet: &mut Fleet) -> Result<(), RunError> {
         let begun = Instant::now();
         loop {
-            fleet.check()?;
-            let behind = fleet.behind();
+            fleet.ensure_running()?;
+            let behind = fleet.directors_behind();
             if behind.is_empty() {
                 return Ok(());
             }
-            if begun.elapsed() > self.patience.settle {
-                return still_behind(fleet, &behind);
+            if begun.elapsed() > self.timeouts.settle {
+                return fail_if_behind(fleet, &behind);
             }
-            sleep(LOOK_AGAIN).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Fails if directors are behind.
-fn still_behind(fleet: &Fleet, behind: &[usize]) -> Result<(), RunError> {
+/// Fails if directors do not hold the current list.
+fn fail_if_behind(fleet: &Fleet, behind: &[usize]) -> Result<(), RunError> {
     let Some(first) = behind.first() else { return Ok(()) };
-    let refused = behind.iter().filter(|director| fleet.discovery.was_refused(**director)).count();
+    let rejected = behind.iter().filter(|director| fleet.discovery.was_rejected(**director)).count();
     let version = fleet.discovery.version();
-    Err(RunError::Behind { behind: behind.len(), first: *first, version, refused })
+    Err(RunError::Behind { behind: behind.len(), first: *first, version, rejected })
 }
--- a/crates/wingfold-scale/src/script.rs
+++ b/crates/wingfold-scale/src/script.rs
@@ -1,8 +1,8 @@
 //! What happens in a run, and when: changes of the list, one fault, and the move of discovery.
 
+use crate::endpoint_list::{HostChange, HostState};
 use crate::faults::{self, Fault};
 use crate::fleet::{Fleet, FleetError};
-use crate::list::HostState;
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -11,16 +11,16 @@
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
 /// Time between two changes of the list.
-const CHANGE_EVERY: Duration = Duration::from_secs(1);
+const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
 /// Changes that a host stays away for.
 const AWAY_CHANGES: usize = 10;
-/// The parts of a run are looked at this often.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// Looks between two measures of the real directors.
-const LOOKS_PER_MEASURE: u32 = 5;
+/// How often the script advances and the fleet is checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// Ticks between two measurements of the real directors.
+const TICKS_PER_MEASUREMENT: u32 = 5;
 /// When the fault begins, and when discovery moves, as shares of the run.
-const FAULT_AT: f64 = 0.25;
-const MOVE_AT: f64 = 0.75;
+const FAULT_START_RATIO: f64 = 0.25;
+const DISCOVERY_MOVE_RATIO: f64 = 0.75;
 /// The zone that `zone-silent` silences.
 const SILENT_ZONE: usize = 0;
 
@@ -30,7 +30,7 @@
     /// Which one.
     pub fault: Fault,
     /// How long it lasts.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// The script of one run.
@@ -39,14 +39,14 @@
     fault: FaultPlan,
     duration: Duration,
     /// Hosts in the order in which they leave.
-    next: VecDeque<usize>,
+    departure_order: VecDeque<usize>,
     /// Hosts that are away, the one that left first in front.
     away: VecDeque<usize>,
     changes: u64,
     phase: Phase,
     has_moved: bool,
     begun: Option<Instant>,
-    looks: u32,
+    ticks_done: u32,
 }
 
 /// Where the fault stands.
@@ -65,20 +65,21 @@
         Script {
             fault,
             duration,
-            next: order.into(),
+            departure_order: order.into(),
             away: VecDeque::new(),
             changes: 0,
             phase: Phase::Before,
             has_moved: false,
             begun: None,
-            looks: 0,
+            ticks_done: 0,
         }
     }
 
     /// Plays it for as long as no director waits for discovery: until it moves or goes down. After that chance has the
     /// greatest part in who gets a list when.
     pub async fn play_steady(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let steady = if self.fault.fault == Fault::DiscoveryDown { FAULT_AT } else { MOVE_AT };
+        let steady =
+            if self.fault.fault == Fault::DiscoveryDown { FAULT_START_RATIO } else { DISCOVERY_MOVE_RATIO };
         self.play_until(self.duration.mul_f64(steady), fleet).await
     }
 
@@ -94,15 +95,15 @@
 
     async fn play_until(&mut self, end: Duration, fleet: &mut Fleet) -> Result<(), FleetError> {
         let begun = *self.begun.get_or_insert_with(Instant::now);
-        let mut ticks = interval(LOOK_EVERY);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         while begun.elapsed() < end {
             self.advance(begun.elapsed(), fleet).await?;
-            fleet.check()?;
-            if self.looks.is_multiple_of(LOOKS_PER_MEASURE) {
+            fleet.ensure_running()?;
+            if self.ticks_done.is_multiple_of(TICKS_PER_MEASUREMENT) {
                 fleet.measure()?;
             }
-            self.looks += 1;
+            self.ticks_done += 1;
             ticks.tick().await;
         }
         Ok(())
@@ -110,10 +111,10 @@
 
     /// Does what is due.
     async fn advance(&mut self, at: Duration, fleet: &mut Fleet) -> Result<(), FleetError> {
-        if at >= CHANGE_EVERY * self.changes as u32 {
-            self.change(fleet);
+        if at >= CHANGE_INTERVAL * self.changes as u32 {
+            self.change_list(fleet);
         }
-        let begins = self.duration.mul_f64(FAULT_AT);
+        let begins = self.duration.mul_f64(FAULT_START_RATIO);
         match self.phase {
             Phase::Before if self.fault.fault == Fault::None => self.phase = Phase::After,
             Phase::Before if at >= begins => {
@@ -121,14 +122,14 @@
                 tracing::info!(fault = %self.fault.fault, "fault begins");
                 begin(self.fault.fault, fleet).await?;
             }
-            Phase::During if at >= begins + self.fault.lasts => {
+            Phase::During if at >= begins + self.fault.duration => {
                 self.phase = Phase::After;
                 tracing::info!(fault = %self.fault.fault, "fault ends");
                 end(self.fault.fault, fleet);
             }
             _ => {}
         }
-        if !self.has_moved && at >= self.duration.mul_f64(MOVE_AT) {
+        if !self.has_moved && at >= self.duration.mul_f64(DISCOVERY_MOVE_RATIO) {
             self.has_moved = true;
             tracing::info!("discovery moves");
             fleet.move_discovery().await?;
@@ -137,18 +138,18 @@
     }
 
     /// One host leaves, and the one that has been away longest is back.
-    fn change(&mut self, fleet: &Fleet) {
+    fn change_list(&mut self, fleet: &Fleet) {
         let mut changes = Vec::new();
-        if let Some(leaves) = self.next.pop_front() {
+        if let Some(leaves) = self.departure_order.pop_front() {
             self.away.push_back(leaves);
-            fleet.departures.begin(leaves);
-            changes.push((leaves, HostState::Leaving, 0));
+            fleet.departures.host_leaves(leaves);
+            changes.push(HostChange { host: leaves, state: HostState::Leaving, started_ms: 0 });
         }
         let is_back = self.away.len() > AWAY_CHANGES || changes.is_empty();
         if let Some(back) = if is_back { self.away.pop_front() } else { None } {
-            fleet.departures.end(back);
-            self.next.push_back(back);
-            changes.push((back, HostState::Active, unix_ms()));
+            fleet.departures.host_returns(back);
+            self.departure_order.push_back(back);
+            changes.push(HostChange { host: back, state: HostState::Active, started_ms: unix_ms() });
         }
         fleet.discovery.change(&changes);
         self.changes += 1;
--- a/crates/wingfold-scale/tests/parts.rs
+++ b/crates/wingfold-scale/tests/parts.rs
@@ -4,33 +4,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpStream;
-use wingfold_scale::compare::{compare, Kind};
+use wingfold_scale::compare::{compare, DirectorGroup};
 use wingfold_scale::counters::TrafficCount;
 use wingfold_scale::delays::Delays;
 use wingfold_scale::deployment::host_zone;
 use wingfold_scale::discovery::Discovery;
-use wingfold_scale::hollow::host::{Host, Hosts};
-use wingfold_scale::hollow::proxy::Tables;
-use wingfold_scale::http::{Answer, Connection};
-use wingfold_scale::list::{HostList, HostState};
-use wingfold_scale::measure::{peak_memory_kib, processor_ticks};
-use wingfold_scale::messages::{DirectorMessage, Order};
-use wingfold_scale::plan::{Sizes, Step};
+use wingfold_scale::endpoint_list::{EndpointList, HostChange, HostState};
+use wingfold_scale::http::{Connection, Response};
+use wingfold_scale::messages::{DirectorMessage, ProxyUpdatePart};
+use wingfold_scale::plan::{FleetSize, Step};
+use wingfold_scale::process_usage::{peak_memory_kib, processor_ticks};
+use wingfold_scale::simulated::host::{Host, Hosts};
+use wingfold_scale::simulated::proxy::ProxyTables;
 
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-fn sizes() -> Sizes {
-    Sizes::of(Step::Sixteenth, 2)
+fn fleet_size() -> FleetSize {
+    FleetSize::of_step(Step::Sixteenth, 2)
 }
 
-fn list() -> HostList {
-    HostList::new(&sizes(), &vec![SocketAddr::new(LOOPBACK, 1); sizes().hosts])
+fn list() -> EndpointList {
+    EndpointList::new(&fleet_size(), &vec![SocketAddr::new(LOOPBACK, 1); fleet_size().hosts])
 }
 
-fn order(text: &str) -> Order<'_> {
+fn change(host: usize, state: HostState, started_ms: u64) -> HostChange {
+    HostChange { host, state, started_ms }
+}
+
+fn update(text: &str) -> ProxyUpdatePart<'_> {
     match serde_json::from_str(text).unwrap() {
-        DirectorMessage::Config(order) => order,
-        DirectorMessage::Pong => panic!("an order is expected"),
+        DirectorMessage::ProxyUpdate(update) => update,
+        DirectorMessage::Pong => panic!("an update is expected"),
     }
 }
 
@@ -45,67 +49,77 @@
 #[test]
 fn a_spread_has_its_median_its_99_in_100_and_its_worst() {
     let delays = Delays::default();
-    assert_eq!(delays.spread().worst_ms, 0.0);
+    assert_eq!(delays.summary().worst_ms, 0.0);
     (1..=200).rev().for_each(|ms| delays.record(Duration::from_millis(ms)));
-    let spread = delays.spread();
-    assert_eq!((spread.count, spread.median_ms, spread.p99_ms, spread.worst_ms), (200, 100.0, 198.0, 200.0));
+    let summary = delays.summary();
+    assert_eq!(
+        (summary.count, summary.median_ms, summary.p99_ms, summary.worst_ms),
+        (200, 100.0, 198.0, 200.0)
+    );
 }
 
 #[test]
 fn the_list_answers_with_changes_or_as_a_whole() {
     let mut list = list();
-    let whole = list.answer(None);
-    assert_eq!((whole.version, whole.entries), (1, sizes().hosts));
+    let whole = list.response(None);
+    assert_eq!((whole.version, whole.entries), (1, fleet_size().hosts));
     assert!(whole.text.starts_with(r#"{"version":1,"full":true,"servers":[{"id":"s-00000","#));
     assert!(!list.is_newer_than(Some(1)));
-    assert_eq!(list.change(&[(3, HostState::Leaving, 0), (5, HostState::Active, 12)]), 2);
-    let changes = list.answer(Some(1));
+    assert_eq!(list.change(&[change(3, HostState::Leaving, 0), change(5, HostState::Active, 12)]), 2);
+    let changes = list.response(Some(1));
     assert!(changes.text.starts_with(r#"{"version":2,"full":false,"#) && changes.entries == 2);
-    let every: Vec<_> = (0..sizes().hosts).map(|host| (host, HostState::Active, 0)).collect();
+    let every: Vec<_> = (0..fleet_size().hosts).map(|host| change(host, HostState::Active, 0)).collect();
     list.change(&every);
-    assert!(list.answer(Some(2)).text.contains(r#""full":true"#), "the whole list is shorter to say");
+    assert!(list.response(Some(2)).text.contains(r#""full":true"#), "the whole list is shorter to say");
 }
 
 #[test]
 fn a_hollow_proxys_tables_follow_orders_and_tell_which_hosts_go_out_of_use() {
-    let mut tables = Tables::new(4);
+    let mut tables = ProxyTables::new(4);
     let whole =
         r#"{"type":"CONFIG","whole":true,"lines":[["s-00000",1.5],["s-00001",0.2]],"level":0.9,"retry":1}"#;
-    assert_eq!(tables.apply(&order(whole)), Ok(vec![]));
+    assert_eq!(tables.apply(&update(whole)), Ok(vec![]));
     let one_class = r#"{"type":"CONFIG","classes":["lookup"],"lines":[["s-00000",0],["s-00002",1.0]]}"#;
-    assert_eq!(tables.apply(&order(one_class)), Ok(vec![]), "the other class still uses it");
+    assert_eq!(tables.apply(&update(one_class)), Ok(vec![]), "the other class still uses it");
     let other = r#"{"type":"CONFIG","classes":["order"],"lines":[["s-00000",0]],"ticket":7}"#;
-    assert_eq!(tables.apply(&order(other)), Ok(vec![0]));
-    assert_eq!(tables.apply(&order(r#"{"type":"CONFIG","out":["s-00001"]}"#)), Ok(vec![1]));
-    assert_eq!(tables.apply(&order(r#"{"type":"CONFIG","back":["s-00001"]}"#)), Ok(vec![]));
+    assert_eq!(tables.apply(&update(other)), Ok(vec![0]));
+    assert_eq!(tables.apply(&update(r#"{"type":"CONFIG","out":["s-00001"]}"#)), Ok(vec![1]));
+    assert_eq!(tables.apply(&update(r#"{"type":"CONFIG","back":["s-00001"]}"#)), Ok(vec![]));
     assert_eq!(tables.len(), 2);
-    assert!(tables.apply(&order(r#"{"type":"CONFIG","lines":[["s-00009",1]]}"#)).is_err());
-    assert!(tables.apply(&order(r#"{"type":"CONFIG","classes":["other"]}"#)).is_err());
+    assert!(tables.apply(&update(r#"{"type":"CONFIG","lines":[["s-00009",1]]}"#)).is_err());
+    assert!(tables.apply(&update(r#"{"type":"CONFIG","classes":["other"]}"#)).is_err());
 }
 
 #[test]
 fn an_orders_lines_count_as_in_the_channel() {
     let whole =
         r#"{"type":"CONFIG","whole":true,"lines":[["s-00000",1.5]],"level":0.9,"retry":1,"more":true}"#;
-    assert_eq!((order(whole).count(), order(whole).more), (3, true), "a line, a level and the whole");
+    assert_eq!(
+        (update(whole).line_count(), update(whole).has_more),
+        (3, true),
+        "a line, a level and the whole"
+    );
     let rest = r#"{"type":"CONFIG","classes":["order"],"out":["s-00001"],"back":["s-00002"],"ticket":9}"#;
-    assert_eq!((order(rest).count(), order(rest).more), (3, false));
+    assert_eq!((update(rest).line_count(), update(rest).has_more), (3, false));
 }
 
 #[test]
 fn hollow_directors_that_do_as_real_ones_compare_well_and_others_do_not() {
-    let kind = |directors: u64, calls: u64, probes: u64| Kind {
+    let kind = |directors: u64, calls: u64, health_checks: u64| DirectorGroup {
         directors: directors as usize,
         discovery: TrafficCount {
             messages: directors * calls,
             bytes_in: directors * 90,
             bytes_out: directors * 900,
         },
-        probers: directors as usize,
-        probes: directors * probes,
+        checking_directors: directors as usize,
+        health_checks: directors * health_checks,
     };
-    let holds = |hollow: Kind| -> Vec<bool> {
-        compare(&kind(2, 100, 10_000), &hollow).iter().map(|compared| compared.holds()).collect()
+    let holds = |simulated: DirectorGroup| -> Vec<bool> {
+        compare(&kind(2, 100, 10_000), &simulated)
+            .iter()
+            .map(|comparison| comparison.is_within_tolerance())
+            .collect()
     };
     assert_eq!(holds(kind(28, 108, 10_900)), [true; 4]);
     assert_eq!(holds(kind(28, 112, 10_000)), [false, true, true, true]);
@@ -114,18 +128,18 @@
 
 /// A discovery of the smallest step's list, served on sockets, and a connection of director 0 to it.
 async fn served() -> (Discovery, Connection, SocketAddr) {
-    let (discovery, queue) = Discovery::new(&sizes(), list());
+    let (discovery, queue) = Discovery::new(&fleet_size(), list());
     tokio::spawn(queue);
     let (address, serving) = discovery.listen(LOOPBACK, 0, None).await.unwrap();
     tokio::spawn(serving);
-    (discovery, dial(address).await, address)
+    (discovery, connect(address).await, address)
 }
 
-async fn dial(address: SocketAddr) -> Connection {
+async fn connect(address: SocketAddr) -> Connection {
     Connection::new(TcpStream::connect(address).await.unwrap())
 }
 
-async fn get(connection: &mut Connection, page: &str) -> Answer {
+async fn get(connection: &mut Connection, page: &str) -> Response {
     connection.get(page, "discovery").await.unwrap()
 }
 
@@ -138,7 +152,7 @@
     while discovery.traffic(0).count().messages < 2 {
         tokio::task::yield_now().await;
     }
-    discovery.change(&[(3, HostState::Leaving, 0)]);
+    discovery.change(&[change(3, HostState::Leaving, 0)]);
     let answer = watch.await.unwrap();
     let body = String::from_utf8(answer.body).unwrap();
     assert!(body.starts_with(r#"{"version":2,"full":false,"#) && body.contains("leaving"), "{body}");
@@ -155,12 +169,12 @@
     }
     discovery.set_down(true);
     assert_eq!(watch.await.unwrap().status, 503);
-    let mut another = dial(address).await;
+    let mut another = connect(address).await;
     assert_eq!(get(&mut another, "/v1/endpoints").await.status, 503);
-    assert!(discovery.was_refused(0));
+    assert!(discovery.was_rejected(0));
     discovery.set_down(false);
     assert_eq!(get(&mut another, "/v1/endpoints").await.status, 200);
-    assert_eq!((discovery.refused(0), discovery.was_refused(0)), (2, false));
+    assert_eq!((discovery.rejected(0), discovery.was_rejected(0)), (2, false));
 }
 
 #[tokio::test]
@@ -174,13 +188,13 @@
         let _ = tokio::time::timeout(Duration::from_millis(1), &mut watch).await;
     }
     drop(watch);
-    while discovery.given_up(0) < 1 {
+    while discovery.abandoned(0) < 1 {
         tokio::task::yield_now().await;
     }
-    discovery.change(&[(3, HostState::Leaving, 0)]);
+    discovery.change(&[change(3, HostState::Leaving, 0)]);
     assert_eq!(discovery.written_version(0), 0);
-    assert_eq!(get(&mut dial(address).await, "/v1/endpoints?after=2&wait_ms=0").await.status, 200);
-    assert_eq!((discovery.given_up(0), discovery.refused(0)), (1, 0));
+    assert_eq!(get(&mut connect(address).await, "/v1/endpoints?after=2&wait_ms=0").await.status, 200);
+    assert_eq!((discovery.abandoned(0), discovery.rejected(0)), (1, 0));
 }
 
 #[tokio::test]
@@ -192,25 +206,25 @@
     assert!(silent.is_err(), "nothing is said while it is cut off");
     discovery.set_cut(0, false);
     assert!(call.await.unwrap().is_err());
-    assert_eq!(get(&mut dial(address).await, "/v1/endpoints").await.status, 200);
+    assert_eq!(get(&mut connect(address).await, "/v1/endpoints").await.status, 200);
 }
 
 #[tokio::test]
 async fn a_host_counts_probes_and_in_a_silent_zone_answers_none() {
-    let hosts = Arc::new(Hosts::new(&sizes()));
-    let host = Host::listen(LOOPBACK, 3, &sizes(), hosts.clone()).await.unwrap();
+    let hosts = Arc::new(Hosts::new(&fleet_size()));
+    let host = Host::listen(LOOPBACK, 3, &fleet_size(), hosts.clone()).await.unwrap();
     let address = host.address().unwrap();
     tokio::spawn(host.run());
-    assert_eq!(get(&mut dial(address).await, "/status/load").await.status, 200);
-    let zone = host_zone(&sizes(), 3);
+    assert_eq!(get(&mut connect(address).await, "/status/load").await.status, 200);
+    let zone = host_zone(&fleet_size(), 3);
     hosts.set_silent(zone, true);
-    let mut connection = dial(address).await;
+    let mut connection = connect(address).await;
     let mut probe = tokio::spawn(async move { connection.get("/status/load", "host").await });
     let silent = tokio::time::timeout(Duration::from_millis(200), &mut probe).await;
     assert!(silent.is_err(), "nothing is said in a silent zone");
     hosts.set_silent(zone, false);
     assert!(probe.await.unwrap().is_err());
-    assert_eq!(get(&mut dial(address).await, "/status/load").await.status, 200);
+    assert_eq!(get(&mut connect(address).await, "/status/load").await.status, 200);
     let of_real = hosts.real.count().messages;
-    assert_eq!((hosts.probes[3].get(), of_real, hosts.hollow.count().messages), (3, 3, 0));
+    assert_eq!((hosts.health_checks[3].get(), of_real, hosts.simulated.count().messages), (3, 3, 0));
 }
--- a/crates/wingfold-scale/tests/plan.rs
+++ b/crates/wingfold-scale/tests/plan.rs
@@ -1,14 +1,14 @@
-//! Sizes of the ladder's steps, what is refused, and the command line.
+//! Fleet sizes of the ladder's steps, what is rejected, and the command line.
 
 use std::time::Duration;
 use wingfold_scale::cli;
 use wingfold_scale::ladder::report_name;
-use wingfold_scale::limits::{memory_bytes, open_files, Machine, Refusal};
-use wingfold_scale::plan::{Plan, Sizes, Step};
+use wingfold_scale::limits::{memory_bytes, open_files, MachineLimits, PlanError};
+use wingfold_scale::plan::{FleetSize, Plan, Step};
 
-const ROOMY: Machine = Machine { memory_bytes: 64 << 30, descriptors: 100_000 };
+const ROOMY: MachineLimits = MachineLimits { memory_bytes: 64 << 30, descriptors: 100_000 };
 
-fn plan(step: Step, real_directors: usize) -> Result<Plan, Refusal> {
+fn plan(step: Step, real_directors: usize) -> Result<Plan, PlanError> {
     Plan::new(step, real_directors, Duration::from_secs(30), 1)
 }
 
@@ -19,43 +19,46 @@
 
 #[test]
 fn the_ladder_leads_to_the_whole_fleet() {
-    let sizes = |step| Sizes::of(step, 2);
+    let fleet_size = |step| FleetSize::of_step(step, 2);
     let whole =
-        Sizes { directors: 480, real_directors: 2, hosts: 2_700, zones: 30, proxies_per_director: 48 };
-    assert_eq!(sizes(Step::Whole), whole);
-    let smallest = Sizes { directors: 30, hosts: 169, zones: 2, ..whole };
-    assert_eq!(sizes(Step::Sixteenth), smallest);
-    assert!(Step::ALL.windows(2).all(|pair| sizes(pair[0]).directors * 2 == sizes(pair[1]).directors));
+        FleetSize { directors: 480, real_directors: 2, hosts: 2_700, zones: 30, proxies_per_director: 48 };
+    assert_eq!(fleet_size(Step::Whole), whole);
+    let smallest = FleetSize { directors: 30, hosts: 169, zones: 2, ..whole };
+    assert_eq!(fleet_size(Step::Sixteenth), smallest);
+    assert!(Step::ALL
+        .windows(2)
+        .all(|pair| fleet_size(pair[0]).directors * 2 == fleet_size(pair[1]).directors));
 }
 
 #[test]
 fn every_step_fits_a_machine_of_16_gib_and_20000_descriptors_and_the_smallest_the_usual_1024() {
-    let machine = Machine { memory_bytes: 16 << 30, descriptors: 20_000 };
+    let machine = MachineLimits { memory_bytes: 16 << 30, descriptors: 20_000 };
     for step in Step::ALL {
         plan(step, 2).unwrap().check(&machine).unwrap();
     }
-    let usual = Machine { descriptors: 1_024, ..machine };
+    let usual = MachineLimits { descriptors: 1_024, ..machine };
     plan(Step::Sixteenth, 2).unwrap().check(&usual).unwrap();
 }
 
 #[test]
 fn what_would_take_too_much_is_refused_by_what_it_takes() {
     let whole = plan(Step::Whole, 2).unwrap();
-    let needs = whole.needs();
-    let one_less = Machine { descriptors: needs.descriptors - 1, ..ROOMY };
-    assert!(matches!(whole.check(&one_less), Err(Refusal::Descriptors { .. })));
-    let under_half = Machine { memory_bytes: 2 * needs.memory_bytes - 2, ..ROOMY };
-    assert!(matches!(whole.check(&under_half), Err(Refusal::Memory { .. })));
-    let just_half = Machine { memory_bytes: 2 * needs.memory_bytes, descriptors: needs.descriptors };
-    assert_eq!(whole.check(&just_half), Ok(needs));
+    let estimate = whole.estimate();
+    let one_less = MachineLimits { descriptors: estimate.descriptors - 1, ..ROOMY };
+    assert!(matches!(whole.check(&one_less), Err(PlanError::Descriptors { .. })));
+    let under_half = MachineLimits { memory_bytes: 2 * estimate.memory_bytes - 2, ..ROOMY };
+    assert!(matches!(whole.check(&under_half), Err(PlanError::Memory { .. })));
+    let just_half =
+        MachineLimits { memory_bytes: 2 * estimate.memory_bytes, descriptors: estimate.descriptors };
+    assert_eq!(whole.check(&just_half), Ok(estimate));
     assert_eq!(
-        plan(Step::Whole, 299).unwrap().check(&Machine { memory_bytes: 1 << 40, ..ROOMY }).err(),
+        plan(Step::Whole, 299).unwrap().check(&MachineLimits { memory_bytes: 1 << 40, ..ROOMY }).err(),
         None
     );
     let many = plan(Step::Whole, 300).unwrap().check(&ROOMY);
-    assert_eq!(many, Err(Refusal::Processes { needed: 301, allowed: 300 }));
-    assert_eq!(plan(Step::Sixteenth, 0).err(), Some(Refusal::RealDirectors { asked: 0, most: 29 }));
-    assert_eq!(plan(Step::Sixteenth, 30).err(), Some(Refusal::RealDirectors { asked: 30, most: 29 }));
+    assert_eq!(many, Err(PlanError::Processes { needed: 301, allowed: 300 }));
+    assert_eq!(plan(Step::Sixteenth, 0).err(), Some(PlanError::RealDirectors { asked: 0, most: 29 }));
+    assert_eq!(plan(Step::Sixteenth, 30).err(), Some(PlanError::RealDirectors { asked: 30, most: 29 }));
 }
 
 #[test]
@@ -65,7 +68,7 @@
     assert_eq!(open_files(limits), Some(20_000));
     assert_eq!(open_files("Max open files   unlimited  unlimited files\n"), Some(usize::MAX));
     assert_eq!((memory_bytes("MemTotal: lots\n"), open_files("")), (None, None));
-    assert!(Machine::read().unwrap().descriptors > 0);
+    assert!(MachineLimits::read().unwrap().descriptors > 0);
 }
 
 #[test]
--- a/crates/wingfold-scale/tests/program.rs
+++ b/crates/wingfold-scale/tests/program.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn scale(words: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_wingfold-scale"));
@@ -40,9 +40,9 @@
     let plan = played(&["plan", "--step", "1/16"]);
     assert!(plan.status.success());
     assert!(text(&plan.stdout).contains("3 processes"), "{}", text(&plan.stdout));
-    let refused = played(&["run", "--step", "1", "--real", "300"]);
-    assert_eq!(refused.status.code(), Some(1));
-    assert!(text(&refused.stderr).contains("301 processes"), "{}", text(&refused.stderr));
+    let rejected = played(&["run", "--step", "1", "--real", "300"]);
+    assert_eq!(rejected.status.code(), Some(1));
+    assert!(text(&rejected.stderr).contains("301 processes"), "{}", text(&rejected.stderr));
     let wrong = played(&["run", "--steps", "1"]);
     assert_eq!(wrong.status.code(), Some(2));
     assert!(text(&wrong.stderr).contains("--step"), "{}", text(&wrong.stderr));
@@ -55,7 +55,7 @@
     let run = scale(&words).stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
     let begun = Instant::now();
     while started(&program).len() < 2 {
-        assert!(begun.elapsed() < PATIENCE, "both directors are started");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "both directors are started");
         std::thread::sleep(Duration::from_millis(5));
     }
     let signalled = Command::new("kill").args(["-INT", &run.id().to_string()]).status().unwrap();
--- a/crates/wingfold-test-support/src/client.rs
+++ b/crates/wingfold-test-support/src/client.rs
@@ -1,6 +1,6 @@
 //! The director's clients: proxies, collectors and strangers.
 
-use crate::TEST_TIMEOUT;
+use crate::{frame, TEST_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -23,8 +23,9 @@
 
     /// Encodes a message as it goes over the wire: its length, then its JSON.
     pub fn encode_frame(message: &Value) -> Vec<u8> {
-        let text = message.to_string();
-        [&(text.len() as u32).to_be_bytes()[..], text.as_bytes()].concat()
+        let mut bytes = Vec::new();
+        frame::append(&mut bytes, message.to_string().as_bytes());
+        bytes
     }
 
     /// Sends a message.
@@ -44,14 +45,14 @@
 
     /// Receives the next message; `None` once the connection has ended.
     pub fn receive(&mut self) -> Option<Value> {
-        let mut length = [0; 4];
+        let mut length = [0; frame::HEADER_BYTES];
         self.stream.read_exact(&mut length).ok()?;
         let mut body = vec![0; u32::from_be_bytes(length) as usize];
         self.stream.read_exact(&mut body).ok()?;
         Some(serde_json::from_slice(&body).unwrap())
     }
 
-    /// Returns whether the director answers a `PING`. Orders that arrive before the answer are dropped.
+    /// Returns whether the director answers a `PING`. Updates that arrive before the answer are dropped.
     pub fn ping(&mut self) -> bool {
         self.send(&json!({"type": "PING"}));
         loop {
@@ -63,19 +64,19 @@
         }
     }
 
-    /// Receives the next orders: all `CONFIG` parts of one message.
-    pub fn receive_orders(&mut self) -> Vec<Value> {
+    /// Receives the next update for a proxy: all `CONFIG` parts of one message.
+    pub fn receive_update(&mut self) -> Vec<Value> {
         collect_parts(|| {
-            let part = self.receive().expect("orders, not the end of the stream");
+            let part = self.receive().expect("an update, not the end of the stream");
             assert_eq!(part["type"], "CONFIG");
             part
         })
     }
 
-    /// Receives the next orders, a byte with each read.
-    pub fn receive_orders_bytewise(&mut self) -> Vec<Value> {
+    /// Receives the next update for a proxy, a byte with each read.
+    pub fn receive_update_bytewise(&mut self) -> Vec<Value> {
         collect_parts(|| {
-            let length = u32::from_be_bytes(self.read_bytewise(4).try_into().unwrap());
+            let length = u32::from_be_bytes(self.read_bytewise(frame::HEADER_BYTES).try_into().unwrap());
             serde_json::from_slice(&self.read_bytewise(length as usize)).unwrap()
         })
     }
@@ -83,7 +84,7 @@
     /// Reads this many bytes, one with each read.
     fn read_bytewise(&mut self, length: usize) -> Vec<u8> {
         let mut byte = [0];
-        let read = |_| self.stream.read_exact(&mut byte).map(|()| byte[0]).expect("orders");
+        let read = |_| self.stream.read_exact(&mut byte).map(|()| byte[0]).expect("an update");
         (0..length).map(read).collect()
     }
 
--- a/crates/wingfold-test-support/src/discovery.rs
+++ b/crates/wingfold-test-support/src/discovery.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a watch that waits looks whether its caller has closed the connection.
+/// How often a watch that waits checks whether its caller has closed the connection.
 const CLOSED_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// A version that no test reaches by changes.
 const MALFORMED_LIST_VERSION: u64 = 1_000_000;
--- a/crates/wingfold-test-support/src/http.rs
+++ b/crates/wingfold-test-support/src/http.rs
@@ -15,14 +15,14 @@
 }
 
 /// Returns the number that a key has in the query of a request target, if it has one.
-pub(crate) fn query_number(target: &str, key: &str) -> Option<u64> {
+pub fn query_number(target: &str, key: &str) -> Option<u64> {
     let query = target.split_once('?')?.1;
     let value = query.split('&').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('='));
     value?.parse().ok()
 }
 
 /// Encodes a response; `status` is the code and its reason.
-pub(crate) fn encode_response(status: &str, body: &str) -> Vec<u8> {
+pub fn encode_response(status: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
--- a/crates/wingfold-test-support/src/lib.rs
+++ b/crates/wingfold-test-support/src/lib.rs
@@ -6,8 +6,9 @@
 mod client;
 mod config;
 mod discovery;
+pub mod frame;
 mod host;
-mod http;
+pub mod http;
 mod loopback;
 pub mod receivers;
 pub mod scripted_server;
--- a/crates/wingfold-test-support/src/receivers.rs
+++ b/crates/wingfold-test-support/src/receivers.rs
@@ -12,9 +12,9 @@
 const RECEIVE_BUFFER_BYTES: usize = 4096;
 /// Connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 64;
-/// How long a read blocks before the behaviour is looked at again.
+/// How long a read blocks before the behaviour is checked again.
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
-/// How often a frozen receiver looks at its behaviour.
+/// How often a frozen receiver checks its behaviour.
 const FROZEN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How often a slow receiver reads, and how much.
 const SLOW_READ_INTERVAL: Duration = Duration::from_millis(200);
--- a/crates/wingfold/tests/common/mod.rs
+++ b/crates/wingfold/tests/common/mod.rs
@@ -192,7 +192,7 @@
     /// A proxy that has joined and heard its first orders.
     pub fn bound(&self, id: u32, zone: &str) -> Client {
         let mut client = self.proxy(id, zone);
-        client.receive_orders();
+        client.receive_update();
         client
     }
 
--- a/crates/wingfold/tests/crossings.rs
+++ b/crates/wingfold/tests/crossings.rs
@@ -54,7 +54,7 @@
 fn proxy(director: &Director) -> (Client, Held) {
     let (mut proxy, mut held) = (director.proxy(0, "a"), Held::default());
     while held.hosts("order") != ["s-1", "s-2"] {
-        held.apply(&proxy.receive_orders());
+        held.apply(&proxy.receive_update());
     }
     (proxy, held)
 }
@@ -62,7 +62,7 @@
 /// Waits until the proxy's table holds these hosts.
 fn holds(proxy: &mut Client, held: &mut Held, hosts: &[&str]) {
     while held.hosts("order") != hosts {
-        held.apply(&proxy.receive_orders());
+        held.apply(&proxy.receive_update());
     }
 }
 
@@ -467,7 +467,7 @@
         };
         director.signal("CONT");
         old = new;
-        assert_eq!(old.receive_orders()[0]["whole"], true, "it is told its table anew");
+        assert_eq!(old.receive_update()[0]["whole"], true, "it is told its table anew");
         until("the old one is over", || director.figure("streams_joined") == 1);
     }
     let mut held = Held::default();
@@ -479,7 +479,7 @@
             .collect::<Vec<_>>()
     };
     until("the drain arrives on the stream in use", || {
-        let parts = old.receive_orders();
+        let parts = old.receive_update();
         held.apply(&parts);
         gone(&parts).iter().any(|line| line[0] == "s-1" && line[1] == 0.0)
     });
@@ -498,7 +498,7 @@
     let mut drained = false;
     let mut late = Held::default();
     while !drained {
-        late.apply(&slow.receive_orders_bytewise());
+        late.apply(&slow.receive_update_bytewise());
         drained = late.hosts("order") == ["s-2"];
     }
 }
@@ -564,7 +564,7 @@
     let _crowd: Vec<Client> = (0..60).map(|_| director.connect()).collect();
     director.signal("CONT");
     for proxy in &mut proxies {
-        assert_eq!(proxy.receive_orders()[0]["whole"], true);
+        assert_eq!(proxy.receive_update()[0]["whole"], true);
     }
     assert_eq!(director.figure("streams_joined"), 8);
 }
--- a/crates/wingfold/tests/figures.rs
+++ b/crates/wingfold/tests/figures.rs
@@ -67,7 +67,7 @@
 /// So many proxies that have joined and heard their first orders: all join before the first one is heard.
 fn joined(director: &Director, count: u32) -> Vec<common::Client> {
     let mut proxies: Vec<_> = (0..count).map(|id| director.proxy(id, "a")).collect();
-    proxies.iter_mut().for_each(|proxy| drop(proxy.receive_orders()));
+    proxies.iter_mut().for_each(|proxy| drop(proxy.receive_update()));
     proxies
 }
 
@@ -159,7 +159,7 @@
         let begun = Instant::now();
         discovery.set_host_state(host, state);
         for proxy in &mut proxies {
-            let orders = proxy.receive_orders();
+            let orders = proxy.receive_update();
             assert!(!orders.is_empty());
         }
         assert!(begun.elapsed() < Duration::from_secs(10), "{:?}", begun.elapsed());
--- a/crates/wingfold/tests/life.rs
+++ b/crates/wingfold/tests/life.rs
@@ -127,12 +127,12 @@
     }
     until("the first place, too", || first.open_connections() == 0);
     while !held.hosts("order").contains(&"s-2") {
-        held.apply(&proxy.receive_orders());
+        held.apply(&proxy.receive_update());
     }
     let (asked, left) = (first.requests().len(), old.requests().len());
     second.set_host_state("s-2", "leaving");
     while held.hosts("order").contains(&"s-2") {
-        held.apply(&proxy.receive_orders());
+        held.apply(&proxy.receive_update());
     }
     assert!(proxy.ping() && collector.ping(), "clients stay");
     assert_eq!((first.requests().len(), old.requests().len()), (asked, left), "nothing more is asked there");
@@ -209,7 +209,7 @@
         drop(director.proxy(1, "a"));
     }
     let mut proxy = director.proxy(0, "a");
-    assert_eq!(proxy.receive_orders()[0]["whole"], true);
+    assert_eq!(proxy.receive_update()[0]["whole"], true);
     assert!(director.is_up());
     director.signal("TERM");
     let begun = Instant::now();
--- a/crates/wingfold/tests/relays.rs
+++ b/crates/wingfold/tests/relays.rs
@@ -29,7 +29,7 @@
     let director = Plan::new(ip, discovery.addr, discovery.known_list()).start();
     let mut proxy = director.proxy(0, "a");
     let mut held = Held::default();
-    held.apply(&proxy.receive_orders());
+    held.apply(&proxy.receive_update());
     Served { ip, discovery, director, proxy, held }
 }
 
@@ -43,11 +43,11 @@
     let director = Plan::new(ip, discovery.addr, discovery.known_list()).start();
     let mut proxy = director.proxy(0, "a");
     let mut held = Held::default();
-    held.apply(&proxy.receive_orders());
+    held.apply(&proxy.receive_update());
     assert_eq!(held.hosts("order"), ["s-1", "s-2", "s-3"]);
     discovery.set_host_state("s-2", "leaving");
     while held.hosts("order").contains(&"s-2") {
-        held.apply(&proxy.receive_orders());
+        held.apply(&proxy.receive_update());
     }
     assert_eq!(held.hosts("lookup"), ["s-1", "s-3"]);
     let calls = discovery.requests();
@@ -67,7 +67,7 @@
     let mut proxy = director.proxy(0, "a");
     let mut held = Held::default();
     while held.hosts("order") != ["s-2", "s-3"] {
-        held.apply(&proxy.receive_orders());
+        held.apply(&proxy.receive_update());
     }
     // Killed outright and started anew with that list, it serves the same proxy again.
     drop(proxy);
@@ -75,7 +75,7 @@
     drop(director);
     let director = Plan::new(ip, discovery.addr, discovery.known_list()).start();
     let mut held = Held::default();
-    held.apply(&director.proxy(0, "a").receive_orders());
+    held.apply(&director.proxy(0, "a").receive_update());
     assert!(held.hosts("order").contains(&"s-2"));
 }
 
@@ -86,7 +86,7 @@
     let mut plan = Plan::new(ip, discovery.addr, json!(null));
     plan.config.as_object_mut().unwrap().remove("known");
     let director = plan.start();
-    assert_eq!(director.proxy(0, "a").receive_orders()[0]["whole"], true);
+    assert_eq!(director.proxy(0, "a").receive_update()[0]["whole"], true);
     assert_eq!(discovery.requests()[0], "/v1/endpoints");
 }
 
@@ -113,7 +113,7 @@
     discovery.set_host_state("s-2", "leaving");
     let mut held = Held::default();
     while !held.lines.contains_key("order") {
-        held.apply(&proxy.receive_orders());
+        held.apply(&proxy.receive_update());
     }
     until("it is told", || director.log().contains("discovery call failed"));
 }
@@ -124,7 +124,7 @@
     let Served { ip, discovery, director, mut proxy, mut held } = served();
     discovery.set_host_state("s-2", "leaving");
     while held.hosts("order") != ["s-1", "s-3"] {
-        held.apply(&proxy.receive_orders());
+        held.apply(&proxy.receive_update());
     }
     for (behaviour, why) in [
         (DiscoveryBehaviour::StaleList, "a complete endpoint list of version 1 where 4 is cached"),
@@ -141,14 +141,14 @@
     discovery.set_behaviour(DiscoveryBehaviour::Normal);
     discovery.upsert(endpoint("s-4", Host::start(ip, REPORT).addr, "a"));
     while !held.hosts("order").contains(&"s-4") {
-        held.apply(&proxy.receive_orders());
+        held.apply(&proxy.receive_update());
         assert!(held.hosts("order").starts_with(&["s-1", "s-3"]), "{:?}", held.hosts("order"));
     }
     // One that keeps to its older list was set up anew: the fourth time it counts.
     discovery.set_behaviour(DiscoveryBehaviour::StaleList);
     until("it is believed", || director.figure("list_version") == 1);
     while !held.hosts("order").contains(&"s-2") {
-        held.apply(&proxy.receive_orders());
+        held.apply(&proxy.receive_update());
     }
 }
 
@@ -162,7 +162,7 @@
     discovery.upsert(spoilt);
     discovery.set_host_state("s-2", "leaving");
     while held.hosts("order") != ["s-1", "s-3"] {
-        held.apply(&proxy.receive_orders());
+        held.apply(&proxy.receive_update());
     }
     until("it is counted", || director.figure("list_entries_invalid_total") > 0);
     let told = "(s-4): -1e0 where 0 to 1e9 is expected";
@@ -171,7 +171,7 @@
     // Once it is mended the list goes on.
     discovery.upsert(new);
     while held.hosts("order") != ["s-1", "s-3", "s-4"] {
-        held.apply(&proxy.receive_orders());
+        held.apply(&proxy.receive_update());
     }
 }
 
@@ -180,7 +180,7 @@
     let ip = unique_loopback_ip();
     let known = Discovery::start(ip, vec![endpoint("s-1", Host::start(ip, REPORT).addr, "a")]).known_list();
     let director = Plan::new(ip, free_address(ip), known).start();
-    assert_eq!(director.proxy(0, "a").receive_orders()[0]["whole"], true, "from what it remembers");
+    assert_eq!(director.proxy(0, "a").receive_update()[0]["whole"], true, "from what it remembers");
     until("the failure is counted", || director.figure("list_failures_total") > 0);
 }
 
@@ -261,12 +261,12 @@
     assert_eq!(discovery.requests()[0], "/v1/endpoints", "the whole list first");
     let mut proxy = director.proxy(0, "a");
     let mut held = Held::default();
-    held.apply(&proxy.receive_orders());
+    held.apply(&proxy.receive_update());
     discovery.set_behaviour(DiscoveryBehaviour::Unavailable);
     discovery.set_host_state("s-2", "leaving");
     until("the call fails", || director.figure("list_failures_total") > 0);
     discovery.set_behaviour(DiscoveryBehaviour::Normal);
     while held.hosts("order") != ["s-1"] {
-        held.apply(&proxy.receive_orders());
+        held.apply(&proxy.receive_update());
     }
 }
--- a/crates/wingfold/tests/scale.rs
+++ b/crates/wingfold/tests/scale.rs
@@ -1,4 +1,4 @@
-//! The smallest step of a scale run, on this build of the program: hollow directors do as the real ones, every change
+//! The smallest step of a scale run, on this build of the program: simulated directors do as the real ones, every change
 //! reaches all of them, what fails is named, and nothing is left running.
 
 use std::future::pending;
@@ -7,12 +7,12 @@
 use std::process::Command;
 use std::time::Duration;
 use tokio::sync::Mutex;
-use wingfold_scale::compare::Compared;
+use wingfold_scale::compare::Comparison;
 use wingfold_scale::faults::Fault;
 use wingfold_scale::fleet::FleetError;
 use wingfold_scale::plan::{Plan, Step};
-use wingfold_scale::real::RealError;
-use wingfold_scale::run::{Patience, Run, RunError};
+use wingfold_scale::real_director::RealDirectorError;
+use wingfold_scale::run::{Run, RunError, Timeouts};
 use wingfold_scale::script::FaultPlan;
 
 const REAL: usize = 2;
@@ -28,8 +28,8 @@
     Run {
         plan: Plan::new(Step::Sixteenth, REAL, Duration::from_secs(seconds), 1).unwrap(),
         program,
-        fault: FaultPlan { fault, lasts: Duration::from_secs(600) },
-        patience: Patience::default(),
+        fault: FaultPlan { fault, duration: Duration::from_secs(600) },
+        timeouts: Timeouts::default(),
     }
 }
 
@@ -60,17 +60,21 @@
     let run = smallest("calm", 6, Fault::None);
     let report = run.play(pending()).await.unwrap();
     println!("{report}");
-    assert_eq!(report.differences(), Vec::<&Compared>::new());
-    let (hollow, changes) = (report.sizes.hollow_directors(), report.list_changes as usize);
+    assert_eq!(report.differences(), Vec::<&Comparison>::new());
+    let (simulated, changes) = (report.fleet_size.simulated_directors(), report.list_changes as usize);
     assert!(changes >= 5, "{changes} changes of the list");
-    assert_eq!(report.delays.start.count, hollow);
+    assert_eq!(report.delays.start.count, simulated);
     assert_eq!(report.delays.list_to_real.count, REAL * changes);
-    assert_eq!(report.delays.configuration_to_hollow.count, hollow);
+    assert_eq!(report.delays.configuration_to_simulated.count, simulated);
     assert_eq!(report.delays.configuration_to_real.count, REAL);
     assert!(report.delays.list_to_proxies.count > 0);
-    assert_eq!(report.delays.undelivered, 0);
-    assert!(report.probes.mean_per_host > 1.0, "{} probes a second at a host", report.probes.mean_per_host);
-    let (held, planned) = (report.hollow_process.peak_descriptors, report.needs.descriptors);
+    assert_eq!(report.delays.stale_uses, 0);
+    assert!(
+        report.health_checks.mean_per_host > 1.0,
+        "{} probes a second at a host",
+        report.health_checks.mean_per_host
+    );
+    let (held, planned) = (report.simulation_process.peak_descriptors, report.estimate.descriptors);
     assert!(held <= planned, "{held} descriptors where {planned} were planned");
     assert_eq!(report.real.len(), REAL);
     for real in &report.real {
@@ -88,8 +92,8 @@
     let _alone = ONE_AT_A_TIME.lock().await;
     let run = smallest("restarted", 4, Fault::RestartQuarter);
     let report = run.play(pending()).await.unwrap();
-    let (hollow, restarted) = (report.sizes.hollow_directors(), 7);
-    assert_eq!(report.delays.start.count, hollow + restarted);
+    let (simulated, restarted) = (report.fleet_size.simulated_directors(), 7);
+    assert_eq!(report.delays.start.count, simulated + restarted);
     assert_eq!(processes_of(&run.program), Vec::<u32>::new());
 }
 
@@ -103,7 +107,7 @@
         pending().await
     };
     match run.play(kills_one).await {
-        Err(RunError::Fleet(FleetError::Real(RealError::Ended { name, .. }))) => {
+        Err(RunError::Fleet(FleetError::Real(RealDirectorError::Ended { name, .. }))) => {
             assert!(name.starts_with('n'))
         }
         other => panic!("{other:?}"),
@@ -124,10 +128,10 @@
 async fn a_discovery_that_stays_down_fails_the_run_by_the_directors_behind() {
     let _alone = ONE_AT_A_TIME.lock().await;
     let mut run = smallest("down", 2, Fault::DiscoveryDown);
-    run.patience.settle = Duration::from_secs(1);
+    run.timeouts.settle = Duration::from_secs(1);
     match run.play(pending()).await {
-        Err(RunError::Behind { behind, refused, .. }) => {
-            assert!(behind == 30 && refused > 0, "{behind}, {refused}")
+        Err(RunError::Behind { behind, rejected, .. }) => {
+            assert!(behind == 30 && rejected > 0, "{behind}, {rejected}")
         }
         other => panic!("{other:?}"),
     }
@@ -141,16 +145,19 @@
     std::fs::remove_file(&run.program).unwrap();
     let missing = run.play(pending()).await;
     assert!(
-        matches!(missing, Err(RunError::Fleet(FleetError::Real(RealError::Start { .. })))),
+        matches!(missing, Err(RunError::Fleet(FleetError::Real(RealDirectorError::Start { .. })))),
         "{missing:?}"
     );
     // One that runs and listens nowhere.
     symlink("/bin/sleep", &run.program).unwrap();
     let ended = run.play(pending()).await;
-    assert!(matches!(ended, Err(RunError::Fleet(FleetError::Real(RealError::Ended { .. })))), "{ended:?}");
+    assert!(
+        matches!(ended, Err(RunError::Fleet(FleetError::Real(RealDirectorError::Ended { .. })))),
+        "{ended:?}"
+    );
     std::fs::remove_file(&run.program).unwrap();
     silent_program(&run.program);
-    run.patience.ready = Duration::from_millis(300);
+    run.timeouts.ready = Duration::from_millis(300);
     let unready = run.play(pending()).await;
     let named = |error: &RunError| error.to_string().starts_with("n0 was not ready");
     assert!(unready.as_ref().is_err_and(named), "{unready:?}");
--- a/crates/wingfold/tests/size.rs
+++ b/crates/wingfold/tests/size.rs
@@ -23,11 +23,11 @@
     let director = plan.start();
     let mut proxy = director.proxy(3, "a");
     let mut held = Held::default();
-    held.apply(&proxy.receive_orders());
+    held.apply(&proxy.receive_update());
     // Every host is in its table once all have come, whatever needed a message of its own.
     until("the table has every host", || {
         if held.hosts("lookup").len() < MANY {
-            held.apply(&proxy.receive_orders());
+            held.apply(&proxy.receive_update());
         }
         held.hosts("lookup").len() == MANY
     });
@@ -39,7 +39,7 @@
     // And a change among so many reaches it.
     discovery.set_host_state("s-0004", "leaving");
     until("the host that leaves is out of the table", || {
-        held.apply(&proxy.receive_orders());
+        held.apply(&proxy.receive_update());
         !held.hosts("lookup").contains(&"s-0004")
     });
 }
--- a/crates/wingfold/tests/streams.rs
+++ b/crates/wingfold/tests/streams.rs
@@ -37,7 +37,7 @@
 fn a_proxy_that_joins_is_sent_its_whole_table_as_one_message() {
     let (_discovery, director) = director();
     let mut proxy = director.proxy(3, "a");
-    let parts = proxy.receive_orders();
+    let parts = proxy.receive_update();
     assert_eq!(parts[0]["whole"], true);
     let mut held = Held::default();
     held.apply(&parts);
@@ -62,7 +62,7 @@
     for byte in Client::encode_frame(&joins) {
         proxy.stream.write_all(&[byte]).unwrap();
     }
-    assert_eq!(proxy.receive_orders()[0]["whole"], true);
+    assert_eq!(proxy.receive_update()[0]["whole"], true);
 }
 
 #[test]
@@ -79,7 +79,7 @@
     proxy.send(&json!({"type": "RATE", "id": 0, "lane": "lookup", "count": 9, "fail": 0, "over": 1000.0}));
     proxy.send(&json!({"type": "ACK", "id": 0, "seq": 1, "ms": 12.5}));
     collector.send(&sums("s-2", 8));
-    let parts = proxy.receive_orders();
+    let parts = proxy.receive_update();
     let lines: Vec<_> = parts.iter().filter_map(|part| part["lines"].as_array()).flatten().collect();
     assert!(lines.contains(&&json!(["s-2", 0.0])), "{parts:?}");
     assert!(proxy.ping() && collector.ping());
@@ -90,7 +90,7 @@
     let (_discovery, director) = director();
     let mut old = director.bound(5, "a");
     let mut new = director.proxy(5, "a");
-    assert!(new.receive_orders()[0]["whole"] == true, "bound anew");
+    assert!(new.receive_update()[0]["whole"] == true, "bound anew");
     assert!(old.is_closed_in_time());
     until("the older one is gone", || director.figure("streams_replaced_total") == 1);
     assert!(new.ping(), "its end is not taken for the newer one's");
@@ -100,9 +100,9 @@
 #[test]
 fn a_proxy_that_leaves_is_told_and_may_come_again() {
     let (_discovery, director) = director();
-    director.proxy(5, "a").receive_orders();
+    director.proxy(5, "a").receive_update();
     until("it has left", || director.figure("streams_joined") == 0);
-    assert_eq!(director.proxy(5, "b").receive_orders()[0]["whole"], true);
+    assert_eq!(director.proxy(5, "b").receive_update()[0]["whole"], true);
 }
 
 fn usage(id: u32, lane: &str) -> Value {
@@ -258,7 +258,7 @@
     collector.send(&sums);
     let mut lines = Vec::new();
     while !lines.contains(&json!(["s-2", 0.0])) {
-        let parts = proxy.receive_orders();
+        let parts = proxy.receive_update();
         lines = parts.iter().filter_map(|part| part["lines"].as_array()).flatten().cloned().collect();
     }
     // What can't be read at all ends the connection.
@@ -278,7 +278,7 @@
     client.stream.write_all(&frame[..frame.len() / 2]).unwrap();
     drop(client);
     until("it has left", || director.figure("streams_joined") == 0);
-    assert_eq!(director.proxy(2, "a").receive_orders()[0]["whole"], true);
+    assert_eq!(director.proxy(2, "a").receive_update()[0]["whole"], true);
 }
 
 #[test]
@@ -304,7 +304,7 @@
         strangers.extend(TcpStream::connect(director.listen));
     }
     assert_eq!(strangers.len(), 300);
-    assert_eq!(director.proxy(1, "a").receive_orders()[0]["whole"], true, "a proxy joins all the same");
+    assert_eq!(director.proxy(1, "a").receive_update()[0]["whole"], true, "a proxy joins all the same");
     assert!(proxy.ping(), "and the others stay");
     until("strangers are put out", || director.figure("unidentified_evicted_total") > 200);
     assert!(director.descriptors() < 128, "{} descriptors", director.descriptors());
@@ -335,7 +335,7 @@
         until("they take places from each other", || director.figure("unidentified_evicted_total") > 100);
         // Each joins on its first try: a connection that ends instead fails here.
         let mut proxies: Vec<Client> = (0..150).map(|id| director.proxy(id, "a")).collect();
-        proxies.iter_mut().for_each(|proxy| assert_eq!(proxy.receive_orders()[0]["whole"], true));
+        proxies.iter_mut().for_each(|proxy| assert_eq!(proxy.receive_update()[0]["whole"], true));
         let mut collectors: Vec<Client> = ["a", "b"].map(|zone| director.collector(zone)).into();
         assert!(proxies.iter_mut().chain(&mut collectors).all(Client::ping), "and stays");
         assert!(director.descriptors() < 256, "{} descriptors", director.descriptors());
