--- a/crates/wingfold-capture/src/edit.rs
+++ b/crates/wingfold-capture/src/edit.rs
@@ -1,6 +1,6 @@
 //! Writes a part of a capture as one segment. It begins with a checkpoint, so that it can be replayed alone.
 
-use crate::model::{encode_actions, Call, EncodableCall, Head};
+use crate::model::{encode_actions, Call, EncodableCall, Head, NoticeWording};
 use crate::reader::Entry;
 use crate::replay::{ReplayError, ReplayMode, Replayer};
 use crate::segment_writer::{DiskOperation, RecordedItem, SegmentLimits, SegmentWriter};
@@ -102,7 +102,9 @@
         let replayed = replayer.feed(entry)?.map(|(call, actions)| (call, encode_actions(actions)));
         let Some(director) = replayer.director() else { continue };
         if let (Some((call, at)), None) = (checkpoint, &assembler) {
-            assembler = Some(SegmentAssembler::new(replayer.head(), call, at, director));
+            // The replayed notices are worded as this build renders them, whatever the recorded ones were.
+            let head = Head { notice_wording: NoticeWording::KeyValue, ..replayer.head().clone() };
+            assembler = Some(SegmentAssembler::new(&head, call, at, director));
         }
         if let (Some((call, actions)), Some(assembler)) = (replayed, &mut assembler) {
             assembler.add_call(&Call { actions, digest: director.digest(), ..call });
--- a/crates/wingfold-capture/tests/notice_wording.rs
+++ b/crates/wingfold-capture/tests/notice_wording.rs
@@ -6,8 +6,8 @@
 use wingfold_capture::model::encode_actions;
 use wingfold_capture::replay::{DifferenceKind, ReplayMode, Replayer};
 use wingfold_capture::{
-    entries, reader, Call, DiskOperation, Entry, Head, NoticeWording, RecordedItem, Recorder, RecorderQueue,
-    SegmentLimits, SegmentWriter,
+    edit, entries, reader, Call, DiskOperation, Entry, Head, NoticeWording, RecordedItem, Recorder,
+    RecorderQueue, SegmentLimits, SegmentWriter,
 };
 use wingfold_director::interface::*;
 use wingfold_director::Director;
@@ -214,3 +214,17 @@
     });
     assert_eq!(call_with_different_actions(&claimed), Some(12));
 }
+
+#[test]
+fn an_accepted_capture_of_an_earlier_build_replays_without_a_difference() {
+    let mut with_notices = 0;
+    for bytes in kept_captures() {
+        let accepted = edit::accept(entries(&bytes)).unwrap().unwrap();
+        assert_eq!(reader::head(&accepted).unwrap().notice_wording, NoticeWording::KeyValue);
+        let replayer = replay_changed(&accepted, |_| ());
+        assert_eq!(call_with_different_actions(&replayer), None);
+        assert_eq!(replayer.report.differences, 0);
+        with_notices += usize::from(first_call_with_notice(&accepted).is_some());
+    }
+    assert!(with_notices >= 5, "{with_notices} accepted captures hold notices");
+}
