--- a/crates/wingfold-lab/tests/silence.rs
+++ b/crates/wingfold-lab/tests/silence.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use wingfold_director::interface::{Action, Event, Micros, Timestamp, ZoneId};
 use wingfold_director::Director;
-use wingfold_figures::silence::State;
-use wingfold_figures::{Figure, Interval, Meter, Value};
 use wingfold_lab::simulation::{simulate_observed, Observer};
 use wingfold_lab::Scenario;
+use wingfold_metrics::silence::State;
+use wingfold_metrics::{Figure, Interval, Meter, Value};
 
 /// Counts for director 0 as the engine does.
 struct Watch {
@@ -82,7 +82,7 @@
     fn figure(&self, figure: Figure, zone: &str, until: u64) -> Option<f64> {
         let interval =
             self.intervals.iter().find(|interval| interval.at.0 == until * 1_000_000).expect("it ended");
-        let of = |sample: &&wingfold_figures::Sample| sample.figure == figure && *sample.labels[0] == *zone;
+        let of = |sample: &&wingfold_metrics::Sample| sample.figure == figure && *sample.labels[0] == *zone;
         interval.samples.iter().find(of).map(|sample| match sample.value {
             Value::Count(count) => count as f64,
             Value::Gauge(value) => value,
--- a/crates/wingfold-figures/tests/large.rs
+++ b/crates/wingfold-metrics/tests/large.rs
@@ -4,9 +4,9 @@
 use std::time::Instant;
 use wingfold_director::interface::*;
 use wingfold_director::Director;
-use wingfold_figures::collectd::{list, packets, Secrecy, PACKET};
-use wingfold_figures::graphite::{self, Naming};
-use wingfold_figures::{Figure, Interval, Meter};
+use wingfold_metrics::collectd::{list, packets, Secrecy, PACKET};
+use wingfold_metrics::graphite::{self, Naming};
+use wingfold_metrics::{Figure, Interval, Meter};
 
 fn site() -> (Director, Meter) {
     let zones: Vec<ZoneId> = (0..6).map(|at| ZoneId(format!("hall {at}").into())).collect();
@@ -102,7 +102,7 @@
     let mut chance = <rand_chacha::ChaCha8Rng as rand::SeedableRng>::seed_from_u64(1);
     let packets = packets(&lists, PACKET, &Secrecy::Plain, &mut chance);
     let read: usize =
-        packets.iter().map(|packet| wingfold_figures::collectd::read(packet).unwrap().len()).sum();
+        packets.iter().map(|packet| wingfold_metrics::collectd::read(packet).unwrap().len()).sum();
     assert_eq!(read, lists.len());
     assert!(graphite::pickle(&points).len() > points.len() * 20);
 }
--- a/crates/wingfold-node/src/collectd.rs
+++ b/crates/wingfold-node/src/collectd.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use tokio::net::UdpSocket;
 use wingfold_director::interface::{Event, HealthCheckOutcome, HostId, HostLoad};
-use wingfold_figures::collectd::{Intake, Refused};
+use wingfold_metrics::collectd::{Intake, Refused};
 
 /// Bytes of a packet: UDP has no longer ones.
 const MAX_PACKET_BYTES: usize = 65_535;
--- a/crates/wingfold-node/src/reporting.rs
+++ b/crates/wingfold-node/src/reporting.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 use wingfold_director::interface::{Event, Timestamp, ZoneId};
 use wingfold_director::Director;
-use wingfold_figures::{Figure, Interval, Meter, Sample, Value};
+use wingfold_metrics::{Figure, Interval, Meter, Sample, Value};
 
 /// Intervals that may wait for the sinks.
 const MAX_WAITING_INTERVALS: usize = 8;
--- a/crates/wingfold-node/src/sink.rs
+++ b/crates/wingfold-node/src/sink.rs
@@ -18,8 +18,8 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 use wingfold_director::interface::Timestamp;
-use wingfold_figures::receiver::Receiver;
-use wingfold_figures::Interval;
+use wingfold_metrics::receiver::Receiver;
+use wingfold_metrics::Interval;
 use wingfold_settings::own::Sinks;
 
 /// Separates the random numbers of the sinks from others of the same seed.
--- a/crates/wingfold-node/src/sink/group.rs
+++ b/crates/wingfold-node/src/sink/group.rs
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 use tokio::sync::mpsc::{channel, Sender};
 use tokio::task::JoinHandle;
-use wingfold_figures::collectd::{self, Secrecy};
-use wingfold_figures::graphite::{self, Naming, Point};
-use wingfold_figures::receiver::{Receiver, Rules};
-use wingfold_figures::spread::Ring;
-use wingfold_figures::Interval;
+use wingfold_metrics::collectd::{self, Secrecy};
+use wingfold_metrics::graphite::{self, Naming, Point};
+use wingfold_metrics::receiver::{Receiver, Rules};
+use wingfold_metrics::spread::Ring;
+use wingfold_metrics::Interval;
 use wingfold_settings::own::{Collectd, Deal, Graphite, Protocol};
 
 /// Intervals that may wait for a task: it takes them at its next turn, and counts what it drops itself.
--- a/crates/wingfold-node/src/sink/tcp.rs
+++ b/crates/wingfold-node/src/sink/tcp.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
-use wingfold_figures::receiver::{Dropped, Input, Order, Receiver};
+use wingfold_metrics::receiver::{Dropped, Input, Order, Receiver};
 
 /// Bytes that the system may hold for a receiver besides its queue: they are in no counter, and a receiver that reads nothing
 /// would be found out only when the buffer is full.
--- a/crates/wingfold-settings/src/own/collectd.rs
+++ b/crates/wingfold-settings/src/own/collectd.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use wingfold_figures::collectd::{MappedHost, Secrecy, Users, PACKET};
-use wingfold_figures::receiver::Rules;
+use wingfold_metrics::collectd::{MappedHost, Secrecy, Users, PACKET};
+use wingfold_metrics::receiver::Rules;
 
 /// Stands in for an address that is missing or wrong, which is told.
 const DEFAULT_LISTEN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 25826);
--- a/crates/wingfold-settings/src/own/graphite.rs
+++ b/crates/wingfold-settings/src/own/graphite.rs
@@ -5,7 +5,7 @@
 use crate::hcl::Block;
 use std::ops::RangeInclusive;
 use std::time::Duration;
-use wingfold_figures::receiver::Rules;
+use wingfold_metrics::receiver::Rules;
 
 const SETTLE_TIMES: RangeInclusive<Duration> = Duration::ZERO..=Duration::from_secs(3600);
 
--- a/crates/wingfold-settings/src/own/receiver.rs
+++ b/crates/wingfold-settings/src/own/receiver.rs
@@ -4,7 +4,7 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 use wingfold_director::interface::Micros;
-use wingfold_figures::receiver::Rules;
+use wingfold_metrics::receiver::Rules;
 
 /// Times that a receiver's block may name.
 const TIMES: RangeInclusive<Duration> = Duration::from_millis(100)..=Duration::from_secs(3600);
--- a/crates/wingfold-settings/src/own/secret.rs
+++ b/crates/wingfold-settings/src/own/secret.rs
@@ -2,7 +2,7 @@
 
 use crate::hcl::Block;
 use std::os::unix::fs::PermissionsExt;
-use wingfold_figures::collectd::Users;
+use wingfold_metrics::collectd::Users;
 
 /// Reads a file of keys by its path.
 pub(super) type ReadSecret<'a> = dyn Fn(&str) -> Result<String, String> + 'a;
--- a/crates/wingfold-settings/src/own/tests.rs
+++ b/crates/wingfold-settings/src/own/tests.rs
@@ -1,8 +1,8 @@
 //! wingfold's own settings: defaults, faults, and what needs a restart.
 
 use super::*;
-use wingfold_figures::collectd::{MappedHost, Secrecy};
-use wingfold_figures::receiver::Rules;
+use wingfold_metrics::collectd::{MappedHost, Secrecy};
+use wingfold_metrics::receiver::Rules;
 
 #[test]
 fn nothing_said_is_everything_off() {
@@ -15,7 +15,7 @@
 fn the_file_that_is_shipped_is_read_and_switches_nothing_on() {
     let text = include_str!("../../../../deploy/wingfold.hcl");
     let types = include_str!("../../../../deploy/wingfold.types.db");
-    assert_eq!(types, wingfold_figures::collectd::TYPES_DB);
+    assert_eq!(types, wingfold_metrics::collectd::TYPES_DB);
     assert_eq!(Own::read("deploy/wingfold.hcl", text).unwrap(), Own::default());
     // Every key in it, switched on, is one that is known.
     let on = |line: &str| {
--- a/crates/wingfold/src/figures.rs
+++ b/crates/wingfold/src/figures.rs
@@ -6,7 +6,7 @@
 use std::io::{IsTerminal, Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
-use wingfold_figures::catalogue;
+use wingfold_metrics::catalogue;
 
 /// What can be asked of figures.
 #[derive(Debug, Subcommand)]
--- a/crates/wingfold/tests/figures.rs
+++ b/crates/wingfold/tests/figures.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
-use wingfold_figures::collectd::{self, Secrecy, TypedValue};
+use wingfold_metrics::collectd::{self, Secrecy, TypedValue};
 use wingfold_standins::receivers::{self, Carbon, Manner, Packets};
 
 /// A folder of this test's own, gone when it ends.
