--- a/crates/wingfold-metrics/src/catalogue.rs
+++ b/crates/wingfold-metrics/src/catalogue.rs
@@ -1,58 +1,65 @@
-//! Every figure that a director sends, in one place: its name, unit, kind, labels and meaning. docs/figures.md has the same
-//! table; a test holds them together.
+//! The catalogue of all exported metrics: name, unit, kind, labels and meaning. docs/figures.md has the same table; a test
+//! compares them. The names of the variants of [`Metric`] follow the exported names.
 
-/// How a figure behaves.
+#[cfg(test)]
+mod tests;
+
+/// How the values of a metric relate to their interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Events in an interval. It is sent as the interval's own count, never as a running total: a restart makes no spike
-    /// and no negative rate.
+pub enum MetricKind {
+    /// Events in the interval, not a running total: a restart causes neither a spike nor a negative rate.
     Counter,
-    /// A value at the end of an interval.
+    /// The value at the end of the interval.
     Gauge,
-    /// Many values in an interval: their count, p50, p90, p99 and max.
+    /// Count, p50, p90, p99 and maximum of the values recorded in the interval.
     Distribution,
 }
 
-impl Kind {
-    /// As it is written.
+impl MetricKind {
+    /// The kind's name in the catalogue.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Counter => "counter",
-            Kind::Gauge => "gauge",
-            Kind::Distribution => "distribution",
+            MetricKind::Counter => "counter",
+            MetricKind::Gauge => "gauge",
+            MetricKind::Distribution => "distribution",
         }
     }
 }
 
-/// One entry of the catalogue.
+/// The catalogue's description of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Entry {
-    /// Dotted, stable for good.
+pub struct MetricDescriptor {
+    /// The exported name, which never changes.
     pub name: &'static str,
-    /// Of its values.
+    /// The unit of the values.
     pub unit: &'static str,
-    /// How it behaves.
-    pub kind: Kind,
-    /// What it is told apart by, in the order of the name's parts.
+    /// How the values relate to their interval.
+    pub kind: MetricKind,
+    /// Names of the labels, in the order in which samples have their values.
     pub labels: &'static [&'static str],
-    /// What it says.
-    pub about: &'static str,
+    /// What the metric measures.
+    pub description: &'static str,
 }
 
-macro_rules! figures {
-    ($($id:ident = $name:literal, $unit:literal, $kind:ident, [$($label:literal),*], $about:literal;)*) => {
-        /// A figure of the catalogue.
+/// Defines [`Metric`] and [`CATALOGUE`], in the same order.
+macro_rules! metrics {
+    ($($id:ident = $name:literal, $unit:literal, $kind:ident, [$($label:literal),*], $description:literal;)*) => {
+        /// A metric of the catalogue.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-        pub enum Figure { $(#[doc = $about] $id,)* }
+        pub enum Metric { $(#[doc = $description] $id,)* }
 
-        /// All of them, in the catalogue's order.
-        pub const CATALOGUE: &[(Figure, Entry)] = &[$((Figure::$id, Entry {
-            name: $name, unit: $unit, kind: Kind::$kind, labels: &[$($label),*], about: $about,
+        /// All metrics with their descriptors, in the order of the catalogue.
+        pub const CATALOGUE: &[(Metric, MetricDescriptor)] = &[$((Metric::$id, MetricDescriptor {
+            name: $name,
+            unit: $unit,
+            kind: MetricKind::$kind,
+            labels: &[$($label),*],
+            description: $description,
         }),)*];
     };
 }
 
-figures! {
+metrics! {
     DirectorStart = "director.start", "unix seconds", Gauge, [], "When this life of the director began: a change tells a restart.";
     DirectorUp = "director.up", "seconds", Gauge, [], "How long it has been up; an interval longer than that is told in part.";
     ServiceAsked = "service.asked", "requests", Counter, ["zone", "class"], "Requests that reached the zone's proxies, as they told.";
@@ -106,24 +113,22 @@
     Invariants = "invariants.broken", "times", Counter, [], "Times that something did not hold that must.";
 }
 
-impl Figure {
-    /// Its entry.
-    pub fn entry(self) -> &'static Entry {
+impl Metric {
+    /// The metric's descriptor in the catalogue.
+    pub fn descriptor(self) -> &'static MetricDescriptor {
         &CATALOGUE[self as usize].1
     }
 }
 
-/// The catalogue as a table in Markdown.
+/// The catalogue as a Markdown table.
 pub fn markdown() -> String {
-    let mut out =
+    let mut table =
         String::from("| name | labels | unit | kind | meaning |\n| --- | --- | --- | --- | --- |\n");
-    for (_, entry) in CATALOGUE {
-        let labels = if entry.labels.is_empty() { "-".into() } else { entry.labels.join(", ") };
-        let (name, kind) = (entry.name, entry.kind.name());
-        out.push_str(&format!("| `{name}` | {labels} | {} | {kind} | {} |\n", entry.unit, entry.about));
+    for (_, metric) in CATALOGUE {
+        let labels = if metric.labels.is_empty() { "-".into() } else { metric.labels.join(", ") };
+        let MetricDescriptor { name, unit, kind, description, .. } = metric;
+        let kind = kind.name();
+        table.push_str(&format!("| `{name}` | {labels} | {unit} | {kind} | {description} |\n"));
     }
-    out
+    table
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/wingfold-metrics/src/catalogue/tests.rs
+++ b/crates/wingfold-metrics/src/catalogue/tests.rs
@@ -1,24 +1,26 @@
+//! The catalogue is consistent.
+
 use super::*;
 use std::collections::BTreeSet;
 
 #[test]
 fn names_are_unique_plain_and_in_the_catalogues_order() {
-    let names: BTreeSet<&str> = CATALOGUE.iter().map(|(_, entry)| entry.name).collect();
+    let names: BTreeSet<&str> = CATALOGUE.iter().map(|(_, descriptor)| descriptor.name).collect();
     assert_eq!(names.len(), CATALOGUE.len());
-    for (at, (figure, entry)) in CATALOGUE.iter().enumerate() {
-        assert_eq!(*figure as usize, at);
+    for (at, (metric, descriptor)) in CATALOGUE.iter().enumerate() {
+        assert_eq!(*metric as usize, at);
         assert!(
-            entry.name.bytes().all(|b| b.is_ascii_lowercase() || b == b'.' || b == b'_'),
+            descriptor.name.bytes().all(|b| b.is_ascii_lowercase() || b == b'.' || b == b'_'),
             "{}",
-            entry.name
+            descriptor.name
         );
-        assert!(entry.about.ends_with('.') && !entry.unit.is_empty());
-        // No name is the beginning of another: a Graphite node is a folder or a figure, not both.
-        let below = format!("{}.", entry.name);
+        assert!(descriptor.description.ends_with('.') && !descriptor.unit.is_empty());
+        // No name is the beginning of another: a Graphite node is a folder or a metric, not both.
+        let below = format!("{}.", descriptor.name);
         assert!(
-            names.iter().all(|other| !other.starts_with(&below) || !entry.labels.is_empty()),
+            names.iter().all(|other| !other.starts_with(&below) || !descriptor.labels.is_empty()),
             "{}",
-            entry.name
+            descriptor.name
         );
     }
 }
--- a/crates/wingfold-metrics/src/collectd/part.rs
+++ b/crates/wingfold-metrics/src/collectd/part.rs
@@ -1,6 +1,6 @@
 //! The parts that packets are made of: a type, a length, and contents.
 
-use super::Refused;
+use super::PacketRejection;
 
 /// Types of parts.
 pub(super) mod part_type {
@@ -18,10 +18,10 @@
     pub(crate) const ENCRYPTED: u16 = 0x0210;
 }
 
-/// Bytes of a part's type and length.
+/// Bytes of the type and the length of a part.
 pub(super) const HEADER_BYTES: usize = 4;
 
-/// TypedValue part of a packet.
+/// One part of a packet.
 pub(super) struct Part<'a> {
     pub(super) part_type: u16,
     pub(super) contents: &'a [u8],
@@ -35,45 +35,45 @@
     out.extend(contents);
 }
 
-/// Appends a part that is a text, with its final zero.
+/// Appends a part that is a string, with its terminating zero byte.
 pub(super) fn write_text(out: &mut Vec<u8>, part_type: u16, text: &str) {
     let mut contents = text.as_bytes().to_vec();
     contents.push(0);
     write_part(out, part_type, &contents);
 }
 
-/// Splits off the first part; gives it and the bytes after it.
-pub(super) fn split_part(bytes: &[u8]) -> Result<(Part<'_>, &[u8]), Refused> {
+/// Splits off the first part; returns it and the bytes after it.
+pub(super) fn split_part(bytes: &[u8]) -> Result<(Part<'_>, &[u8]), PacketRejection> {
     let (part_type, after_type) = split_u16(bytes)?;
     let (length, _) = split_u16(after_type)?;
     let length = usize::from(length);
     if length < HEADER_BYTES || length > bytes.len() {
-        return Err(Refused::Form);
+        return Err(PacketRejection::Malformed);
     }
     let (part, rest) = bytes.split_at(length);
     Ok((Part { part_type, contents: &part[HEADER_BYTES..] }, rest))
 }
 
-/// Splits off a number of two bytes; gives it and the bytes after it.
-pub(super) fn split_u16(bytes: &[u8]) -> Result<(u16, &[u8]), Refused> {
-    let (number, rest) = bytes.split_first_chunk().ok_or(Refused::Form)?;
+/// Splits off a big-endian number of two bytes; returns it and the bytes after it.
+pub(super) fn split_u16(bytes: &[u8]) -> Result<(u16, &[u8]), PacketRejection> {
+    let (number, rest) = bytes.split_first_chunk().ok_or(PacketRejection::Malformed)?;
     Ok((u16::from_be_bytes(*number), rest))
 }
 
 impl Part<'_> {
-    /// Its contents as a text, which ends with its only zero.
-    pub(super) fn text(&self) -> Result<String, Refused> {
-        let (last, text) = self.contents.split_last().ok_or(Refused::Form)?;
-        let text = std::str::from_utf8(text).map_err(|_| Refused::Form)?;
+    /// The contents as a string, which must end with its only zero byte.
+    pub(super) fn text(&self) -> Result<String, PacketRejection> {
+        let (last, text) = self.contents.split_last().ok_or(PacketRejection::Malformed)?;
+        let text = std::str::from_utf8(text).map_err(|_| PacketRejection::Malformed)?;
         if *last == 0 && !text.contains('\0') {
             Ok(text.to_string())
         } else {
-            Err(Refused::Form)
+            Err(PacketRejection::Malformed)
         }
     }
 
-    /// Its contents as a number.
-    pub(super) fn number(&self) -> Result<u64, Refused> {
-        self.contents.try_into().map(u64::from_be_bytes).map_err(|_| Refused::Form)
+    /// The contents as a big-endian number.
+    pub(super) fn number(&self) -> Result<u64, PacketRejection> {
+        self.contents.try_into().map(u64::from_be_bytes).map_err(|_| PacketRejection::Malformed)
     }
 }
--- a/crates/wingfold-metrics/src/collectd/tests.rs
+++ b/crates/wingfold-metrics/src/collectd/tests.rs
@@ -1,15 +1,16 @@
-//! The protocol both ways, its security, and what the intake makes of packets.
+//! The protocol both ways, its security, and what the receiver makes of packets.
 
-use super::intake::MAX_REMEMBERED;
+use super::load_receiver::MAX_REMEMBERED;
 use super::security::open;
 use super::*;
-use crate::catalogue::Figure;
+use crate::catalogue::Metric;
+use crate::interval::{Distribution, Interval, Sample, Value};
 use proptest::prelude::*;
 use rand::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
-use wingfold_director::interface::{HostLoad, Micros};
+use wingfold_director::interface::{HostLoad, Micros, Timestamp};
 
 const NOW: Timestamp = Timestamp(1_796_083_200_000_000);
 
@@ -17,37 +18,41 @@
     ChaCha8Rng::seed_from_u64(1)
 }
 
-fn load(host: &str, at: Timestamp, value: f64) -> List {
-    List {
+fn load(host: &str, at: Timestamp, value: f64) -> ValueList {
+    ValueList {
         host: host.into(),
         plugin: "load".into(),
-        kind: "load".into(),
+        type_name: "load".into(),
         time: high_resolution(at.0),
         interval: high_resolution(10_000_000),
         values: vec![TypedValue::Gauge(value), TypedValue::Gauge(1.0), TypedValue::Gauge(1.0)],
-        ..List::default()
+        ..ValueList::default()
     }
 }
 
-fn secrets() -> [Secrecy; 3] {
-    let user = || ("lines".to_string(), "a key that is long".to_string());
-    [Secrecy::Plain, Secrecy::Signed(user().0, user().1), Secrecy::Encrypted(user().0, user().1)]
+fn credentials(user: &str, key: &str) -> Credentials {
+    Credentials { user: user.into(), key: key.into() }
+}
+
+fn securities() -> [PacketSecurity; 3] {
+    let credentials = || credentials("lines", "a key that is long");
+    [PacketSecurity::None, PacketSecurity::Signed(credentials()), PacketSecurity::Encrypted(credentials())]
 }
 
 fn users() -> Users {
-    Users::read("# those who may\nlines: a key that is long\n\nother: another key\n").unwrap()
+    Users::parse("# those who may\nlines: a key that is long\n\nother: another key\n").unwrap()
 }
 
-fn intake(secured: bool) -> Intake {
+fn load_receiver(secured: bool) -> LoadReceiver {
     let mapped = MappedHost { host: "s-1".into(), cores: 4.0 };
-    Intake::new(users(), secured, BTreeMap::from([("db1".to_string(), mapped)]))
+    LoadReceiver::new(users(), secured, BTreeMap::from([("db1".to_string(), mapped)]))
 }
 
 #[test]
 fn the_bytes_are_those_of_the_protocols_description() {
-    let list = List {
+    let list = ValueList {
         plugin_instance: "x".into(),
-        kind_instance: "y".into(),
+        type_instance: "y".into(),
         ..load("h", Timestamp(1_000_000), 2.5)
     };
     let mut expected = vec![0, 0, 0, 6, b'h', 0];
@@ -61,16 +66,21 @@
     expected.extend(2.5f64.to_le_bytes());
     expected.extend(1f64.to_le_bytes());
     expected.extend(1f64.to_le_bytes());
-    let packets = packets(std::slice::from_ref(&list), PACKET, &Secrecy::Plain, &mut chance());
+    let packets = encode_packets(
+        std::slice::from_ref(&list),
+        DEFAULT_PACKET_BYTES,
+        &PacketSecurity::None,
+        &mut chance(),
+    );
     assert_eq!(packets, [expected]);
-    assert_eq!(read(&packets[0]).unwrap(), [list]);
+    assert_eq!(decode_packet(&packets[0]).unwrap(), [list]);
 }
 
 #[test]
 fn a_signature_is_that_of_the_user_and_the_packet() {
     // HMAC-SHA-256 of "lines" and the packet under the key, worked out by parts here.
-    let [_, signed, _] = secrets();
-    let packet = &packets(&[load("db1", NOW, 1.0)], PACKET, &signed, &mut chance())[0];
+    let [_, signed, _] = securities();
+    let packet = &encode_packets(&[load("db1", NOW, 1.0)], DEFAULT_PACKET_BYTES, &signed, &mut chance())[0];
     assert_eq!(packet[..4], [2, 0, 0, 36 + 5]);
     assert_eq!(&packet[36..41], b"lines");
     let key = {
@@ -92,26 +102,28 @@
     for zone in 0..6 {
         for class in 0..3 {
             let value = Value::Count((zone * 10 + class) as u64);
-            samples.push(Sample { figure: Figure::ServiceAsked, labels: labels(zone, class), value });
+            samples.push(Sample { metric: Metric::ServiceAsked, labels: labels(zone, class), value });
         }
     }
-    samples.push(Sample { figure: Figure::Load, labels: vec![], value: Value::Gauge(f64::INFINITY) });
+    samples.push(Sample { metric: Metric::Load, labels: vec![], value: Value::Gauge(f64::INFINITY) });
     samples.push(Sample {
-        figure: Figure::TableWritten,
+        metric: Metric::TableWritten,
         labels: vec![],
-        value: Value::Spread(9, [1.0, 2.0, 3.0, 4.0]),
+        value: Value::Distribution(Distribution { count: 9, p50: 1.0, p90: 2.0, p99: 3.0, max: 4.0 }),
     });
-    let interval = Interval { number: 1, at: NOW, length: Micros(10_000_000), samples, mended: vec![] };
-    let lists: Vec<List> = interval.samples.iter().filter_map(|one| list("n.3", &interval, one)).collect();
+    let interval =
+        Interval { number: 1, ended_at: NOW, length: Micros(10_000_000), samples, corrections: vec![] };
+    let lists: Vec<ValueList> =
+        interval.samples.iter().filter_map(|one| ValueList::from_sample("n.3", &interval, one)).collect();
     assert_eq!(lists.len(), 19, "what is no number is left out");
     assert_eq!(lists[0].plugin_instance, "hall_200.class-0");
-    assert_eq!((&*lists[0].kind_instance, &*lists[18].kind), ("service.asked", "wingfold_spread"));
-    for secrecy in &secrets() {
-        let packets = packets(&lists, 400, secrecy, &mut chance());
-        assert!(packets.len() > 2 && packets.iter().all(|packet| packet.len() <= 400), "{secrecy:?}");
-        let read: Vec<List> = packets
+    assert_eq!((&*lists[0].type_instance, &*lists[18].type_name), ("service.asked", "wingfold_spread"));
+    for security in &securities() {
+        let packets = encode_packets(&lists, 400, security, &mut chance());
+        assert!(packets.len() > 2 && packets.iter().all(|packet| packet.len() <= 400), "{security:?}");
+        let read: Vec<ValueList> = packets
             .iter()
-            .flat_map(|packet| read(&open(packet, &users()).unwrap().contents).unwrap())
+            .flat_map(|packet| decode_packet(&open(packet, &users()).unwrap().contents).unwrap())
             .collect();
         assert_eq!(read, lists);
     }
@@ -119,75 +131,98 @@
 
 #[test]
 fn a_machines_load_becomes_its_hosts_and_is_told_once() {
-    for (secured, secrecy) in [false, true, true].into_iter().zip(&secrets()) {
-        let mut intake = intake(secured);
+    for (secured, security) in [false, true, true].into_iter().zip(&securities()) {
+        let mut receiver = load_receiver(secured);
         let packet = |at: u64, value: f64| {
             let list = load("db1", Timestamp(NOW.0 + at), value);
-            packets(&[list], PACKET, secrecy, &mut ChaCha8Rng::seed_from_u64(at)).remove(0)
+            encode_packets(&[list], DEFAULT_PACKET_BYTES, security, &mut ChaCha8Rng::seed_from_u64(at))
+                .remove(0)
         };
         let first = packet(0, 3.0);
-        let busy = intake.take(NOW, &first).unwrap();
-        assert_eq!(busy, [("s-1".to_string(), HostLoad { utilization: Some(0.75), ..HostLoad::default() })]);
-        assert_eq!(intake.take(NOW, &first).unwrap_err(), Refused::Replayed, "{secrecy:?}");
+        let busy = receiver.receive(NOW, &first).unwrap();
+        assert_eq!(
+            busy,
+            [ReportedLoad {
+                host: "s-1".into(),
+                load: HostLoad { utilization: Some(0.75), ..HostLoad::default() }
+            }]
+        );
+        assert_eq!(receiver.receive(NOW, &first).unwrap_err(), PacketRejection::Replayed, "{security:?}");
         let later = Timestamp(NOW.0 + 10_000_000);
-        assert_eq!(intake.take(later, &packet(10_000_000, 9.0)).unwrap()[0].1.utilization, Some(1.0));
+        assert_eq!(receiver.receive(later, &packet(10_000_000, 9.0)).unwrap()[0].load.utilization, Some(1.0));
         assert_eq!(
-            intake.take(later, &packet(9_000_000, 1.0)).unwrap_err(),
-            Refused::Replayed,
+            receiver.receive(later, &packet(9_000_000, 1.0)).unwrap_err(),
+            PacketRejection::Replayed,
             "an older one"
         );
         let hour = Timestamp(NOW.0 + 3_600_000_000);
-        assert_eq!(intake.take(hour, &packet(20_000_000, 1.0)).unwrap_err(), Refused::Replayed, "long ago");
-        assert_eq!(intake.take(NOW, &packet(60_000_000, 1.0)).unwrap_err(), Refused::Replayed, "ahead");
-        let other = packets(&[load("db2", NOW, 1.0)], PACKET, secrecy, &mut chance()).remove(0);
-        assert_eq!(intake.take(NOW, &other).unwrap_err(), Refused::Host);
-        assert_eq!((intake.taken, intake.refused[&Refused::Replayed]), (2, 4));
+        assert_eq!(
+            receiver.receive(hour, &packet(20_000_000, 1.0)).unwrap_err(),
+            PacketRejection::Replayed,
+            "long ago"
+        );
+        assert_eq!(
+            receiver.receive(NOW, &packet(60_000_000, 1.0)).unwrap_err(),
+            PacketRejection::Replayed,
+            "ahead"
+        );
+        let other =
+            encode_packets(&[load("db2", NOW, 1.0)], DEFAULT_PACKET_BYTES, security, &mut chance()).remove(0);
+        assert_eq!(receiver.receive(NOW, &other).unwrap_err(), PacketRejection::UnknownHost);
+        assert_eq!((receiver.accepted, receiver.rejected[&PacketRejection::Replayed]), (2, 4));
     }
 }
 
 #[test]
 fn wrong_keys_users_and_changed_or_cut_packets_are_refused() {
-    let [plain, signed, encrypted] = secrets();
-    let one = |secrecy: &Secrecy| packets(&[load("db1", NOW, 1.0)], PACKET, secrecy, &mut chance()).remove(0);
-    assert_eq!(intake(true).take(NOW, &one(&plain)).unwrap_err(), Refused::Open);
-    for secrecy in [&signed, &encrypted] {
-        let packet = one(secrecy);
+    let [plain, signed, encrypted] = securities();
+    let one = |security: &PacketSecurity| {
+        encode_packets(&[load("db1", NOW, 1.0)], DEFAULT_PACKET_BYTES, security, &mut chance()).remove(0)
+    };
+    assert_eq!(load_receiver(true).receive(NOW, &one(&plain)).unwrap_err(), PacketRejection::Unsecured);
+    for security in [&signed, &encrypted] {
+        let packet = one(security);
         for at in 0..packet.len() {
             let mut changed = packet.clone();
             changed[at] ^= 0x20;
-            assert!(intake(true).take(NOW, &changed).is_err(), "{secrecy:?}, byte {at}");
-            assert!(intake(true).take(NOW, &packet[..at]).is_err(), "{secrecy:?}, cut at {at}");
+            assert!(load_receiver(true).receive(NOW, &changed).is_err(), "{security:?}, byte {at}");
+            assert!(load_receiver(true).receive(NOW, &packet[..at]).is_err(), "{security:?}, cut at {at}");
         }
     }
-    let stranger = Secrecy::Signed("nobody".into(), "a key that is long".into());
-    assert_eq!(intake(true).take(NOW, &one(&stranger)).unwrap_err(), Refused::User);
-    let liar = Secrecy::Encrypted("other".into(), "a key that is long".into());
-    assert_eq!(intake(true).take(NOW, &one(&liar)).unwrap_err(), Refused::Key);
+    let stranger = PacketSecurity::Signed(credentials("nobody", "a key that is long"));
+    assert_eq!(load_receiver(true).receive(NOW, &one(&stranger)).unwrap_err(), PacketRejection::UnknownUser);
+    let liar = PacketSecurity::Encrypted(credentials("other", "a key that is long"));
+    assert_eq!(load_receiver(true).receive(NOW, &one(&liar)).unwrap_err(), PacketRejection::InvalidKey);
     for (text, line) in [("a", 1), ("a: b\na: c", 2), (": x", 1), ("a:", 1)] {
-        assert_eq!(Users::read(text).unwrap_err(), line, "{text}");
+        assert_eq!(Users::parse(text).unwrap_err().line, line, "{text}");
     }
     assert!(!format!("{:?} {signed:?}", users()).contains("key that"), "keys are in no log");
 }
 
 #[test]
 fn what_is_remembered_is_bounded() {
-    let mut intake = intake(true);
-    let [_, signed, _] = secrets();
+    let mut receiver = load_receiver(true);
+    let [_, signed, _] = securities();
     for at in 0..20_000u64 {
         let now = Timestamp(NOW.0 + at * 1000);
-        let packet = packets(&[load("db1", now, 1.0)], PACKET, &signed, &mut chance()).remove(0);
-        intake.take(now, &packet).unwrap();
+        let packet =
+            encode_packets(&[load("db1", now, 1.0)], DEFAULT_PACKET_BYTES, &signed, &mut chance()).remove(0);
+        receiver.receive(now, &packet).unwrap();
     }
     assert!(
-        intake.seen.len() <= MAX_REMEMBERED && intake.order.len() <= MAX_REMEMBERED && intake.last.len() == 1
+        receiver.accepted_fingerprints.len() <= MAX_REMEMBERED
+            && receiver.accepted_packets.len() <= MAX_REMEMBERED
+            && receiver.last_times.len() == 1
     );
 }
 
 #[test]
 fn a_million_random_packets_do_no_harm() {
     let mut chance = chance();
-    let mut intake = intake(false);
-    let sound = packets(&[load("db1", NOW, 1.0)], PACKET, &Secrecy::Plain, &mut chance).remove(0);
+    let mut receiver = load_receiver(false);
+    let sound =
+        encode_packets(&[load("db1", NOW, 1.0)], DEFAULT_PACKET_BYTES, &PacketSecurity::None, &mut chance)
+            .remove(0);
     let mut bytes = [0; 96];
     for number in 0..1_000_000u32 {
         let length = chance.next_u32() as usize % 96;
@@ -198,9 +233,9 @@
             let some = &sound[from..];
             bytes[..some.len().min(at)].copy_from_slice(&some[..some.len().min(at)]);
         }
-        let _ = intake.take(NOW, &bytes[..length]);
+        let _ = receiver.receive(NOW, &bytes[..length]);
     }
-    assert_eq!(intake.taken + intake.refused.values().sum::<u64>(), 1_000_000);
+    assert_eq!(receiver.accepted + receiver.rejected.values().sum::<u64>(), 1_000_000);
 }
 
 proptest! {
@@ -212,13 +247,13 @@
             2 => TypedValue::Derive(*bits as i64),
             _ => TypedValue::Absolute(*bits),
         };
-        let list = List {
+        let list = ValueList {
             host: names[0].clone(), plugin: names[1].clone(), plugin_instance: names[2].clone(),
-            kind: names[3].clone(), kind_instance: names[4].clone(), time, interval: 7, values: kinds.iter().map(one).collect(),
+            type_name: names[3].clone(), type_instance: names[4].clone(), time, interval: 7, values: kinds.iter().map(one).collect(),
         };
-        let lists = vec![list.clone(), List { kind_instance: "z".into(), ..list }];
-        let packets = packets(&lists, PACKET, &Secrecy::Plain, &mut chance());
-        let back: Vec<List> = packets.iter().flat_map(|packet| read(packet).unwrap()).collect();
+        let lists = vec![list.clone(), ValueList { type_instance: "z".into(), ..list }];
+        let packets = encode_packets(&lists, DEFAULT_PACKET_BYTES, &PacketSecurity::None, &mut chance());
+        let back: Vec<ValueList> = packets.iter().flat_map(|packet| decode_packet(packet).unwrap()).collect();
         prop_assert_eq!(back, lists);
     }
 }
--- a/crates/wingfold-metrics/src/collectd/value.rs
+++ b/crates/wingfold-metrics/src/collectd/value.rs
@@ -1,27 +1,28 @@
-//! Values and their kinds, as the contents of a part.
+//! Values with their types, as the contents of a part.
 
 use super::part::split_u16;
-use super::Refused;
+use super::PacketRejection;
 
-/// Bytes of a value's kind and of its number.
-const KIND_BYTES: usize = 1;
+/// Bytes of a value's type.
+const TYPE_BYTES: usize = 1;
+/// Bytes of a value's number.
 const NUMBER_BYTES: usize = 8;
 
-/// TypedValue value with its kind.
+/// A value with its type.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TypedValue {
-    /// Ever growing, of a width that wraps.
+    /// A running total that may wrap.
     Counter(u64),
-    /// As it is.
+    /// A value at a time.
     Gauge(f64),
-    /// Growing or falling; its rate is what counts.
+    /// A total that may also fall, of which the rate matters.
     Derive(i64),
-    /// Counted since the last reading.
+    /// Events since the last reading.
     Absolute(u64),
 }
 
 impl TypedValue {
-    fn kind(&self) -> u8 {
+    fn type_code(&self) -> u8 {
         match self {
             TypedValue::Counter(_) => 0,
             TypedValue::Gauge(_) => 1,
@@ -30,7 +31,15 @@
         }
     }
 
-    /// Gauges alone are little-endian.
+    /// Whether receivers accept it: a gauge must be finite.
+    pub(super) fn is_valid(&self) -> bool {
+        match self {
+            TypedValue::Gauge(value) => value.is_finite(),
+            _ => true,
+        }
+    }
+
+    /// Only gauges are little-endian.
     fn to_bytes(self) -> [u8; NUMBER_BYTES] {
         match self {
             TypedValue::Counter(value) | TypedValue::Absolute(value) => value.to_be_bytes(),
@@ -39,36 +48,36 @@
         }
     }
 
-    fn from_bytes(kind: u8, bytes: [u8; NUMBER_BYTES]) -> Result<TypedValue, Refused> {
-        match kind {
+    fn from_bytes(type_code: u8, bytes: [u8; NUMBER_BYTES]) -> Result<TypedValue, PacketRejection> {
+        match type_code {
             0 => Ok(TypedValue::Counter(u64::from_be_bytes(bytes))),
             1 => Ok(TypedValue::Gauge(f64::from_le_bytes(bytes))),
             2 => Ok(TypedValue::Derive(i64::from_be_bytes(bytes))),
             3 => Ok(TypedValue::Absolute(u64::from_be_bytes(bytes))),
-            _ => Err(Refused::Form),
+            _ => Err(PacketRejection::Malformed),
         }
     }
 }
 
-/// Values as the contents of a part: their count, all kinds, all numbers.
+/// Values as the contents of a part: their count, all types, all numbers.
 pub(super) fn write_values(values: &[TypedValue]) -> Vec<u8> {
     let mut contents = (values.len() as u16).to_be_bytes().to_vec();
-    contents.extend(values.iter().map(TypedValue::kind));
+    contents.extend(values.iter().map(TypedValue::type_code));
     contents.extend(values.iter().flat_map(|value| value.to_bytes()));
     contents
 }
 
-/// Reads values from the contents of a part.
-pub(super) fn read_values(contents: &[u8]) -> Result<Vec<TypedValue>, Refused> {
+/// Decodes values from the contents of a part.
+pub(super) fn read_values(contents: &[u8]) -> Result<Vec<TypedValue>, PacketRejection> {
     let (count, rest) = split_u16(contents)?;
     let count = usize::from(count);
-    if rest.len() != count * (KIND_BYTES + NUMBER_BYTES) || count == 0 {
-        return Err(Refused::Form);
+    if rest.len() != count * (TYPE_BYTES + NUMBER_BYTES) || count == 0 {
+        return Err(PacketRejection::Malformed);
     }
-    let (kinds, numbers) = rest.split_at(count * KIND_BYTES);
-    let value = |(kind, bytes): (&u8, &[u8])| {
-        let bytes = bytes.try_into().map_err(|_| Refused::Form)?;
-        TypedValue::from_bytes(*kind, bytes)
+    let (type_codes, numbers) = rest.split_at(count * TYPE_BYTES);
+    let value = |(type_code, bytes): (&u8, &[u8])| {
+        let bytes = bytes.try_into().map_err(|_| PacketRejection::Malformed)?;
+        TypedValue::from_bytes(*type_code, bytes)
     };
-    kinds.iter().zip(numbers.chunks_exact(NUMBER_BYTES)).map(value).collect()
+    type_codes.iter().zip(numbers.chunks_exact(NUMBER_BYTES)).map(value).collect()
 }
--- a/crates/wingfold-metrics/src/graphite.rs
+++ b/crates/wingfold-metrics/src/graphite.rs
@@ -1,94 +1,109 @@
-//! Intervals as Graphite takes them: plain lines, and pickled lists behind a length. From the public description of
-//! carbon's protocols ("Feeding In Your Data" of Graphite's documentation): `path value time\n`, tags as `;name=value`
-//! behind the path; or a big-endian length of four bytes and a pickled list of `(path, (time, value))`.
+//! Encodings of Graphite: plain text lines, and pickled lists with a length prefix. After the public description of carbon's
+//! protocols ("Feeding In Your Data" of Graphite's documentation): `path value time\n` with tags as `;name=value` after the
+//! path, or a big-endian length of four bytes and a pickled list of `(path, (time, value))`.
 
-use crate::meter::{Interval, Sample, Value};
-use crate::names::encode;
+#[cfg(test)]
+mod tests;
+
+use crate::interval::{Interval, Sample, Value};
+use crate::label_encoding::encode;
 use std::sync::Arc;
 use wingfold_director::interface::Timestamp;
 
-/// Points of one pickled message: its receivers refuse messages of more than a megabyte.
-const PICKLED: usize = 500;
-/// Bytes of one datagram: within what every path carries in one piece.
-pub const DATAGRAM: usize = 1400;
+/// Points of one pickled message: receivers reject messages of more than a megabyte.
+const POINTS_PER_PICKLE: usize = 500;
+/// Bytes of one datagram: small enough not to be fragmented.
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
+
+const MICROS_PER_S: u64 = 1_000_000;
 
-/// How names are written.
+/// How paths are written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Naming {
-    /// What every path begins with; dots part it.
+    /// Parts that every path begins with, separated by dots; may be empty.
     pub prefix: String,
-    /// The director, a part of its own.
+    /// The director's name.
     pub director: String,
-    /// Labels as tags instead of parts of the path.
+    /// Whether the director and the labels are written as tags instead of parts of the path.
     pub tags: bool,
 }
 
-/// One value under its whole name.
+/// One value with its path.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Point {
-    /// The path, tags included.
+    /// The path, with tags.
     pub path: String,
     /// The value.
     pub value: f64,
-    /// The end of its interval, in seconds of the world's clock.
+    /// The end of the value's interval, in seconds of the Unix epoch.
     pub time: u64,
 }
 
 impl Naming {
-    /// A sample's name and that of each of its values.
+    /// The paths and values of a sample: one of a counter or a gauge, five of a distribution.
     pub fn paths(&self, sample: &Sample) -> Vec<(String, f64)> {
-        let entry = sample.figure.entry();
-        let path = |last: &str| {
-            let mut path = String::new();
-            if !self.prefix.is_empty() {
-                path.push_str(&self.prefix);
-                path.push('.');
-            }
-            if !self.tags {
-                path.push_str(&encode(&self.director));
-                path.push('.');
-            }
-            path.push_str(entry.name);
-            if !self.tags {
-                for label in &sample.labels {
-                    path.push('.');
-                    path.push_str(&encode(label));
-                }
-            }
-            if !last.is_empty() {
-                path.push('.');
-                path.push_str(last);
-            }
-            if self.tags {
-                path.push_str(&format!(";director={}", encode(&self.director)));
-                for (name, label) in entry.labels.iter().zip(&sample.labels) {
-                    path.push_str(&format!(";{name}={}", encode(label)));
-                }
-            }
-            path
-        };
         match sample.value {
-            Value::Count(count) => vec![(path(""), count as f64)],
-            Value::Gauge(value) => vec![(path(""), value)],
-            Value::Spread(count, [p50, p90, p99, max]) => {
-                let values =
-                    [("count", count as f64), ("p50", p50), ("p90", p90), ("p99", p99), ("max", max)];
-                values.into_iter().map(|(name, value)| (path(name), value)).collect()
+            Value::Count(count) => vec![(self.path(sample, ""), count as f64)],
+            Value::Gauge(value) => vec![(self.path(sample, ""), value)],
+            Value::Distribution(distribution) => {
+                let values = [
+                    ("count", distribution.count as f64),
+                    ("p50", distribution.p50),
+                    ("p90", distribution.p90),
+                    ("p99", distribution.p99),
+                    ("max", distribution.max),
+                ];
+                values.into_iter().map(|(name, value)| (self.path(sample, name), value)).collect()
+            }
+        }
+    }
+
+    /// The path of a sample's value; `value_name` is empty if the sample has only one.
+    fn path(&self, sample: &Sample, value_name: &str) -> String {
+        let descriptor = sample.metric.descriptor();
+        let mut parts: Vec<String> = Vec::new();
+        if !self.prefix.is_empty() {
+            parts.push(self.prefix.clone());
+        }
+        if !self.tags {
+            parts.push(encode(&self.director));
+        }
+        parts.push(descriptor.name.to_string());
+        if !self.tags {
+            parts.extend(sample.labels.iter().map(|label| encode(label)));
+        }
+        if !value_name.is_empty() {
+            parts.push(value_name.to_string());
+        }
+        let mut path = parts.join(".");
+        if self.tags {
+            path.push_str(&format!(";director={}", encode(&self.director)));
+            for (name, label) in descriptor.labels.iter().zip(&sample.labels) {
+                path.push_str(&format!(";{name}={}", encode(label)));
             }
         }
+        path
     }
 
-    /// All points of an interval, those of earlier ones that were mended first. What is no number is left out.
+    /// All points of an interval, the corrections of earlier ones first. Values that are not finite are left out.
     pub fn points(&self, interval: &Interval) -> Vec<Point> {
-        let seconds = |at: Timestamp| at.0 / 1_000_000;
-        let mended =
-            interval.mended.iter().flat_map(|(at, samples)| samples.iter().map(move |one| (*at, one)));
-        let all = mended.chain(interval.samples.iter().map(|one| (interval.at, one)));
-        let points = all.flat_map(|(at, sample)| {
-            let named = self.paths(sample).into_iter().filter(|(_, value)| value.is_finite());
-            named.map(move |(path, value)| Point { path, value, time: seconds(at) })
-        });
-        points.collect()
+        let mut points = Vec::new();
+        for correction in &interval.corrections {
+            self.add_points(correction.ended_at, &correction.samples, &mut points);
+        }
+        self.add_points(interval.ended_at, &interval.samples, &mut points);
+        points
+    }
+
+    fn add_points(&self, ended_at: Timestamp, samples: &[Sample], points: &mut Vec<Point>) {
+        let time = ended_at.0 / MICROS_PER_S;
+        for sample in samples {
+            for (path, value) in self.paths(sample) {
+                if value.is_finite() {
+                    points.push(Point { path, value, time });
+                }
+            }
+        }
     }
 }
 
@@ -96,36 +111,34 @@
     format!("{} {} {}\n", point.path, point.value, point.time)
 }
 
-/// Lines, for TCP.
-pub fn plain(points: &[Point]) -> Arc<[u8]> {
+/// Encodes points as lines, for TCP.
+pub fn encode_lines(points: &[Point]) -> Arc<[u8]> {
     points.iter().map(line).collect::<String>().into_bytes().into()
 }
 
-/// Whole lines in datagrams, for UDP.
-pub fn datagrams(points: &[Point]) -> Vec<Vec<u8>> {
-    let mut out: Vec<Vec<u8>> = Vec::new();
+/// Encodes points as datagrams of complete lines, for UDP.
+pub fn encode_datagrams(points: &[Point]) -> Vec<Vec<u8>> {
+    let mut datagrams: Vec<Vec<u8>> = Vec::new();
     for line in points.iter().map(line) {
-        match out.last_mut().filter(|last| last.len() + line.len() <= DATAGRAM) {
-            Some(last) => last.extend(line.into_bytes()),
-            None => out.push(line.into_bytes()),
+        let has_room = |datagram: &&mut Vec<u8>| datagram.len() + line.len() <= MAX_DATAGRAM_BYTES;
+        match datagrams.last_mut().filter(has_room) {
+            Some(datagram) => datagram.extend(line.into_bytes()),
+            None => datagrams.push(line.into_bytes()),
         }
     }
-    out
+    datagrams
 }
 
-/// Pickled lists, each behind its length, for TCP.
-pub fn pickle(points: &[Point]) -> Arc<[u8]> {
-    let mut out = Vec::new();
-    for some in points.chunks(PICKLED) {
+/// Encodes points as pickled lists with length prefixes, for TCP.
+pub fn encode_pickles(points: &[Point]) -> Arc<[u8]> {
+    let mut messages = Vec::new();
+    for chunk in points.chunks(POINTS_PER_PICKLE) {
         let list: Vec<(&str, (u64, f64))> =
-            some.iter().map(|point| (point.path.as_str(), (point.time, point.value))).collect();
+            chunk.iter().map(|point| (point.path.as_str(), (point.time, point.value))).collect();
         let options = serde_pickle::SerOptions::new().proto_v2();
-        let bytes = serde_pickle::to_vec(&list, options).expect("texts and numbers can be pickled");
-        out.extend((bytes.len() as u32).to_be_bytes());
-        out.extend(bytes);
+        let pickle = serde_pickle::to_vec(&list, options).expect("strings and numbers can be pickled");
+        messages.extend((pickle.len() as u32).to_be_bytes());
+        messages.extend(pickle);
     }
-    out.into()
+    messages.into()
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/wingfold-metrics/src/graphite/tests.rs
+++ b/crates/wingfold-metrics/src/graphite/tests.rs
@@ -1,23 +1,30 @@
+//! Lines, datagrams and pickles.
+
 use super::*;
-use crate::catalogue::Figure;
+use crate::catalogue::Metric;
+use crate::interval::{Correction, Distribution};
 
 fn interval(zone: &str) -> Interval {
     let labels = |labels: &[&str]| labels.iter().map(|label| Arc::from(*label)).collect();
-    let one = |figure, of: &[&str], value| Sample { figure, labels: labels(of), value };
+    let one = |metric, of: &[&str], value| Sample { metric, labels: labels(of), value };
     Interval {
         number: 1,
-        at: Timestamp(1_796_083_200_000_000),
+        ended_at: Timestamp(1_796_083_200_000_000),
         length: wingfold_director::interface::Micros(10_000_000),
         samples: vec![
-            one(Figure::ServiceAsked, &[zone, "verdict"], Value::Count(120)),
-            one(Figure::Admitted, &[], Value::Gauge(0.95)),
-            one(Figure::Load, &[], Value::Gauge(f64::NAN)),
-            one(Figure::TableWritten, &[], Value::Spread(7, [0.4, 0.9, 2.0, 3.5])),
+            one(Metric::ServiceAsked, &[zone, "verdict"], Value::Count(120)),
+            one(Metric::Admitted, &[], Value::Gauge(0.95)),
+            one(Metric::Load, &[], Value::Gauge(f64::NAN)),
+            one(
+                Metric::TableWritten,
+                &[],
+                Value::Distribution(Distribution { count: 7, p50: 0.4, p90: 0.9, p99: 2.0, max: 3.5 }),
+            ),
         ],
-        mended: vec![(
-            Timestamp(1_796_083_190_000_000),
-            vec![one(Figure::ServiceAsked, &[zone, "verdict"], Value::Count(99))],
-        )],
+        corrections: vec![Correction {
+            ended_at: Timestamp(1_796_083_190_000_000),
+            samples: vec![one(Metric::ServiceAsked, &[zone, "verdict"], Value::Count(99))],
+        }],
     }
 }
 
@@ -28,7 +35,7 @@
 #[test]
 fn lines_have_a_path_a_value_and_the_time_of_their_interval() {
     let points = naming(false).points(&interval("a b\n"));
-    let text = String::from_utf8(plain(&points).to_vec()).unwrap();
+    let text = String::from_utf8(encode_lines(&points).to_vec()).unwrap();
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(
         lines[0], "wingfold.n_2e3.service.asked.a_20b_0a.verdict 99 1796083190",
@@ -49,16 +56,16 @@
     let one = interval.samples[0].clone();
     interval.samples.extend((0..500).map(|_| one.clone()));
     let points = naming(false).points(&interval);
-    let packets = datagrams(&points);
+    let packets = encode_datagrams(&points);
     assert!(packets.len() > 10);
-    assert!(packets.iter().all(|packet| packet.len() <= DATAGRAM && packet.ends_with(b"\n")));
-    assert_eq!(packets.concat(), plain(&points).to_vec());
+    assert!(packets.iter().all(|packet| packet.len() <= MAX_DATAGRAM_BYTES && packet.ends_with(b"\n")));
+    assert_eq!(packets.concat(), encode_lines(&points).to_vec());
 }
 
 #[test]
 fn pickled_points_are_read_back_as_lists_of_pairs() {
     let points = naming(false).points(&interval("hall"));
-    let bytes = pickle(&points);
+    let bytes = encode_pickles(&points);
     let length = u32::from_be_bytes(bytes[..4].try_into().unwrap()) as usize;
     assert_eq!(bytes.len(), 4 + length);
     let read: Vec<(String, (u64, f64))> =
@@ -68,7 +75,7 @@
         assert_eq!((path, time, value.to_bits()), (&point.path, &point.time, point.value.to_bits()));
     }
     let many: Vec<Point> = (0..1200).map(|_| points[0].clone()).collect();
-    let bytes = pickle(&many);
+    let bytes = encode_pickles(&many);
     let (mut at, mut messages) = (0, 0);
     while at < bytes.len() {
         let length = u32::from_be_bytes(bytes[at..at + 4].try_into().unwrap()) as usize;
--- a/crates/wingfold-metrics/src/names/tests.rs
+++ b/crates/wingfold-metrics/src/label_encoding/tests.rs
@@ -1,3 +1,5 @@
+//! Encoded labels are distinct and can be decoded.
+
 use super::*;
 use proptest::prelude::*;
 
@@ -18,8 +20,8 @@
     fn every_label_is_read_back_and_none_meets_another(one in ".{0,30}", other in ".{0,30}") {
         let encoded = encode(&one);
         prop_assert!(encoded.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_'));
-        prop_assert!(encoded.len() <= LONGEST);
-        if encoded.len() < LONGEST {
+        prop_assert!(encoded.len() <= MAX_ENCODED_BYTES);
+        if encoded.len() < MAX_ENCODED_BYTES {
             prop_assert_eq!(decode(&encoded), Some(one.clone()));
         }
         prop_assert_eq!(one == other, encoded == encode(&other));
@@ -28,7 +30,7 @@
     #[test]
     fn long_labels_are_cut_and_stay_apart(label in "[a-z. é]{90,400}", more in "[a-z]{1,3}") {
         let (one, other) = (encode(&label), encode(&format!("{label}{more}")));
-        prop_assert!(one.len() <= LONGEST && other.len() <= LONGEST);
+        prop_assert!(one.len() <= MAX_ENCODED_BYTES && other.len() <= MAX_ENCODED_BYTES);
         prop_assert_ne!(one, other);
     }
 }
--- a/crates/wingfold-metrics/src/lib.rs
+++ b/crates/wingfold-metrics/src/lib.rs
@@ -1,19 +1,22 @@
-//! What a director tells of itself, and what happens to it on the way out: which figures there are, when silence is a
-//! figure, how much may wait for a receiver, when one is given up on and tried again, and how figures look to Graphite and
-//! collectd. Nothing here opens a socket or reads a clock (docs/figures-design.md).
+//! Metrics of a wingfold director: the catalogue, the values of each interval, the monitoring of their sources, the queue
+//! and the connection of each sink, and the encodings of Graphite and collectd. This crate does no I/O and reads no clock;
+//! its callers pass the time in (docs/figures-design.md).
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod catalogue;
 pub mod collectd;
 pub mod graphite;
+pub mod hash_ring;
+pub mod interval;
+pub mod label_encoding;
+pub mod lag;
 pub mod meter;
-pub mod names;
-pub mod receiver;
-pub mod silence;
-pub mod spread;
+pub mod sink;
+pub mod source_monitor;
 
-pub use catalogue::{Figure, Kind};
-pub use meter::{Interval, Meter, Sample, Value};
-pub use receiver::{Dropped, Input, Order, Receiver, Rules};
-pub use silence::{Silence, State};
+pub use catalogue::{Metric, MetricKind};
+pub use interval::{Distribution, Interval, Sample, Value};
+pub use meter::{ExternalValue, Meter};
+pub use sink::{DropReason, Sink, SinkAction, SinkEvent, SinkLimits};
+pub use source_monitor::{SourceMonitor, SourceState};
--- a/crates/wingfold-metrics/tests/large.rs
+++ b/crates/wingfold-metrics/tests/large.rs
@@ -4,9 +4,16 @@
 use std::time::Instant;
 use wingfold_director::interface::*;
 use wingfold_director::Director;
-use wingfold_metrics::collectd::{list, packets, Secrecy, PACKET};
+use wingfold_metrics::collectd::{
+    decode_packet, encode_packets, Credentials, PacketSecurity, ValueList, DEFAULT_PACKET_BYTES,
+};
 use wingfold_metrics::graphite::{self, Naming};
-use wingfold_metrics::{Figure, Interval, Meter};
+use wingfold_metrics::meter::ExternalValues;
+use wingfold_metrics::{Interval, Meter, Metric};
+
+fn credentials() -> Credentials {
+    Credentials { user: "u".into(), key: "k".into() }
+}
 
 fn site() -> (Director, Meter) {
     let zones: Vec<ZoneId> = (0..6).map(|at| ZoneId(format!("hall {at}").into())).collect();
@@ -52,7 +59,7 @@
     }));
     let now = Timestamp(1_000_000);
     let mut meter = Meter::new(now, Micros(10_000_000), &director, &["x", "y", "z"].map(String::from));
-    events.iter().for_each(|event| meter.told(now, event));
+    events.iter().for_each(|event| meter.record_event(now, event));
     director.handle(now, &events, &mut Vec::new());
     (director, meter)
 }
@@ -69,21 +76,22 @@
                 mean_latency: Micros(90_000),
                 load: HostLoad::default(),
             };
-            meter.told(Timestamp(4_000_000), &heard);
+            meter.record_event(Timestamp(4_000_000), &heard);
         }
     }
     for proxy in 0..900 {
         (0..3).for_each(|class| {
-            meter.told(
+            meter.record_event(
                 Timestamp(4_000_000),
                 &Event::Usage { proxy: ProxyId(proxy), class: ClassId(class), requests: sums },
             )
         });
     }
-    meter.look(Timestamp(10_000_000), &director);
+    meter.update(Timestamp(10_000_000), &director);
     let begun = Instant::now();
-    let written = Histogram::new(2).unwrap();
-    let interval = meter.interval(Timestamp(10_000_000), &director, &written, &[], &[]).unwrap();
+    let write_delays = Histogram::new(2).unwrap();
+    let external = ExternalValues { write_delays: &write_delays, totals: &[], gauges: &[] };
+    let interval = meter.end_interval(Timestamp(10_000_000), &director, external).unwrap();
     (interval, begun.elapsed().as_secs_f64())
 }
 
@@ -96,15 +104,15 @@
     assert_eq!(of("wingfold.n1.service.asked."), 18);
     assert_eq!(of("wingfold.n1.hosts.leading."), 6);
     assert!(points.iter().all(|point| !point.path.contains(' ')), "halls have blanks in their names");
-    let asked = interval.samples.iter().filter(|sample| sample.figure == Figure::ServiceAsked);
+    let asked = interval.samples.iter().filter(|sample| sample.metric == Metric::ServiceAsked);
     assert_eq!(asked.count(), 18);
-    let lists: Vec<_> = interval.samples.iter().filter_map(|one| list("n1", &interval, one)).collect();
+    let lists: Vec<_> =
+        interval.samples.iter().filter_map(|one| ValueList::from_sample("n1", &interval, one)).collect();
     let mut chance = <rand_chacha::ChaCha8Rng as rand::SeedableRng>::seed_from_u64(1);
-    let packets = packets(&lists, PACKET, &Secrecy::Plain, &mut chance);
-    let read: usize =
-        packets.iter().map(|packet| wingfold_metrics::collectd::read(packet).unwrap().len()).sum();
+    let packets = encode_packets(&lists, DEFAULT_PACKET_BYTES, &PacketSecurity::None, &mut chance);
+    let read: usize = packets.iter().map(|packet| decode_packet(packet).unwrap().len()).sum();
     assert_eq!(read, lists.len());
-    assert!(graphite::pickle(&points).len() > points.len() * 20);
+    assert!(graphite::encode_pickles(&points).len() > points.len() * 20);
 }
 
 #[test]
@@ -125,24 +133,27 @@
     };
     rate("lines", &|| {
         let points = naming.points(&interval);
-        graphite::plain(&points);
+        graphite::encode_lines(&points);
         points.len()
     });
     rate("pickles", &|| {
         let points = naming.points(&interval);
-        graphite::pickle(&points);
+        graphite::encode_pickles(&points);
         points.len()
     });
-    for (name, secrecy) in [
-        ("collectd", Secrecy::Plain),
-        ("collectd, signed", Secrecy::Signed("u".into(), "k".into())),
-        ("collectd, encrypted", Secrecy::Encrypted("u".into(), "k".into())),
+    for (name, security) in [
+        ("collectd", PacketSecurity::None),
+        ("collectd, signed", PacketSecurity::Signed(credentials())),
+        ("collectd, encrypted", PacketSecurity::Encrypted(credentials())),
     ] {
         rate(name, &|| {
-            let lists: Vec<_> =
-                interval.samples.iter().filter_map(|one| list("n1", &interval, one)).collect();
+            let lists: Vec<_> = interval
+                .samples
+                .iter()
+                .filter_map(|one| ValueList::from_sample("n1", &interval, one))
+                .collect();
             let mut chance = <rand_chacha::ChaCha8Rng as rand::SeedableRng>::seed_from_u64(1);
-            packets(&lists, PACKET, &secrecy, &mut chance);
+            encode_packets(&lists, DEFAULT_PACKET_BYTES, &security, &mut chance);
             lists.len()
         });
     }
--- a/crates/wingfold-node/src/collectd.rs
+++ b/crates/wingfold-node/src/collectd.rs
@@ -7,8 +7,8 @@
 use crate::startup::CollectdSocket;
 use std::sync::Arc;
 use tokio::net::UdpSocket;
-use wingfold_director::interface::{Event, HealthCheckOutcome, HostId, HostLoad};
-use wingfold_metrics::collectd::{Intake, Refused};
+use wingfold_director::interface::{Event, HealthCheckOutcome, HostId};
+use wingfold_metrics::collectd::{LoadReceiver, PacketRejection, ReportedLoad};
 
 /// Bytes of a packet: UDP has no longer ones.
 const MAX_PACKET_BYTES: usize = 65_535;
@@ -18,7 +18,7 @@
 /// Receives collectd's packets.
 pub struct CollectdReceiver {
     socket: UdpSocket,
-    intake: Intake,
+    receiver: LoadReceiver,
     clock: Clock,
     inbox: InboundSender,
     metrics: Arc<Metrics>,
@@ -28,8 +28,8 @@
     /// Receives from a bound socket, by its settings.
     pub fn new(collectd: CollectdSocket, clock: Clock, inbox: InboundSender, metrics: Arc<Metrics>) -> Self {
         let settings = collectd.settings;
-        let intake = Intake::new(settings.users, settings.secured, settings.map);
-        CollectdReceiver { socket: collectd.socket, intake, clock, inbox, metrics }
+        let receiver = LoadReceiver::new(settings.users, settings.secured, settings.map);
+        CollectdReceiver { socket: collectd.socket, receiver, clock, inbox, metrics }
     }
 
     /// Receives packets; never returns, and ends when it is dropped.
@@ -42,7 +42,7 @@
                 continue;
             };
             received += 1;
-            match self.intake.take(self.clock.now(), &buffer[..length]) {
+            match self.receiver.receive(self.clock.now(), &buffer[..length]) {
                 Ok(loads) => self.deliver(loads),
                 Err(reason) => {
                     self.metrics.collectd_rejected(reason).increment();
@@ -56,9 +56,9 @@
     }
 
     /// Delivers loads like the outcomes of health checks: no zone has reached the host, only its load is known.
-    fn deliver(&self, loads: Vec<(String, HostLoad)>) {
+    fn deliver(&self, loads: Vec<ReportedLoad>) {
         self.metrics.collectd_in_total.increment();
-        for (host, load) in loads {
+        for ReportedLoad { host, load } in loads {
             let host = HostId(host.into());
             let event = Event::HealthChecked { host, outcome: HealthCheckOutcome::Ok, load };
             self.inbox.send(InboundEvent::Report(event));
@@ -67,14 +67,14 @@
 }
 
 impl Metrics {
-    fn collectd_rejected(&self, reason: Refused) -> &MetricValue {
+    fn collectd_rejected(&self, reason: PacketRejection) -> &MetricValue {
         match reason {
-            Refused::Form => &self.collectd_refused_form_total,
-            Refused::Open => &self.collectd_refused_open_total,
-            Refused::User => &self.collectd_refused_user_total,
-            Refused::Key => &self.collectd_refused_key_total,
-            Refused::Replayed => &self.collectd_refused_replayed_total,
-            Refused::Host => &self.collectd_refused_host_total,
+            PacketRejection::Malformed => &self.collectd_refused_form_total,
+            PacketRejection::Unsecured => &self.collectd_refused_open_total,
+            PacketRejection::UnknownUser => &self.collectd_refused_user_total,
+            PacketRejection::InvalidKey => &self.collectd_refused_key_total,
+            PacketRejection::Replayed => &self.collectd_refused_replayed_total,
+            PacketRejection::UnknownHost => &self.collectd_refused_host_total,
         }
     }
 }
--- a/crates/wingfold-node/src/engine.rs
+++ b/crates/wingfold-node/src/engine.rs
@@ -71,7 +71,7 @@
     /// Writes out what a capture in memory holds.
     pub dumps: Option<CaptureDumper>,
     /// Counts for metrics receivers, where they are configured.
-    pub figures: Option<MetricsReporter>,
+    pub reporter: Option<MetricsReporter>,
 }
 
 impl Engine {
--- a/crates/wingfold-node/src/engine/actions.rs
+++ b/crates/wingfold-node/src/engine/actions.rs
@@ -8,6 +8,7 @@
 use crate::{invariant, log, stage};
 use std::time::Instant;
 use wingfold_director::interface::{Action, Event, Timestamp};
+use wingfold_metrics::meter::CallCounts;
 
 /// Parts that the protocol allows in one message.
 const MAX_PARTS_PER_MESSAGE: usize = 64;
@@ -47,8 +48,8 @@
         events: &mut Vec<Event>,
         actions: &mut Vec<Action>,
     ) -> Vec<ProxyUpdate> {
-        if let Some(figures) = &mut self.figures {
-            figures.record_events(now, events);
+        if let Some(reporter) = &mut self.reporter {
+            reporter.record_events(now, events);
         }
         if let Some(tap) = &mut self.tap {
             tap.before(now, &self.director);
@@ -166,10 +167,15 @@
         let duration_us = started_at.elapsed().as_micros() as u64;
         self.metrics.answers_total.increment();
         self.metrics.answer_us_total.add(duration_us);
-        if let Some(figures) = &mut self.figures {
+        if let Some(reporter) = &mut self.reporter {
             let _stage = stage!("book", call = self.calls).entered();
-            figures.meter.answered(duration_us, totals.messages, totals.lines, totals.queued_lines);
-            figures.finish_call(now, &self.director, &self.metrics);
+            reporter.meter.record_call(CallCounts {
+                duration_us,
+                messages: totals.messages,
+                lines: totals.lines,
+                queued_lines: totals.queued_lines,
+            });
+            reporter.finish_call(now, &self.director, &self.metrics);
         }
     }
 
--- a/crates/wingfold-node/src/engine/tests.rs
+++ b/crates/wingfold-node/src/engine/tests.rs
@@ -32,7 +32,7 @@
         calls: 0,
         tap: None,
         dumps: None,
-        figures: None,
+        reporter: None,
     }
 }
 
--- a/crates/wingfold-node/src/parts.rs
+++ b/crates/wingfold-node/src/parts.rs
@@ -134,7 +134,7 @@
         calls: 0,
         tap,
         dumps,
-        figures: outputs.reporter,
+        reporter: outputs.reporter,
     }
 }
 
--- a/crates/wingfold-node/src/reporting.rs
+++ b/crates/wingfold-node/src/reporting.rs
@@ -15,7 +15,8 @@
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 use wingfold_director::interface::{Event, Timestamp, ZoneId};
 use wingfold_director::Director;
-use wingfold_metrics::{Figure, Interval, Meter, Sample, Value};
+use wingfold_metrics::meter::ExternalValues;
+use wingfold_metrics::{ExternalValue, Interval, Meter, Metric, Sample, Value};
 
 /// Intervals that may wait for the sinks.
 const MAX_WAITING_INTERVALS: usize = 8;
@@ -139,9 +140,12 @@
         let values = match sample.value {
             Value::Count(count) => vec![count as f64],
             Value::Gauge(value) => vec![value],
-            Value::Spread(count, quantiles) => std::iter::once(count as f64).chain(quantiles).collect(),
+            Value::Distribution(distribution) => {
+                let quantiles = distribution.quantiles();
+                std::iter::once(distribution.count as f64).chain(quantiles).collect()
+            }
         };
-        PageSample(sample.figure.entry().name.to_string(), sample.labels.clone(), values)
+        PageSample(sample.metric.descriptor().name.to_string(), sample.labels.clone(), values)
     }
 }
 
@@ -159,21 +163,8 @@
 /// Where the sinks receive intervals.
 pub type IntervalReceiver = Receiver<Arc<Interval>>;
 
-/// A value that is counted outside of the meter.
-struct ExternalValue {
-    figure: Figure,
-    labels: Vec<Arc<str>>,
-    value: u64,
-}
-
-impl ExternalValue {
-    fn new(figure: Figure, labels: Vec<Arc<str>>, value: u64) -> ExternalValue {
-        ExternalValue { figure, labels, value }
-    }
-
-    fn as_tuple(&self) -> (Figure, &[Arc<str>], u64) {
-        (self.figure, &self.labels, self.value)
-    }
+fn external_value(metric: Metric, labels: Vec<Arc<str>>, value: u64) -> ExternalValue {
+    ExternalValue { metric, labels, value }
 }
 
 /// The engine's end of the metrics.
@@ -236,7 +227,7 @@
     /// Records the events that the decision module is about to handle.
     pub fn record_events(&mut self, now: Timestamp, events: &[Event]) {
         for event in events {
-            self.meter.told(now, event);
+            self.meter.record_event(now, event);
         }
     }
 
@@ -244,10 +235,10 @@
     pub fn finish_call(&mut self, now: Timestamp, director: &Director, metrics: &Metrics) {
         self.record_list_responses(now, metrics);
         for (zone, messages) in self.collector_activity.take() {
-            self.meter.collector(now, &zone, messages);
+            self.meter.record_collector_activity(now, &zone, messages);
         }
-        self.meter.look(now, director);
-        if now < self.meter.ends() {
+        self.meter.update(now, director);
+        if now < self.meter.interval_ends_at() {
             return;
         }
         if let Some(interval) = self.end_interval(now, director, metrics) {
@@ -262,7 +253,7 @@
         let responses = metrics.list_answers_total.get();
         if responses != self.list_responses {
             self.list_responses = responses;
-            self.meter.listed(now);
+            self.meter.record_list_response(now);
         }
     }
 
@@ -271,24 +262,23 @@
         let mut totals = self.totals(metrics);
         let mut gauges = Vec::new();
         self.add_sink_values(&mut totals, &mut gauges);
-        let totals: Vec<_> = totals.iter().map(ExternalValue::as_tuple).collect();
-        let gauges: Vec<_> = gauges.iter().map(ExternalValue::as_tuple).collect();
-        self.meter.interval(now, director, &write_delays, &totals, &gauges)
+        let external = ExternalValues { write_delays: &write_delays, totals: &totals, gauges: &gauges };
+        self.meter.end_interval(now, director, external)
     }
 
     /// Running totals of the whole director.
     fn totals(&self, metrics: &Metrics) -> Vec<ExternalValue> {
-        let total = |figure, value| ExternalValue::new(figure, Vec::new(), value);
+        let total = |metric, value| external_value(metric, Vec::new(), value);
         let mut totals = vec![
-            total(Figure::PeersIn, metrics.datagrams_in_total.get()),
-            total(Figure::PeersOut, metrics.datagrams_out_total.get()),
-            total(Figure::ReportsDropped, metrics.reports_dropped_total.get()),
-            total(Figure::CaptureLost, metrics.capture_calls_lost_total.get()),
-            total(Figure::Invariants, metrics.invariants_broken_total.get()),
+            total(Metric::PeersIn, metrics.datagrams_in_total.get()),
+            total(Metric::PeersOut, metrics.datagrams_out_total.get()),
+            total(Metric::ReportsDropped, metrics.reports_dropped_total.get()),
+            total(Metric::CaptureLost, metrics.capture_calls_lost_total.get()),
+            total(Metric::Invariants, metrics.invariants_broken_total.get()),
         ];
         for (reason, label) in INVALID_REASONS.into_iter().zip(&self.invalid_labels) {
             let value = metrics.invalid_so_far(reason);
-            totals.push(ExternalValue::new(Figure::Invalid, vec![label.clone()], value));
+            totals.push(external_value(Metric::Invalid, vec![label.clone()], value));
         }
         totals
     }
@@ -297,21 +287,21 @@
     fn add_sink_values(&self, totals: &mut Vec<ExternalValue>, gauges: &mut Vec<ExternalValue>) {
         let receivers = self.sink_stats.receivers.lock().unwrap_or_else(PoisonError::into_inner);
         for (receiver, counters) in receivers.iter() {
-            let value = |figure, value| ExternalValue::new(figure, vec![receiver.clone()], value);
-            totals.push(value(Figure::SinkSent, counters.sent_bytes));
-            totals.push(value(Figure::SinkCuts, counters.failed_connections));
+            let value = |metric, value| external_value(metric, vec![receiver.clone()], value);
+            totals.push(value(Metric::SinkSent, counters.sent_bytes));
+            totals.push(value(Metric::SinkCuts, counters.failed_connections));
             for (reason, count) in &counters.dropped {
                 let labels = vec![receiver.clone(), Arc::from(*reason)];
-                totals.push(ExternalValue::new(Figure::SinkDropped, labels, *count));
+                totals.push(external_value(Metric::SinkDropped, labels, *count));
             }
-            gauges.push(value(Figure::SinkWaiting, counters.waiting_bytes));
+            gauges.push(value(Metric::SinkWaiting, counters.waiting_bytes));
         }
     }
 
     fn show(&self, interval: &Interval) {
         self.last_interval.replace(IntervalPage {
             director: self.name.clone(),
-            ended_at_s: interval.at.secs(),
+            ended_at_s: interval.ended_at.secs(),
             length_s: interval.length.secs(),
             samples: interval.samples.iter().map(PageSample::new).collect(),
             causes: self.causes.as_ref().map(Causes::list).unwrap_or_default(),
--- a/crates/wingfold-node/src/sink.rs
+++ b/crates/wingfold-node/src/sink.rs
@@ -18,8 +18,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 use wingfold_director::interface::Timestamp;
-use wingfold_metrics::receiver::Receiver;
-use wingfold_metrics::Interval;
+use wingfold_metrics::{Interval, Sink};
 use wingfold_settings::own::Sinks;
 
 /// Separates the random numbers of the sinks from others of the same seed.
@@ -48,9 +47,9 @@
 }
 
 impl ReceiverHealth {
-    fn update(&self, core: &Receiver) {
-        let since_us = core.well_since().map_or(0, |since| since.0.max(1));
-        self.is_down.store(core.is_down(), Ordering::Relaxed);
+    fn update(&self, sink: &Sink) {
+        let since_us = sink.healthy_since().map_or(0, |since| since.0.max(1));
+        self.is_down.store(sink.is_down(), Ordering::Relaxed);
         self.healthy_since_us.store(since_us, Ordering::Relaxed);
     }
 
@@ -70,11 +69,7 @@
 #[derive(Clone, Debug)]
 enum Work {
     /// Bytes of an interval, for a connection.
-    Bytes {
-        /// The number of the interval.
-        interval: u64,
-        bytes: Arc<[u8]>,
-    },
+    Bytes(Arc<[u8]>),
     /// Datagrams of an interval.
     Datagrams(Arc<Vec<Vec<u8>>>),
 }
--- a/crates/wingfold-node/src/sink/group.rs
+++ b/crates/wingfold-node/src/sink/group.rs
@@ -10,11 +10,10 @@
 use std::sync::Arc;
 use tokio::sync::mpsc::{channel, Sender};
 use tokio::task::JoinHandle;
-use wingfold_metrics::collectd::{self, Secrecy};
+use wingfold_metrics::collectd::{self, PacketSecurity, ValueList};
 use wingfold_metrics::graphite::{self, Naming, Point};
-use wingfold_metrics::receiver::{Receiver, Rules};
-use wingfold_metrics::spread::Ring;
-use wingfold_metrics::Interval;
+use wingfold_metrics::hash_ring::HashRing;
+use wingfold_metrics::{Interval, Sink, SinkLimits};
 use wingfold_settings::own::{Collectd, Deal, Graphite, Protocol};
 
 /// Intervals that may wait for a task: it takes them at its next turn, and counts what it drops itself.
@@ -24,7 +23,7 @@
 #[derive(Clone, PartialEq)]
 enum Renderer {
     Graphite { naming: Naming, protocol: Protocol },
-    Collectd { director: String, packet_bytes: usize, secrecy: Secrecy },
+    Collectd { director: String, packet_bytes: usize, security: PacketSecurity },
 }
 
 impl Renderer {
@@ -41,9 +40,9 @@
     pub(super) name: &'a str,
     addresses: &'a [String],
     /// Assigns names to addresses, where each value goes to one of them.
-    ring: Option<Ring>,
+    ring: Option<HashRing>,
     renderer: Renderer,
-    rules: &'a Rules,
+    limits: &'a SinkLimits,
 }
 
 impl<'a> GroupSettings<'a> {
@@ -54,7 +53,7 @@
             tags: settings.tags,
         };
         let ring = match settings.deal {
-            Deal::Hash => Some(Ring::new(&settings.addresses, micros(settings.settle))),
+            Deal::Hash => Some(HashRing::new(&settings.addresses, micros(settings.settle))),
             Deal::All => None,
         };
         GroupSettings {
@@ -62,7 +61,7 @@
             addresses: &settings.addresses,
             ring,
             renderer: Renderer::Graphite { naming, protocol: settings.protocol },
-            rules: &settings.rules,
+            limits: &settings.rules,
         }
     }
 
@@ -70,14 +69,14 @@
         let renderer = Renderer::Collectd {
             director: context.director.clone(),
             packet_bytes: settings.packet,
-            secrecy: settings.secrecy.clone(),
+            security: settings.secrecy.clone(),
         };
         GroupSettings {
             name: &settings.name,
             addresses: std::slice::from_ref(&settings.address),
             ring: None,
             renderer,
-            rules: &settings.rules,
+            limits: &settings.rules,
         }
     }
 
@@ -113,7 +112,7 @@
             tokio::spawn(sink.run())
         } else {
             let seed = context.seed ^ fnv1a(address) ^ index as u64;
-            let core = Receiver::new(settings.rules.clone(), seed);
+            let core = Sink::new(settings.limits.clone(), seed);
             let sink = TcpSink::new(label, address.to_string(), work, core, context, health.clone());
             tokio::spawn(sink.run())
         };
@@ -140,7 +139,7 @@
 pub(super) struct Group {
     /// In the order of the settings.
     sinks: Vec<SinkHandle>,
-    ring: Option<Ring>,
+    ring: Option<HashRing>,
     renderer: Renderer,
 }
 
@@ -185,26 +184,26 @@
     /// Renders an interval and gives it to the tasks.
     pub(super) fn send(&mut self, interval: &Interval, context: &SinkContext, random: &mut ChaCha8Rng) {
         match &self.renderer {
-            Renderer::Collectd { director, packet_bytes, secrecy } => {
-                let lists: Vec<collectd::List> = interval
+            Renderer::Collectd { director, packet_bytes, security } => {
+                let lists: Vec<ValueList> = interval
                     .samples
                     .iter()
-                    .filter_map(|sample| collectd::list(director, interval, sample))
+                    .filter_map(|sample| ValueList::from_sample(director, interval, sample))
                     .collect();
-                let packets = collectd::packets(&lists, *packet_bytes, secrecy, random);
+                let packets = collectd::encode_packets(&lists, *packet_bytes, security, random);
                 self.sinks[0].give(Work::Datagrams(Arc::new(packets)), context);
             }
             Renderer::Graphite { naming, protocol } => {
                 let points = naming.points(interval);
                 let protocol = *protocol;
-                self.send_points(points, interval.number, protocol, context);
+                self.send_points(points, protocol, context);
             }
         }
     }
 
-    fn send_points(&mut self, points: Vec<Point>, interval: u64, protocol: Protocol, context: &SinkContext) {
+    fn send_points(&mut self, points: Vec<Point>, protocol: Protocol, context: &SinkContext) {
         let Some(ring) = &mut self.ring else {
-            let work = render_points(&points, interval, protocol);
+            let work = render_points(&points, protocol);
             for sink in &self.sinks {
                 sink.give(work.clone(), context);
             }
@@ -212,24 +211,24 @@
         };
         let now = context.clock.now();
         for (index, sink) in self.sinks.iter().enumerate() {
-            ring.learn(now, index, sink.health.is_down(), sink.health.healthy_since());
+            ring.update_health(now, index, sink.health.is_down(), sink.health.healthy_since());
         }
         let mut points_by_sink: Vec<Vec<Point>> = vec![Vec::new(); self.sinks.len()];
         for point in points {
-            points_by_sink[ring.of(&point.path)].push(point);
+            points_by_sink[ring.sink_for(&point.path)].push(point);
         }
         for (sink, points) in self.sinks.iter().zip(&points_by_sink) {
             if !points.is_empty() {
-                sink.give(render_points(points, interval, protocol), context);
+                sink.give(render_points(points, protocol), context);
             }
         }
     }
 }
 
-fn render_points(points: &[Point], interval: u64, protocol: Protocol) -> Work {
+fn render_points(points: &[Point], protocol: Protocol) -> Work {
     match protocol {
-        Protocol::Plain => Work::Bytes { interval, bytes: graphite::plain(points) },
-        Protocol::Pickle => Work::Bytes { interval, bytes: graphite::pickle(points) },
-        Protocol::Udp => Work::Datagrams(Arc::new(graphite::datagrams(points))),
+        Protocol::Plain => Work::Bytes(graphite::encode_lines(points)),
+        Protocol::Pickle => Work::Bytes(graphite::encode_pickles(points)),
+        Protocol::Udp => Work::Datagrams(Arc::new(graphite::encode_datagrams(points))),
     }
 }
--- a/crates/wingfold-node/src/sink/tcp.rs
+++ b/crates/wingfold-node/src/sink/tcp.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
-use wingfold_metrics::receiver::{Dropped, Input, Order, Receiver};
+use wingfold_metrics::{DropReason, Sink, SinkAction, SinkEvent};
 
 /// Bytes that the system may hold for a receiver besides its queue: they are in no counter, and a receiver that reads nothing
 /// would be found out only when the buffer is full.
@@ -40,7 +40,7 @@
     label: Arc<str>,
     address: String,
     queue: mpsc::Receiver<Work>,
-    core: Receiver,
+    core: Sink,
     clock: SinkClock,
     stats: Arc<SinkStats>,
     health: Arc<ReceiverHealth>,
@@ -55,7 +55,7 @@
         label: Arc<str>,
         address: String,
         queue: mpsc::Receiver<Work>,
-        core: Receiver,
+        core: Sink,
         context: &SinkContext,
         health: Arc<ReceiverHealth>,
     ) -> Self {
@@ -76,24 +76,24 @@
 
     /// Serves the receiver until the queue is closed.
     pub(super) async fn run(mut self) {
-        let mut orders = Vec::new();
-        while let Some(input) = self.next_input().await {
-            self.core.take(self.clock.now(), input, &mut orders);
-            for order in orders.drain(..) {
-                self.execute(order);
+        let mut actions = Vec::new();
+        while let Some(event) = self.next_event().await {
+            self.core.handle(self.clock.now(), event, &mut actions);
+            for action in actions.drain(..) {
+                self.execute(action);
             }
             self.health.update(&self.core);
             self.update_stats();
         }
     }
 
-    /// Waits for the next input of the core; `None` when the queue is closed.
-    async fn next_input(&mut self) -> Option<Input> {
+    /// Waits for the next event of the core; `None` when the queue is closed.
+    async fn next_event(&mut self) -> Option<SinkEvent> {
         loop {
-            let due = self.core.due().map(|at| self.clock.instant(at));
+            let deadline = self.core.next_deadline().map(|at| self.clock.instant(at));
             tokio::select! {
                 work = self.queue.recv() => match work {
-                    Some(Work::Bytes { interval, bytes }) => return Some(Input::Interval(interval, bytes)),
+                    Some(Work::Bytes(bytes)) => return Some(SinkEvent::Interval(bytes)),
                     Some(Work::Datagrams(_)) => {}
                     None => return None,
                 },
@@ -101,36 +101,36 @@
                 written = or_never(self.connection.as_mut().map(|connection| {
                     write_or_wait(connection, self.writing.as_ref())
                 })) => return Some(self.finish_write(written)),
-                () = or_never(due.map(sleep_until)) => return Some(Input::Tick),
+                () = or_never(deadline.map(sleep_until)) => return Some(SinkEvent::Tick),
             }
         }
     }
 
-    fn finish_connecting(&mut self, connected: io::Result<TcpStream>) -> Input {
+    fn finish_connecting(&mut self, connected: io::Result<TcpStream>) -> SinkEvent {
         self.connecting = None;
         match connected {
             Ok(connection) => {
                 self.connection = Some(connection);
-                Input::Up
+                SinkEvent::Connected
             }
             Err(error) => {
                 tracing::debug!(receiver = &*self.label, %error, "sink cannot connect");
-                Input::Down
+                SinkEvent::Disconnected
             }
         }
     }
 
-    fn finish_write(&mut self, written: io::Result<usize>) -> Input {
+    fn finish_write(&mut self, written: io::Result<usize>) -> SinkEvent {
         match written {
             Ok(count) => {
                 self.advance_write(count);
-                Input::Took(count)
+                SinkEvent::Written(count)
             }
             Err(error) => {
                 tracing::debug!(receiver = &*self.label, %error, "sink connection ended");
                 self.connection = None;
                 self.writing = None;
-                Input::Down
+                SinkEvent::Disconnected
             }
         }
     }
@@ -143,13 +143,13 @@
         }
     }
 
-    fn execute(&mut self, order: Order) {
-        match order {
-            Order::Dial => {
+    fn execute(&mut self, action: SinkAction) {
+        match action {
+            SinkAction::Connect => {
                 self.connecting = Some(Box::pin(connect(self.address.clone(), self.resolver.clone())));
             }
-            Order::Write(bytes, offset) => self.writing = Some(PendingWrite { bytes, offset }),
-            Order::Hang => {
+            SinkAction::Write { bytes, offset } => self.writing = Some(PendingWrite { bytes, offset }),
+            SinkAction::Disconnect => {
                 self.connecting = None;
                 self.connection = None;
                 self.writing = None;
@@ -160,14 +160,15 @@
     fn update_stats(&self) {
         let core = &self.core;
         self.stats.update(&self.label, |counters| {
-            for (reason, count) in [Dropped::Full, Dropped::Large].iter().zip(core.counts.dropped) {
+            for reason in [DropReason::QueueFull, DropReason::TooLarge] {
+                let count = core.counts.dropped(reason);
                 if count > 0 {
-                    counters.dropped.insert(reason.name(), count);
+                    counters.dropped.insert(reason.label(), count);
                 }
             }
-            counters.waiting_bytes = core.waiting() as u64;
-            counters.sent_bytes = core.counts.sent;
-            counters.failed_connections = core.counts.cuts;
+            counters.waiting_bytes = core.queued_bytes() as u64;
+            counters.sent_bytes = core.counts.written_bytes;
+            counters.failed_connections = core.counts.failed_connections;
         });
     }
 }
--- a/crates/wingfold-settings/src/own/collectd.rs
+++ b/crates/wingfold-settings/src/own/collectd.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use wingfold_metrics::collectd::{MappedHost, Secrecy, Users, PACKET};
-use wingfold_metrics::receiver::Rules;
+use wingfold_metrics::collectd::{Credentials, MappedHost, PacketSecurity, Users, DEFAULT_PACKET_BYTES};
+use wingfold_metrics::SinkLimits;
 
 /// Stands in for an address that is missing or wrong, which is told.
 const DEFAULT_LISTEN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 25826);
@@ -23,9 +23,9 @@
     /// Bytes of a packet.
     pub packet: usize,
     /// How packets are secured.
-    pub secrecy: Secrecy,
+    pub secrecy: PacketSecurity,
     /// Queue, times and pauses.
-    pub rules: Rules,
+    pub rules: SinkLimits,
 }
 
 /// A `collectd_in` block.
@@ -49,30 +49,31 @@
     Collectd {
         name: block.label.clone().unwrap_or_else(|| "collectd".into()),
         address,
-        packet: block.whole("packet", 512..=65_000).unwrap_or(PACKET as u64) as usize,
+        packet: block.whole("packet", 512..=65_000).unwrap_or(DEFAULT_PACKET_BYTES as u64) as usize,
         secrecy,
         rules: rules(block, interval),
     }
 }
 
-fn secrecy(block: &Block, read_secret: &ReadSecret) -> Secrecy {
+fn secrecy(block: &Block, read_secret: &ReadSecret) -> PacketSecurity {
     let security = block.word("security", &["none", "sign", "encrypt"]).unwrap_or("none");
     match (security, block.text("user"), block.text("keys")) {
-        ("none", None, None) => Secrecy::Plain,
+        ("none", None, None) => PacketSecurity::None,
         ("none", ..) => {
             block.wrong("`user` and `keys` are given, and `security` is none: nothing would be secured");
-            Secrecy::Plain
+            PacketSecurity::None
         }
         (_, Some(user), Some(file)) => {
             let key = key_of(block, &user, &file, read_secret).unwrap_or_default();
+            let credentials = Credentials { user, key };
             match security {
-                "sign" => Secrecy::Signed(user, key),
-                _ => Secrecy::Encrypted(user, key),
+                "sign" => PacketSecurity::Signed(credentials),
+                _ => PacketSecurity::Encrypted(credentials),
             }
         }
         _ => {
             block.wrong(format!("`security` is {security}: `user` and `keys` (a file) are needed"));
-            Secrecy::Plain
+            PacketSecurity::None
         }
     }
 }
--- a/crates/wingfold-settings/src/own/figures.rs
+++ b/crates/wingfold-settings/src/own/figures.rs
@@ -33,8 +33,8 @@
 impl Sinks {
     /// Bytes of memory that their queues may take.
     pub(super) fn memory(&self) -> usize {
-        let graphite = self.graphite.iter().map(|sink| sink.rules.most * sink.addresses.len());
-        let collectd = self.collectd.iter().map(|sink| sink.rules.most);
+        let graphite = self.graphite.iter().map(|sink| sink.rules.max_queued_bytes * sink.addresses.len());
+        let collectd = self.collectd.iter().map(|sink| sink.rules.max_queued_bytes);
         graphite.chain(collectd).sum()
     }
 }
--- a/crates/wingfold-settings/src/own/graphite.rs
+++ b/crates/wingfold-settings/src/own/graphite.rs
@@ -5,7 +5,7 @@
 use crate::hcl::Block;
 use std::ops::RangeInclusive;
 use std::time::Duration;
-use wingfold_metrics::receiver::Rules;
+use wingfold_metrics::SinkLimits;
 
 const SETTLE_TIMES: RangeInclusive<Duration> = Duration::ZERO..=Duration::from_secs(3600);
 
@@ -45,7 +45,7 @@
     /// What every path begins with.
     pub prefix: String,
     /// Queue, times and pauses.
-    pub rules: Rules,
+    pub rules: SinkLimits,
     /// A receiver that was lost gets its names back after it was well for so long.
     pub settle: Duration,
 }
--- a/crates/wingfold-settings/src/own/secret.rs
+++ b/crates/wingfold-settings/src/own/secret.rs
@@ -26,10 +26,10 @@
             return None;
         }
     };
-    match Users::read(&text) {
+    match Users::parse(&text) {
         Ok(users) => Some(users),
-        Err(line) => {
-            let problem = format!("`{file}`, line {line}: `user: key` is expected, each user once");
+        Err(invalid_line) => {
+            let problem = format!("`{file}`, {invalid_line}");
             block.wrong_at("keys", None, problem);
             None
         }
--- a/crates/wingfold-settings/src/own/tests.rs
+++ b/crates/wingfold-settings/src/own/tests.rs
@@ -1,8 +1,8 @@
 //! wingfold's own settings: defaults, faults, and what needs a restart.
 
 use super::*;
-use wingfold_metrics::collectd::{MappedHost, Secrecy};
-use wingfold_metrics::receiver::Rules;
+use wingfold_metrics::collectd::{Credentials, MappedHost, PacketSecurity};
+use wingfold_metrics::SinkLimits;
 
 #[test]
 fn nothing_said_is_everything_off() {
@@ -33,7 +33,7 @@
     assert_eq!((figures.sinks.graphite.len(), figures.sinks.collectd.len()), (1, 1));
     assert_eq!(
         figures.sinks.graphite[0].rules,
-        Rules::default(),
+        SinkLimits::default(),
         "the defaults that are shown are the real ones"
     );
     assert!(figures.intake.is_some());
@@ -83,8 +83,11 @@
         |path: &str| if path == "k" { Ok("lines: a long key".to_string()) } else { Err("no".into()) };
     let own = Own::read_with("f", text, secret).unwrap();
     let figures = own.figures.clone().unwrap();
-    assert_eq!(figures.sinks.graphite[0].rules.write.0, 5_000_000, "an interval's length");
-    assert_eq!(figures.sinks.collectd[0].secrecy, Secrecy::Encrypted("lines".into(), "a long key".into()));
+    assert_eq!(figures.sinks.graphite[0].rules.write_timeout.0, 5_000_000, "an interval's length");
+    assert_eq!(
+        figures.sinks.collectd[0].secrecy,
+        PacketSecurity::Encrypted(Credentials { user: "lines".into(), key: "a long key".into() })
+    );
     assert_eq!(figures.intake.as_ref().unwrap().map["db1"], MappedHost { host: "s-1".into(), cores: 3.0 });
     assert_eq!((own.memory(), own.descriptors()), (2 << 20, 6));
     let other = Own::read_with("f", &text.replace("10.0.0.8", "10.0.0.7"), secret).unwrap();
--- a/crates/wingfold/src/figures.rs
+++ b/crates/wingfold/src/figures.rs
@@ -55,18 +55,18 @@
                 Outcome::Good
             }
             Figures::List { markdown: false } => {
-                for (_, entry) in catalogue::CATALOGUE {
-                    let labels = if entry.labels.is_empty() {
+                for (_, metric) in catalogue::CATALOGUE {
+                    let labels = if metric.labels.is_empty() {
                         String::new()
                     } else {
-                        format!(" by {}", entry.labels.join(", "))
+                        format!(" by {}", metric.labels.join(", "))
                     };
                     println!(
                         "{:<22} {} in {}{labels}: {}",
-                        entry.name,
-                        entry.kind.name(),
-                        entry.unit,
-                        entry.about
+                        metric.name,
+                        metric.kind.name(),
+                        metric.unit,
+                        metric.description
                     );
                 }
                 Outcome::Good
--- a/crates/wingfold/tests/figures.rs
+++ b/crates/wingfold/tests/figures.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
-use wingfold_metrics::collectd::{self, Secrecy, TypedValue};
+use wingfold_metrics::collectd::{self, Credentials, PacketSecurity, TypedValue, ValueList};
 use wingfold_standins::receivers::{self, Carbon, Manner, Packets};
 
 /// A folder of this test's own, gone when it ends.
@@ -273,6 +273,10 @@
     }
 }
 
+fn credentials(user: &str, key: &str) -> Credentials {
+    Credentials { user: user.into(), key: key.into() }
+}
+
 #[test]
 fn packets_of_collectd_hold_every_figure_and_are_signed() {
     let place = Place::new("collectd");
@@ -296,20 +300,19 @@
     let lists = || {
         let bodies = packets.taken().into_iter().map(|packet| {
             assert!(packet.len() <= 600 && packet[..4] == [2, 0, 0, 41] && packet[36..41] == *b"lines");
-            collectd::read(&packet[41..]).unwrap()
+            collectd::decode_packet(&packet[41..]).unwrap()
         });
-        bodies.flatten().collect::<Vec<collectd::List>>()
-    };
-    let tries = |list: &collectd::List| {
-        list.kind_instance == "tries.total" && list.values == [TypedValue::Absolute(9)]
+        bodies.flatten().collect::<Vec<ValueList>>()
     };
+    let tries =
+        |list: &ValueList| list.type_instance == "tries.total" && list.values == [TypedValue::Absolute(9)];
     until("the tries arrive", || lists().iter().any(tries));
     let list = lists().into_iter().find(tries).unwrap();
     assert_eq!(
-        (&*list.host, &*list.plugin, &*list.plugin_instance, &*list.kind),
+        (&*list.host, &*list.plugin, &*list.plugin_instance, &*list.type_name),
         ("n0", "wingfold", "a", "wingfold_count")
     );
-    assert!(lists().iter().any(|list| list.kind == "wingfold_spread" && list.values.len() == 5));
+    assert!(lists().iter().any(|list| list.type_name == "wingfold_spread" && list.values.len() == 5));
     drop(director);
     // Keys that others may read start nothing.
     modes(0o644);
@@ -334,31 +337,31 @@
         keys.display()
     );
     let mut director = start(&plan, &place, &own);
-    let secrecy = Secrecy::Encrypted("lines".into(), "a key of some length".into());
+    let security = PacketSecurity::Encrypted(credentials("lines", "a key of some length"));
     let mut chance = rand_chacha::ChaCha8Rng::from_seed([7; 32]);
     use rand::SeedableRng;
-    let mut packet = |host: &str, value: f64, secrecy: &Secrecy| {
+    let mut packet = |host: &str, value: f64, security: &PacketSecurity| {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
-        let list = collectd::List {
+        let list = ValueList {
             host: host.into(),
             plugin: "load".into(),
-            kind: "load".into(),
+            type_name: "load".into(),
             time: collectd::high_resolution(now.as_micros() as u64),
             interval: 10 << 30,
             values: vec![TypedValue::Gauge(value), TypedValue::Gauge(0.0), TypedValue::Gauge(0.0)],
-            ..collectd::List::default()
+            ..ValueList::default()
         };
-        collectd::packets(&[list], 1452, secrecy, &mut chance).remove(0)
+        collectd::encode_packets(&[list], 1452, security, &mut chance).remove(0)
     };
-    let first = packet("db1", 3.0, &secrecy);
+    let first = packet("db1", 3.0, &security);
     receivers::send(listen, &first);
     until("it is taken", || director.figure("collectd_in_total") == 1);
     for (bytes, reason) in [
         (first.clone(), "replayed"),
-        (packet("db1", 1.0, &Secrecy::Plain), "open"),
-        (packet("db1", 1.0, &Secrecy::Signed("nobody".into(), "x".into())), "user"),
-        (packet("db1", 1.0, &Secrecy::Signed("lines".into(), "another key".into())), "key"),
-        (packet("other", 1.0, &secrecy), "host"),
+        (packet("db1", 1.0, &PacketSecurity::None), "open"),
+        (packet("db1", 1.0, &PacketSecurity::Signed(credentials("nobody", "x"))), "user"),
+        (packet("db1", 1.0, &PacketSecurity::Signed(credentials("lines", "another key"))), "key"),
+        (packet("other", 1.0, &security), "host"),
         (vec![0, 6, 0], "form"),
     ] {
         receivers::send(listen, &bytes);
@@ -366,7 +369,7 @@
         until(&name, || director.figure(&name) == 1);
     }
     // A machine that is mapped to a host which discovery never listed goes no further than the door.
-    receivers::send(listen, &packet("db9", 1.0, &secrecy));
+    receivers::send(listen, &packet("db9", 1.0, &security));
     until("it is dropped by its name", || director.figure("messages_invalid_name_total") == 1);
     director.signal("TERM");
     director.end();
