--- a/crates/wingfold-capture/src/case.rs
+++ b/crates/wingfold-capture/src/case.rs
@@ -6,7 +6,7 @@
 use wingfold_director::inspect::HostStatus;
 use wingfold_director::interface::{HostId, Timestamp, ZoneId};
 use wingfold_director::Director;
-use wingfold_settings::hcl::{self, Block, Faults};
+use wingfold_settings::hcl::{self, Block, Diagnostics};
 
 /// What must hold of a host or a class in a span of time.
 #[derive(Clone, Debug, PartialEq)]
@@ -77,17 +77,17 @@
 
 impl Case {
     /// Reads a case; all that is wrong with it is told at once.
-    pub fn read(file: &str, text: &str) -> Result<Case, Faults> {
+    pub fn read(file: &str, text: &str) -> Result<Case, Diagnostics> {
         hcl::read(file, text, |top| {
             let block = top.block("case");
             if block.is_none() {
-                top.wrong("a block `case \"name\" { .. }` is missing");
+                top.report("a block `case \"name\" { .. }` is missing");
             }
             let block = block.as_ref();
-            let tables = block.and_then(|block| block.word("tables", &["identical", "free"]));
+            let tables = block.and_then(|block| block.keyword("tables", &["identical", "free"]));
             Case {
                 name: block.and_then(|block| block.label.clone()).unwrap_or_default(),
-                about: block.and_then(|block| block.text("about")).unwrap_or_default(),
+                about: block.and_then(|block| block.string("about")).unwrap_or_default(),
                 identical: tables != Some("free"),
                 expects: top.blocks("expect").iter().filter_map(expect).collect(),
             }
@@ -98,13 +98,13 @@
 const LONG: Duration = Duration::from_secs(86_400);
 
 fn expect(block: &Block) -> Option<Expect> {
-    let time = |name, or| block.time(name, Duration::ZERO..=LONG).unwrap_or(or);
+    let time = |name, or| block.duration(name, Duration::ZERO..=LONG).unwrap_or(or);
     let (after, until) = (time("after", Duration::ZERO), time("until", LONG));
     if after > until {
-        block.wrong("`until` comes before `after`");
+        block.report("`until` comes before `after`");
     }
-    let zone = block.text("zone");
-    let host = || block.need("host", block.text("host"), String::new());
+    let zone = block.string("zone");
+    let host = || block.require("host", block.string("host"), String::new());
     let part = |name| block.number(name, 0.0..=1e9);
     let must = match block.label.as_deref() {
         Some("out") => Must::Out { host: host(), zone },
@@ -113,11 +113,11 @@
             Must::Share { host, zone, least, most }
         }
         Some("standing") => {
-            let is = block.word("is", &["leading", "halved", "out", "trial", "leaving"]);
-            Must::Standing { host: host(), zone, is: block.need("is", is, "leading") }
+            let is = block.keyword("is", &["leading", "halved", "out", "trial", "leaving"]);
+            Must::Standing { host: host(), zone, is: block.require("is", is, "leading") }
         }
         Some("level") => {
-            let class = block.need("class", block.text("class"), String::new());
+            let class = block.require("class", block.string("class"), String::new());
             Must::Level {
                 class,
                 zone,
@@ -126,7 +126,7 @@
             }
         }
         _ => {
-            block.unknown("is not known; here are out, share, standing, level");
+            block.reject("is not known; here are out, share, standing, level");
             return None;
         }
     };
--- a/crates/wingfold-lab/src/scenario.rs
+++ b/crates/wingfold-lab/src/scenario.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 use wingfold_director::interface::{Class, Micros, Settings, Timestamp};
-use wingfold_settings::hcl::Faults;
+use wingfold_settings::hcl::Diagnostics;
 
 /// Machines of one kind.
 #[derive(Clone, Debug, PartialEq)]
@@ -145,7 +145,7 @@
 
 impl Scenario {
     /// Reads a scenario; all that is wrong with it is told at once.
-    pub fn read(file: &str, text: &str) -> Result<Scenario, Faults> {
+    pub fn read(file: &str, text: &str) -> Result<Scenario, Diagnostics> {
         reader::read(file, text)
     }
 }
--- a/crates/wingfold-lab/src/scenario/reader.rs
+++ b/crates/wingfold-lab/src/scenario/reader.rs
@@ -7,7 +7,7 @@
 use wingfold_director::interface::{
     AdmissionMode, Class, LoadReportSource, Micros, RepeatSafety, Settings, Timestamp, ZoneId,
 };
-use wingfold_settings::hcl::{self, Block, Faults};
+use wingfold_settings::hcl::{self, Block, Diagnostics};
 
 /// The longest time that a scenario may name.
 const MAX_TIME: Duration = Duration::from_secs(7200);
@@ -38,10 +38,10 @@
 ];
 
 /// Reads a scenario; all that is wrong with it is told at once.
-pub(super) fn read(file: &str, text: &str) -> Result<Scenario, Faults> {
+pub(super) fn read(file: &str, text: &str) -> Result<Scenario, Diagnostics> {
     let scenario = hcl::read(file, text, |top| {
         let Some(block) = top.block("scenario") else {
-            top.wrong("a block `scenario \"name\" { .. }` is missing");
+            top.report("a block `scenario \"name\" { .. }` is missing");
             return None;
         };
         Some(scenario(top, &block))
@@ -54,7 +54,7 @@
 }
 
 fn time_or(block: &Block, name: &'static str, default_ms: u64) -> Micros {
-    let time = block.time(name, Duration::ZERO..=MAX_TIME);
+    let time = block.duration(name, Duration::ZERO..=MAX_TIME);
     micros(time.unwrap_or(Duration::from_millis(default_ms)))
 }
 
@@ -71,7 +71,7 @@
     }
 
     fn whole(&self, name: &'static str, range: RangeInclusive<u64>, default: u64) -> u64 {
-        self.0.as_ref().and_then(|block| block.whole(name, range)).unwrap_or(default)
+        self.0.as_ref().and_then(|block| block.integer(name, range)).unwrap_or(default)
     }
 
     fn time(&self, name: &'static str, default_ms: u64) -> Micros {
@@ -84,7 +84,7 @@
     let host_kinds: Vec<HostKind> = top.blocks("hosts").iter().map(host_kind).collect();
     let classes: Vec<ClassLoad> = top.blocks("class").iter().map(|block| class_load(block, &zones)).collect();
     if host_kinds.is_empty() || classes.is_empty() {
-        block.wrong("at least one block `hosts` and one block `class` are needed");
+        block.report("at least one block `hosts` and one block `class` are needed");
     }
     let settings = settings(top, block, &zones, &classes);
     let peers = peer_traffic(&OptionalBlock(top.block("peers")));
@@ -94,7 +94,7 @@
     let faults = faults.iter().filter_map(|block| fault(block, duration, &zones, directors)).collect();
     Scenario {
         name: block.label.clone().unwrap_or_else(|| "unnamed".into()),
-        description: block.text("about").unwrap_or_default(),
+        description: block.string("about").unwrap_or_default(),
         duration,
         rate: block.number("rate", 0.1..=1e6).unwrap_or(140.0),
         rate_skew: block.number("unequal", 0.0..=1.0).unwrap_or(0.5),
@@ -112,9 +112,9 @@
 }
 
 fn zones(block: &Block) -> Vec<String> {
-    let zones = block.texts("zones").unwrap_or_else(|| vec!["a".into(), "b".into(), "c".into()]);
+    let zones = block.strings("zones").unwrap_or_else(|| vec!["a".into(), "b".into(), "c".into()]);
     if zones.is_empty() || (1..zones.len()).any(|at| zones[..at].contains(&zones[at])) {
-        block.wrong("`zones` names at least one, each once");
+        block.report("`zones` names at least one, each once");
     }
     zones
 }
@@ -124,13 +124,13 @@
     let rules = OptionalBlock(top.block("rules"));
     Settings {
         director_index: 0,
-        directors: block.whole("directors", 1..=64).unwrap_or(2) as u32,
+        directors: block.integer("directors", 1..=64).unwrap_or(2) as u32,
         zones: zones.iter().map(|zone| zone_id(zone)).collect(),
-        proxies: block.whole("proxies", 1..=20_000).unwrap_or(12) as u32,
+        proxies: block.integer("proxies", 1..=20_000).unwrap_or(12) as u32,
         admission_mode: admission(block),
-        local_first: block.flag("local_first").unwrap_or(false),
+        local_first: block.boolean("local_first").unwrap_or(false),
         classes: classes.iter().map(|load| load.class.clone()).collect(),
-        endpoint_list_on_request: block.flag("list_on_request").unwrap_or(false),
+        endpoint_list_on_request: block.boolean("list_on_request").unwrap_or(false),
         shards: 0,
         send_rate_lines_per_s: channel.number("lines_per_s", 10.0..=1e7, 2800.0),
         message_overhead_lines: channel.number("overhead", 0.0..=1000.0, 4.0),
@@ -152,13 +152,13 @@
         overload_factor: rules.number("overload_factor", 1.0..=100.0, 4.0),
         overload_duration: rules.time("overload_for", 3000),
         poll_within: Micros(10_000_000),
-        removal_is_advisory: block.flag("gone_is_advice").unwrap_or(false),
+        removal_is_advisory: block.boolean("gone_is_advice").unwrap_or(false),
         connection_idle_timeout: time_or(block, "conn_idle", 0),
     }
 }
 
 fn admission(block: &Block) -> AdmissionMode {
-    match block.word("levels", &["share", "rate", "ignored"]) {
+    match block.keyword("levels", &["share", "rate", "ignored"]) {
         Some("rate") => AdmissionMode::Rate,
         Some("ignored") => AdmissionMode::Ignored,
         _ => AdmissionMode::Share,
@@ -166,7 +166,7 @@
 }
 
 fn load_reports(block: &Block) -> LoadReportSource {
-    match block.flag("loads_told") {
+    match block.boolean("loads_told") {
         Some(false) => LoadReportSource::Never,
         _ => LoadReportSource::WithAttemptCounts,
     }
@@ -182,37 +182,37 @@
 fn host_kind(block: &Block) -> HostKind {
     HostKind {
         name: block.label.clone().unwrap_or_else(|| "box".into()),
-        count: block.whole("count", 1..=5000).unwrap_or(12) as usize,
-        cores: block.whole("cores", 1..=256).unwrap_or(3) as usize,
+        count: block.integer("count", 1..=5000).unwrap_or(12) as usize,
+        cores: block.integer("cores", 1..=256).unwrap_or(3) as usize,
         speed: block.span("speed", 0.01..=100.0).unwrap_or((0.85, 1.1)),
     }
 }
 
 fn class_load(block: &Block, zones: &[String]) -> ClassLoad {
     let time = |name, default_ms| {
-        let time = block.time(name, Duration::from_millis(1)..=MAX_TIME);
+        let time = block.duration(name, Duration::from_millis(1)..=MAX_TIME);
         micros(time.unwrap_or(Duration::from_millis(default_ms)))
     };
-    let effect = match block.word("effect", &["safe", "keyed", "once"]) {
+    let effect = match block.keyword("effect", &["safe", "keyed", "once"]) {
         Some("keyed") => RepeatSafety::Deduplicated,
         Some("once") => RepeatSafety::AtMostOnce,
         _ => RepeatSafety::Idempotent,
     };
-    let only = block.texts("zones").unwrap_or_default();
+    let only = block.strings("zones").unwrap_or_default();
     for zone in only.iter().filter(|zone| !zones.contains(zone)) {
-        block.wrong(format!("`zones` names `{zone}`, which is no zone of the scenario"));
+        block.report(format!("`zones` names `{zone}`, which is no zone of the scenario"));
     }
     let class = Class {
         latency_objective: time("aim", 1000),
         deadline: time("deadline", 3000),
         priority_weight: block.number("worth", 0.0..=1e6).unwrap_or(1.0),
         repeat_safety: effect,
-        own_zone_only: block.flag("own_zone").unwrap_or(false),
+        own_zone_only: block.boolean("own_zone").unwrap_or(false),
         allowed_zones: only.iter().map(|zone| zone_id(zone)).collect(),
-        allowed_machine_types: block.texts("kinds").unwrap_or_default(),
+        allowed_machine_types: block.strings("kinds").unwrap_or_default(),
     };
     if class.deadline < class.latency_objective {
-        block.wrong("`deadline` comes before `aim`");
+        block.report("`deadline` comes before `aim`");
     }
     ClassLoad {
         name: block.label.clone().unwrap_or_else(|| "request".into()),
@@ -237,17 +237,17 @@
 
 impl FaultKeys {
     fn read(block: &Block, directors: usize) -> FaultKeys {
-        let begins = block.time("at", Duration::ZERO..=MAX_TIME);
+        let begins = block.duration("at", Duration::ZERO..=MAX_TIME);
         FaultKeys {
-            begins: Timestamp::default() + micros(block.need("at", begins, Duration::ZERO)),
+            begins: Timestamp::default() + micros(block.require("at", begins, Duration::ZERO)),
             lasts: time_or(block, "lasts", 10_000),
             size: block.number("size", 0.0..=1000.0),
-            by: block.time("by", Duration::ZERO..=MAX_TIME),
-            director: block.whole("director", 0..=directors as u64 - 1).unwrap_or(0) as usize,
+            by: block.duration("by", Duration::ZERO..=MAX_TIME),
+            director: block.integer("director", 0..=directors as u64 - 1).unwrap_or(0) as usize,
             share: block.number("part", 0.0..=1.0),
-            hosts: block.texts("hosts"),
-            zone: block.text("zone"),
-            host_kind: block.text("kind"),
+            hosts: block.strings("hosts"),
+            zone: block.string("zone"),
+            host_kind: block.string("kind"),
         }
     }
 
@@ -264,10 +264,10 @@
 fn fault(block: &Block, duration: Micros, zones: &[String], directors: usize) -> Option<Fault> {
     let keys = FaultKeys::read(block, directors);
     if keys.zone.as_ref().is_some_and(|zone| !zones.contains(zone)) {
-        block.wrong("`zone` is no zone of the scenario");
+        block.report("`zone` is no zone of the scenario");
     }
     if keys.begins.0 >= duration.0 {
-        block.wrong("begins after the scenario has ended");
+        block.report("begins after the scenario has ended");
     }
     let kind = fault_kind(block, &keys)?;
     let (begins, ends) = (keys.begins, keys.begins + keys.lasts);
@@ -275,7 +275,7 @@
 }
 
 fn fault_kind(block: &Block, keys: &FaultKeys) -> Option<FaultKind> {
-    let zone = || block.need("zone", keys.zone.clone(), String::new());
+    let zone = || block.require("zone", keys.zone.clone(), String::new());
     let size = |default: f64| keys.size.unwrap_or(default);
     let by = |default_s: u64| keys.by.unwrap_or(Duration::from_secs(default_s));
     let name = block.label.clone().unwrap_or_default();
@@ -299,7 +299,7 @@
         "collector_dead" => FaultKind::CollectorDead(zone()),
         "traffic" => FaultKind::Traffic(zone(), size(0.1)),
         _ => {
-            block.unknown(format!("is not known; here are {}", FAULT_KINDS.join(", ")));
+            block.reject(format!("is not known; here are {}", FAULT_KINDS.join(", ")));
             return None;
         }
     })
--- a/crates/wingfold-node/src/collectd.rs
+++ b/crates/wingfold-node/src/collectd.rs
@@ -28,7 +28,7 @@
     /// Receives from a bound socket, by its settings.
     pub fn new(collectd: CollectdSocket, clock: Clock, inbox: InboundSender, metrics: Arc<Metrics>) -> Self {
         let settings = collectd.settings;
-        let receiver = LoadReceiver::new(settings.users, settings.secured, settings.map);
+        let receiver = LoadReceiver::new(settings.users, settings.requires_security, settings.hosts);
         CollectdReceiver { socket: collectd.socket, receiver, clock, inbox, metrics }
     }
 
--- a/crates/wingfold-node/src/config.rs
+++ b/crates/wingfold-node/src/config.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use wingfold_director::interface::Settings;
-use wingfold_settings::{Info, Names};
+use wingfold_settings::{PlatformSettings, ReportNames};
 
 use crate::list::EndpointListResponse;
 use crate::log;
@@ -36,7 +36,7 @@
     /// The settings of the decision module.
     pub settings: Settings,
     /// Names that messages refer to.
-    pub names: Names,
+    pub names: ReportNames,
     /// Bounds of the transport.
     pub bounds: Bounds,
 }
@@ -96,7 +96,7 @@
     peers: Vec<String>,
     peers_all: Option<String>,
     known: Option<EndpointListResponse>,
-    settings: Info,
+    settings: PlatformSettings,
 }
 
 /// A value, and where it comes from.
@@ -158,10 +158,10 @@
         first: First,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, ConfigError> {
-        let file: File =
-            wingfold_settings::read(text).map_err(|error| wrong(&error.path, &log::plain(&error.problem)))?;
-        let settings = file.settings.settings();
-        let names = file.settings.names();
+        let file: File = wingfold_settings::parse_json(text)
+            .map_err(|error| wrong(&error.path, &log::plain(&error.problem)))?;
+        let settings = file.settings.director_settings();
+        let names = file.settings.report_names();
         let transport = file.settings.transport();
         check(&settings, &names)?;
         let sources = Sources { first, variable };
@@ -169,7 +169,7 @@
         let listen = sources.read("GW_LISTEN", "listen", file.listen)?.address()?;
         let discovery = sources.read("GW_DISCOVERY", "discovery", file.discovery)?.address()?;
         let seed = read_seed(file.seed.as_deref())?;
-        let peers = if transport.peers && !file.peers.is_empty() {
+        let peers = if transport.peers_allowed && !file.peers.is_empty() {
             Some(Peers::read(&file.peers, file.peer_listen.as_deref(), file.peers_all.as_deref())?)
         } else {
             None
@@ -224,7 +224,7 @@
 }
 
 /// Checks what types alone do not say of the settings.
-fn check(settings: &Settings, names: &Names) -> Result<(), ConfigError> {
+fn check(settings: &Settings, names: &ReportNames) -> Result<(), ConfigError> {
     let fault = |key: &str, problem: &str| Err(wrong(&format!("settings.{key}"), problem));
     if settings.classes.is_empty() || settings.classes.len() > MAX_CLASSES {
         return fault("classes", "1 to 64 classes are expected");
--- a/crates/wingfold-node/src/config/bounds.rs
+++ b/crates/wingfold-node/src/config/bounds.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use std::time::Duration;
 use wingfold_director::interface::{Micros, Settings};
-use wingfold_settings::Transport;
+use wingfold_settings::TransportSettings;
 
 /// Bytes that one host takes, with its statistics and table entries.
 const HOST_BYTES: usize = 3 << 10;
@@ -113,7 +113,7 @@
 }
 
 impl Bounds {
-    pub(super) fn derive(settings: &Settings, transport: &Transport, limits: &Limits) -> Bounds {
+    pub(super) fn derive(settings: &Settings, transport: &TransportSettings, limits: &Limits) -> Bounds {
         let named = settings.proxies as usize + COLLECTORS_PER_ZONE * settings.zones.len();
         let max_health_checks = (limits.sockets / 8).max(1);
         // With too few for all proxies it serves those that come first.
--- a/crates/wingfold-node/src/log.rs
+++ b/crates/wingfold-node/src/log.rs
@@ -8,7 +8,7 @@
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::filter::filter_fn;
 use tracing_subscriber::prelude::*;
-use wingfold_settings::own::{Form, Log};
+use wingfold_settings::local::{LogFormat, LogSettings};
 
 /// Lines that may wait to be written: at a few hundred bytes each, a small part of the memory.
 const MAX_WAITING_LINES: usize = 4096;
@@ -21,7 +21,7 @@
 
 /// Starts the log; it is written out when the guard that this returns is dropped. Panics go the same way: written straight
 /// to standard error, one could wait for a reader forever.
-pub fn start(log: &Log, causes: Option<Causes>) -> WorkerGuard {
+pub fn start(log: &LogSettings, causes: Option<Causes>) -> WorkerGuard {
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_WAITING_LINES);
     let (writer, guard) = builder.finish(std::io::stderr());
     let level: LevelFilter = log.level.parse().unwrap_or(LevelFilter::INFO);
@@ -29,9 +29,9 @@
     // The spans of stages are for the causes alone: lines need not carry them.
     let is_shown =
         filter_fn(move |metadata| *metadata.level() <= level && metadata.target() != causes::TARGET);
-    let lines = match log.form {
-        Form::Text => lines.with_filter(is_shown).boxed(),
-        Form::Json => lines.json().flatten_event(true).with_filter(is_shown).boxed(),
+    let lines = match log.format {
+        LogFormat::Text => lines.with_filter(is_shown).boxed(),
+        LogFormat::Json => lines.json().flatten_event(true).with_filter(is_shown).boxed(),
     };
     let causes = causes.map(|causes| causes.with_filter(filter_fn(causes::is_stage)));
     tracing_subscriber::registry().with(lines).with(causes).init();
--- a/crates/wingfold-node/src/message.rs
+++ b/crates/wingfold-node/src/message.rs
@@ -243,7 +243,7 @@
         let mut load = HostLoad::default();
         for (name, value) in &self.0 {
             let number = value.as_f64();
-            if wingfold_settings::put_load(&mut load, name, number) {
+            if wingfold_settings::set_load_field(&mut load, name, number) {
                 non_negative(number.ok_or(InvalidReason::Form)?)?;
             }
         }
@@ -367,7 +367,7 @@
 }
 
 fn serialize_retry<S: Serializer>(retry: &Retry, serializer: S) -> Result<S::Ok, S::Error> {
-    serializer.serialize_u8(wingfold_settings::retry_number(*retry))
+    serializer.serialize_u8(wingfold_settings::retry_code(*retry))
 }
 
 impl ProxyUpdatePart {
--- a/crates/wingfold-node/src/parts.rs
+++ b/crates/wingfold-node/src/parts.rs
@@ -71,7 +71,7 @@
         };
         let dumper = recording.as_ref().map(|recording| recording.dumper.clone());
         let director = Director::new(config.settings.clone(), config.seed);
-        let reporting = start.own.figures.map(|figures| {
+        let reporting = start.own.metrics.map(|figures| {
             MetricsReporter::new(config, figures.interval, start.causes, clock.now(), &director)
         });
         let (reporter, intervals) = reporting.unzip();
--- a/crates/wingfold-node/src/recorder.rs
+++ b/crates/wingfold-node/src/recorder.rs
@@ -12,7 +12,7 @@
 use wingfold_archive::{Disk, Folder, Handle, Mailbox, Memory, Plan};
 use wingfold_capture::{Head, Limits, Tap};
 use wingfold_director::interface::Timestamp;
-use wingfold_settings::own::{Capture, Target};
+use wingfold_settings::local::{CaptureSettings, CaptureTarget};
 
 /// Time for the capture's end: a planned restart leaves 0.7 s, and this is less than half of it.
 const END_TIMEOUT: Duration = Duration::from_millis(300);
@@ -46,23 +46,23 @@
 /// Starts the writer, which has a thread of its own until [`CaptureDumper::end`], and the task that reads its counters for as
 /// long as the runtime lives.
 pub fn start(
-    capture: Capture,
+    capture: CaptureSettings,
     config: &Config,
     now: Timestamp,
     metrics: Arc<Metrics>,
 ) -> Result<Recording, RunError> {
-    let plan = Plan { head: head(config, now), limits: limits(&capture), queue: capture.queue };
+    let plan = Plan { head: head(config, now), limits: limits(&capture), queue: capture.queue_bytes };
     let (disk, folder): (Box<dyn Disk>, _) = match &capture.target {
-        Target::Folder(root) => (Box::new(Folder::new(root, &config.name)), None),
-        Target::Memory(bytes) => (Box::new(Memory::new(*bytes)), capture.dump),
+        CaptureTarget::Directory(root) => (Box::new(Folder::new(root, &config.name)), None),
+        CaptureTarget::Memory(bytes) => (Box::new(Memory::new(*bytes)), capture.dump_directory),
     };
     let (mailbox, handle) = wingfold_archive::start(disk, plan, |line| tracing::warn!("{line}"))?;
-    tracing::info!(target = ?capture.target, queue = capture.queue, "capture: on");
+    tracing::info!(target = ?capture.target, queue = capture.queue_bytes, "capture: on");
     let dumper = CaptureDumper {
         handle,
         name: config.name.clone(),
         folder,
-        token: capture.token,
+        token: capture.dump_token,
         metrics,
         last_dump: Arc::default(),
     };
@@ -83,13 +83,13 @@
     }
 }
 
-fn limits(capture: &Capture) -> Limits {
+fn limits(capture: &CaptureSettings) -> Limits {
     Limits {
         segment_bytes: capture.segment_bytes,
         segment_age: micros(capture.segment_age),
-        keep_segments: capture.keep,
-        keep_bytes: capture.keep_bytes,
-        flush: micros(capture.flush),
+        keep_segments: capture.max_segments,
+        keep_bytes: capture.max_bytes,
+        flush: micros(capture.flush_interval),
         ..Limits::default()
     }
 }
--- a/crates/wingfold-node/src/recorder/tests.rs
+++ b/crates/wingfold-node/src/recorder/tests.rs
@@ -14,7 +14,7 @@
         "capture {{\n  enabled = true\n  memory_mb = 1\n  dump_directory = \"{}\"\n}}\n",
         root.display()
     );
-    let capture = wingfold_settings::own::Own::read("own", &own).unwrap().capture.unwrap();
+    let capture = wingfold_settings::local::LocalSettings::parse("own", &own).unwrap().capture.unwrap();
     let metrics = Arc::new(Metrics::default());
     let Recording { mut tap, dumper } = start(capture, &config, Timestamp(0), metrics.clone()).unwrap();
     assert!(!dumper.accepts_requests(), "nobody may ask without a token");
--- a/crates/wingfold-node/src/reload.rs
+++ b/crates/wingfold-node/src/reload.rs
@@ -7,14 +7,14 @@
 use std::sync::Arc;
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
-use wingfold_settings::own::{Own, Sinks};
+use wingfold_settings::local::{LocalSettings, SinkSettings};
 
 /// What the files say at a SIGHUP.
 pub struct Readings {
     /// The platform's configuration.
     pub config: Result<Config, ConfigError>,
     /// The own settings, or what is wrong with them, a fault a line.
-    pub own: Result<Own, String>,
+    pub own: Result<LocalSettings, String>,
 }
 
 /// Calls `read` on a blocking thread; `None` if it panicked, which the log says.
@@ -25,9 +25,9 @@
 /// Reads at each SIGHUP and hands on what has changed.
 pub struct Reloader {
     config: watch::Sender<Arc<Config>>,
-    sinks: watch::Sender<Arc<Sinks>>,
+    sinks: watch::Sender<Arc<SinkSettings>>,
     /// The own settings in force.
-    own: Own,
+    own: LocalSettings,
     /// Bytes that the start reserved for queues of sinks: there are no more.
     reserved_bytes: usize,
     /// Descriptors that the start reserved for sinks: there are no more.
@@ -36,9 +36,13 @@
 
 impl Reloader {
     /// Hands configurations to `config` and the settings of sinks to `sinks`; `own` are the own settings at the start.
-    pub fn new(config: watch::Sender<Arc<Config>>, sinks: watch::Sender<Arc<Sinks>>, own: Own) -> Reloader {
-        let reserved_bytes = own.memory();
-        let reserved_descriptors = own.descriptors();
+    pub fn new(
+        config: watch::Sender<Arc<Config>>,
+        sinks: watch::Sender<Arc<SinkSettings>>,
+        own: LocalSettings,
+    ) -> Reloader {
+        let reserved_bytes = own.reserved_memory_bytes();
+        let reserved_descriptors = own.file_descriptors();
         Reloader { config, sinks, own, reserved_bytes, reserved_descriptors }
     }
 
@@ -90,15 +94,17 @@
     }
 
     /// Hands the settings of sinks on; all other own settings wait for a restart.
-    fn apply_own(&mut self, new: Own) {
-        if new.memory() > self.reserved_bytes || new.descriptors() > self.reserved_descriptors {
+    fn apply_own(&mut self, new: LocalSettings) {
+        if new.reserved_memory_bytes() > self.reserved_bytes
+            || new.file_descriptors() > self.reserved_descriptors
+        {
             tracing::warn!("reload: sinks need more than was set aside, which takes effect at a restart");
             return;
         }
-        for key in self.own.needs_restart(&new) {
+        for key in self.own.changes_that_need_restart(&new) {
             tracing::warn!("reload: own key `{key}` has changed, which takes effect at a restart");
         }
-        let (Some(current), Some(new)) = (&mut self.own.figures, new.figures) else { return };
+        let (Some(current), Some(new)) = (&mut self.own.metrics, new.metrics) else { return };
         if current.sinks != new.sinks {
             tracing::info!("reload: sinks have changed");
             current.sinks = new.sinks;
--- a/crates/wingfold-node/src/run.rs
+++ b/crates/wingfold-node/src/run.rs
@@ -13,16 +13,16 @@
 use std::sync::Arc;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
-use wingfold_settings::own::Own;
+use wingfold_settings::local::LocalSettings;
 
 /// The whole program: sets up the log, reads the configuration (of `file`, or else of the file that `GW_CONFIG` names) and
 /// serves. `read_own` reads the own settings again at SIGHUP.
 pub fn main(
     file: Option<PathBuf>,
-    own: Own,
-    read_own: impl Fn() -> Result<Own, String> + Clone + Send + 'static,
+    own: LocalSettings,
+    read_own: impl Fn() -> Result<LocalSettings, String> + Clone + Send + 'static,
 ) -> ExitCode {
-    let keeps_causes = own.figures.as_ref().is_some_and(|figures| figures.causes);
+    let keeps_causes = own.metrics.as_ref().is_some_and(|figures| figures.keep_causes);
     let causes = keeps_causes.then(Causes::default);
     let _log = log::start(&own.log, causes.clone());
     let read_config = move |first| Config::from_env(file.as_deref(), first);
@@ -39,7 +39,7 @@
 fn block_on_run(
     start: Start,
     read_config: impl Fn(First) -> Result<Config, ConfigError> + Clone + Send + 'static,
-    read_own: impl Fn() -> Result<Own, String> + Clone + Send + 'static,
+    read_own: impl Fn() -> Result<LocalSettings, String> + Clone + Send + 'static,
 ) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let result = runtime.block_on(run(start, read_config, read_own));
@@ -54,7 +54,7 @@
 pub async fn run(
     start: Start,
     read: impl Fn(First) -> Result<Config, ConfigError> + Clone + Send + 'static,
-    read_own: impl Fn() -> Result<Own, String> + Clone + Send + 'static,
+    read_own: impl Fn() -> Result<LocalSettings, String> + Clone + Send + 'static,
 ) -> Result<(), RunError> {
     // Handlers are installed before anything else: a signal without one ends the process.
     let hangup = signal(SignalKind::hangup())?;
@@ -69,7 +69,7 @@
     let config = config.ok_or(RunError::Ended(TaskEnd::ReadingConfiguration))??;
 
     let (config_sender, config) = watch::channel(Arc::new(config));
-    let sinks = start.own.figures.as_ref().map(|figures| figures.sinks.clone()).unwrap_or_default();
+    let sinks = start.own.metrics.as_ref().map(|figures| figures.sinks.clone()).unwrap_or_default();
     let (sinks_sender, sinks) = watch::channel(Arc::new(sinks));
     let reloader = Reloader::new(config_sender, sinks_sender, start.own.clone());
     let read_both = move || Readings { config: read(First::Key), own: read_own() };
--- a/crates/wingfold-node/src/serve.rs
+++ b/crates/wingfold-node/src/serve.rs
@@ -18,7 +18,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinError;
 use wingfold_director::interface::EndpointListKind;
-use wingfold_settings::own::{Own, Sinks};
+use wingfold_settings::local::{LocalSettings, SinkSettings};
 
 /// Period of the log line with the main counters: `/metrics` has all of them, but not those of a director that is gone.
 const METRICS_LOG_PERIOD: Duration = Duration::from_secs(10);
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub struct Start {
     /// Own settings.
-    pub own: Own,
+    pub own: LocalSettings,
     /// Where the slowest and the failed of each stage are kept, if they are.
     pub causes: Option<Causes>,
 }
@@ -37,7 +37,7 @@
 pub async fn serve(
     config: watch::Receiver<Arc<Config>>,
     mut start: Start,
-    sinks: watch::Receiver<Arc<Sinks>>,
+    sinks: watch::Receiver<Arc<SinkSettings>>,
     end: impl Future<Output = ()>,
 ) -> Result<(), RunError> {
     tokio::pin!(end);
@@ -61,7 +61,7 @@
     parts: Parts,
     config: Config,
     metrics: Arc<Metrics>,
-    sinks: watch::Receiver<Arc<Sinks>>,
+    sinks: watch::Receiver<Arc<SinkSettings>>,
     end: impl Future<Output = ()>,
 ) -> Result<(), RunError> {
     let Parts { engine, inbox, engine_inbox, discovery, commands, admission, .. } = parts;
--- a/crates/wingfold-node/src/sink.rs
+++ b/crates/wingfold-node/src/sink.rs
@@ -19,7 +19,7 @@
 use tokio::time::Instant;
 use wingfold_director::interface::Timestamp;
 use wingfold_metrics::{Interval, Sink};
-use wingfold_settings::own::Sinks;
+use wingfold_settings::local::SinkSettings;
 
 /// Separates the random numbers of the sinks from others of the same seed.
 const SEED_SALT: u64 = 0xF16;
@@ -106,7 +106,7 @@
 
     /// Dispatches intervals until their channel is closed, by settings that may change meanwhile. The tasks of receivers end
     /// when they are taken out of the settings, or with the channel that this task gives them.
-    pub async fn run(mut self, mut settings: watch::Receiver<Arc<Sinks>>) {
+    pub async fn run(mut self, mut settings: watch::Receiver<Arc<SinkSettings>>) {
         let first = settings.borrow_and_update().clone();
         self.apply(&first);
         loop {
@@ -134,7 +134,7 @@
     }
 
     /// Changes the groups to what the settings say. A receiver that is in both goes on with all that waits for it.
-    fn apply(&mut self, new: &Sinks) {
+    fn apply(&mut self, new: &SinkSettings) {
         let mut old = std::mem::take(&mut self.groups);
         for graphite in &new.graphite {
             self.start_group(GroupSettings::graphite(graphite, &self.context), &mut old);
--- a/crates/wingfold-node/src/sink/group.rs
+++ b/crates/wingfold-node/src/sink/group.rs
@@ -14,7 +14,7 @@
 use wingfold_metrics::graphite::{self, Naming, Point};
 use wingfold_metrics::hash_ring::HashRing;
 use wingfold_metrics::{Interval, Sink, SinkLimits};
-use wingfold_settings::own::{Collectd, Deal, Graphite, Protocol};
+use wingfold_settings::local::{CollectdSettings, GraphiteProtocol, GraphiteSettings, SinkAssignment};
 
 /// Intervals that may wait for a task: it takes them at its next turn, and counts what it drops itself.
 const QUEUE_INTERVALS: usize = 16;
@@ -22,14 +22,14 @@
 /// How intervals are written.
 #[derive(Clone, PartialEq)]
 enum Renderer {
-    Graphite { naming: Naming, protocol: Protocol },
+    Graphite { naming: Naming, protocol: GraphiteProtocol },
     Collectd { director: String, packet_bytes: usize, security: PacketSecurity },
 }
 
 impl Renderer {
     fn is_udp(&self) -> bool {
         match self {
-            Renderer::Graphite { protocol, .. } => *protocol == Protocol::Udp,
+            Renderer::Graphite { protocol, .. } => *protocol == GraphiteProtocol::Udp,
             Renderer::Collectd { .. } => true,
         }
     }
@@ -46,37 +46,39 @@
 }
 
 impl<'a> GroupSettings<'a> {
-    pub(super) fn graphite(settings: &'a Graphite, context: &SinkContext) -> Self {
+    pub(super) fn graphite(settings: &'a GraphiteSettings, context: &SinkContext) -> Self {
         let naming = Naming {
             prefix: settings.prefix.clone(),
             director: context.director.clone(),
             tags: settings.tags,
         };
-        let ring = match settings.deal {
-            Deal::Hash => Some(HashRing::new(&settings.addresses, micros(settings.settle))),
-            Deal::All => None,
+        let ring = match settings.assignment {
+            SinkAssignment::ConsistentHash => {
+                Some(HashRing::new(&settings.addresses, micros(settings.settle_time)))
+            }
+            SinkAssignment::Replicate => None,
         };
         GroupSettings {
             name: &settings.name,
             addresses: &settings.addresses,
             ring,
             renderer: Renderer::Graphite { naming, protocol: settings.protocol },
-            limits: &settings.rules,
+            limits: &settings.limits,
         }
     }
 
-    pub(super) fn collectd(settings: &'a Collectd, context: &SinkContext) -> Self {
+    pub(super) fn collectd(settings: &'a CollectdSettings, context: &SinkContext) -> Self {
         let renderer = Renderer::Collectd {
             director: context.director.clone(),
-            packet_bytes: settings.packet,
-            security: settings.secrecy.clone(),
+            packet_bytes: settings.max_packet_bytes,
+            security: settings.security.clone(),
         };
         GroupSettings {
             name: &settings.name,
             addresses: std::slice::from_ref(&settings.address),
             ring: None,
             renderer,
-            limits: &settings.rules,
+            limits: &settings.limits,
         }
     }
 
@@ -201,7 +203,7 @@
         }
     }
 
-    fn send_points(&mut self, points: Vec<Point>, protocol: Protocol, context: &SinkContext) {
+    fn send_points(&mut self, points: Vec<Point>, protocol: GraphiteProtocol, context: &SinkContext) {
         let Some(ring) = &mut self.ring else {
             let work = render_points(&points, protocol);
             for sink in &self.sinks {
@@ -225,10 +227,10 @@
     }
 }
 
-fn render_points(points: &[Point], protocol: Protocol) -> Work {
+fn render_points(points: &[Point], protocol: GraphiteProtocol) -> Work {
     match protocol {
-        Protocol::Plain => Work::Bytes(graphite::encode_lines(points)),
-        Protocol::Pickle => Work::Bytes(graphite::encode_pickles(points)),
-        Protocol::Udp => Work::Datagrams(Arc::new(graphite::encode_datagrams(points))),
+        GraphiteProtocol::Plain => Work::Bytes(graphite::encode_lines(points)),
+        GraphiteProtocol::Pickle => Work::Bytes(graphite::encode_pickles(points)),
+        GraphiteProtocol::Udp => Work::Datagrams(Arc::new(graphite::encode_datagrams(points))),
     }
 }
--- a/crates/wingfold-node/src/startup.rs
+++ b/crates/wingfold-node/src/startup.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::time::Instant;
 use wingfold_director::interface::LoadReportSource;
-use wingfold_settings::own::{CollectdIn, Own};
+use wingfold_settings::local::{LoadReceiverSettings, LocalSettings};
 
 /// How long an address that is in use is waited for: a restart that takes longer is not ready in time anyway.
 const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -21,24 +21,24 @@
 
 /// Takes what the capture and the sinks need off the bounds: it comes out of the same limits, not on top of them. Where
 /// the descriptors do not suffice for both, the sinks are switched off.
-pub fn reserve_resources(config: &mut Config, own: &mut Own) -> Result<(), ConfigError> {
-    let bounds = config.bounds.less(own.memory(), own.descriptors())?;
+pub fn reserve_resources(config: &mut Config, own: &mut LocalSettings) -> Result<(), ConfigError> {
+    let bounds = config.bounds.less(own.reserved_memory_bytes(), own.file_descriptors())?;
     let suffice_without = config.bounds.max_connections >= config.bounds.max_clients;
     let suffice = bounds.max_connections >= bounds.max_clients;
-    if own.figures.is_some() && suffice_without && !suffice {
+    if own.metrics.is_some() && suffice_without && !suffice {
         // Clients go first: the metrics are a help, and orders are the work.
         tracing::warn!(
             "key `limits.sockets`: too few for all that may join and for figures, which are not sent"
         );
-        own.figures = None;
+        own.metrics = None;
     }
-    config.bounds = config.bounds.less(own.memory(), own.descriptors())?;
+    config.bounds = config.bounds.less(own.reserved_memory_bytes(), own.file_descriptors())?;
     Ok(())
 }
 
 /// Where collectd's packets are received; `None` where they are not, or where the platform's own load reports go before.
-pub fn collectd_in(config: &Config, own: &Own) -> Option<CollectdIn> {
-    let collectd_in = own.figures.as_ref()?.intake.clone()?;
+pub fn collectd_in(config: &Config, own: &LocalSettings) -> Option<LoadReceiverSettings> {
+    let collectd_in = own.metrics.as_ref()?.load_receiver.clone()?;
     if config.settings.load_report_source != LoadReportSource::Never {
         tracing::warn!("key `collectd_in`: not used, because the platform's load reports take precedence");
         return None;
@@ -51,7 +51,7 @@
     /// The socket.
     pub socket: UdpSocket,
     /// The settings.
-    pub settings: CollectdIn,
+    pub settings: LoadReceiverSettings,
 }
 
 /// The sockets that a director binds.
@@ -68,7 +68,7 @@
     /// Binds all sockets, one after another.
     pub async fn bind(
         config: &Config,
-        collectd_in: Option<CollectdIn>,
+        collectd_in: Option<LoadReceiverSettings>,
         metrics: &Arc<Metrics>,
     ) -> Result<Sockets, RunError> {
         let deadline = Instant::now() + ADDRESS_IN_USE_TIMEOUT;
@@ -85,7 +85,10 @@
     }
 }
 
-async fn bind_collectd(settings: CollectdIn, deadline: Instant) -> Result<CollectdSocket, RunError> {
+async fn bind_collectd(
+    settings: LoadReceiverSettings,
+    deadline: Instant,
+) -> Result<CollectdSocket, RunError> {
     let socket = bind_waiting("collectd_in.listen", settings.listen, deadline, UdpSocket::bind).await?;
     Ok(CollectdSocket { socket, settings })
 }
--- a/crates/wingfold-node/src/tables/tests.rs
+++ b/crates/wingfold-node/src/tables/tests.rs
@@ -4,7 +4,7 @@
 use crate::frame;
 use crate::message::{encode, Outbound, TableEntry};
 use wingfold_director::interface::Retry;
-use wingfold_settings::retry_number;
+use wingfold_settings::retry_code;
 
 /// A proxy as the protocol describes it.
 #[derive(Clone, Debug, Default)]
@@ -49,7 +49,7 @@
                     }
                 }
                 if let Some(admission) = part.admission {
-                    assert!(retry_number(admission.retry) <= 3 && admission.level >= 0.0);
+                    assert!(retry_code(admission.retry) <= 3 && admission.level >= 0.0);
                     self.admission[class] = Some(admission);
                 }
             }
--- /dev/null
+++ b/crates/wingfold-settings/src/load_field.rs
@@ -0,0 +1,17 @@
+//! Names of the values in a host's load report.
+
+use wingfold_director::interface::HostLoad;
+
+/// Sets one value of a host's load by its name: a word of the settings' `report.fields`, or the plain one of the protocol.
+/// Returns whether the name is known; others are ignored.
+pub fn set_load_field(load: &mut HostLoad, name: &str, value: Option<f64>) -> bool {
+    let field = match name {
+        "busy_reqs" | "inflight" => &mut load.in_flight,
+        "pending" | "queue" => &mut load.queued,
+        "cpu_share" | "util" => &mut load.utilization,
+        "svc_ms" | "latency_ms" => &mut load.service_ms,
+        _ => return false,
+    };
+    *field = value;
+    true
+}
--- a/crates/wingfold-settings/src/own/address.rs
+++ b/crates/wingfold-settings/src/local/address.rs
@@ -10,6 +10,6 @@
     };
     if port.is_none_or(|port| port == 0) {
         let example = "like 10.0.0.9:2003 or graphite.example:2003";
-        block.wrong_at(key, None, format!("`{text}` is no address with a port, {example}"));
+        block.report_key(key, None, format!("`{text}` is no address with a port, {example}"));
     }
 }
--- a/crates/wingfold-settings/src/own/graphite.rs
+++ b/crates/wingfold-settings/src/local/graphite.rs
@@ -1,7 +1,7 @@
 //! The `graphite` blocks: receivers of figures.
 
 use super::address::check_address;
-use super::receiver::rules;
+use super::sink::read_limits;
 use crate::hcl::Block;
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 /// How Graphite takes figures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Protocol {
+pub enum GraphiteProtocol {
     /// Lines over TCP.
     Plain,
     /// Pickled lists over TCP.
@@ -22,68 +22,68 @@
 
 /// Who of several receivers gets what.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Deal {
+pub enum SinkAssignment {
     /// All of them everything.
-    All,
+    Replicate,
     /// Each name one of them, by consistent hashing.
-    Hash,
+    ConsistentHash,
 }
 
 /// A `graphite` block.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Graphite {
+pub struct GraphiteSettings {
     /// Its name.
     pub name: String,
     /// Receivers, `host:port` each.
     pub addresses: Vec<String>,
     /// How they take figures.
-    pub protocol: Protocol,
+    pub protocol: GraphiteProtocol,
     /// Who gets what.
-    pub deal: Deal,
+    pub assignment: SinkAssignment,
     /// Labels as tags.
     pub tags: bool,
     /// What every path begins with.
     pub prefix: String,
     /// Queue, times and pauses.
-    pub rules: SinkLimits,
+    pub limits: SinkLimits,
     /// A receiver that was lost gets its names back after it was well for so long.
-    pub settle: Duration,
+    pub settle_time: Duration,
 }
 
 /// Reads a block; every path begins with `prefix`.
-pub(super) fn read_graphite(block: &Block, prefix: &str, interval: Duration) -> Graphite {
+pub(super) fn read_graphite(block: &Block, prefix: &str, interval: Duration) -> GraphiteSettings {
     let addresses = addresses(block);
-    let protocol = match block.word("protocol", &["plain", "pickle", "udp"]) {
-        Some("pickle") => Protocol::Pickle,
-        Some("udp") => Protocol::Udp,
-        _ => Protocol::Plain,
+    let protocol = match block.keyword("protocol", &["plain", "pickle", "udp"]) {
+        Some("pickle") => GraphiteProtocol::Pickle,
+        Some("udp") => GraphiteProtocol::Udp,
+        _ => GraphiteProtocol::Plain,
     };
-    let deal = match block.word("deal", &["all", "hash"]) {
-        Some("hash") => Deal::Hash,
-        _ => Deal::All,
+    let deal = match block.keyword("deal", &["all", "hash"]) {
+        Some("hash") => SinkAssignment::ConsistentHash,
+        _ => SinkAssignment::Replicate,
     };
-    Graphite {
+    GraphiteSettings {
         name: block.label.clone().unwrap_or_else(|| "graphite".into()),
         addresses,
         protocol,
-        deal,
-        tags: block.flag("tags").unwrap_or(false),
+        assignment: deal,
+        tags: block.boolean("tags").unwrap_or(false),
         prefix: prefix.into(),
-        rules: rules(block, interval),
-        settle: block.time("settle", SETTLE_TIMES).unwrap_or(Duration::from_secs(60)),
+        limits: read_limits(block, interval),
+        settle_time: block.duration("settle", SETTLE_TIMES).unwrap_or(Duration::from_secs(60)),
     }
 }
 
 fn addresses(block: &Block) -> Vec<String> {
-    let addresses = block.need("addresses", block.texts("addresses"), Vec::new());
+    let addresses = block.require("addresses", block.strings("addresses"), Vec::new());
     if addresses.is_empty() {
-        block.wrong_at("addresses", None, "names at least one receiver");
+        block.report_key("addresses", None, "names at least one receiver");
     }
     for address in &addresses {
         check_address(block, "addresses", address);
     }
     if (1..addresses.len()).any(|at| addresses[..at].contains(&addresses[at])) {
-        block.wrong_at("addresses", None, "names a receiver twice");
+        block.report_key("addresses", None, "names a receiver twice");
     }
     addresses
 }
--- a/crates/wingfold-settings/src/own/secret.rs
+++ b/crates/wingfold-settings/src/local/secret.rs
@@ -5,10 +5,10 @@
 use wingfold_metrics::collectd::Users;
 
 /// Reads a file of keys by its path.
-pub(super) type ReadSecret<'a> = dyn Fn(&str) -> Result<String, String> + 'a;
+pub(super) type SecretReader<'a> = dyn Fn(&str) -> Result<String, String> + 'a;
 
 /// Reads a file of keys, which nobody else may read.
-pub(super) fn read(path: &str) -> Result<String, String> {
+pub(super) fn read_secret_file(path: &str) -> Result<String, String> {
     let data = std::fs::metadata(path).map_err(|problem| format!("`{path}`: {problem}"))?;
     let mode = data.permissions().mode() & 0o777;
     if mode & 0o077 != 0 {
@@ -18,11 +18,11 @@
 }
 
 /// Reads the users of a file of keys.
-pub(super) fn keys(block: &Block, file: &str, read_secret: &ReadSecret) -> Option<Users> {
+pub(super) fn read_users(block: &Block, file: &str, read_secret: &SecretReader) -> Option<Users> {
     let text = match read_secret(file) {
         Ok(text) => text,
         Err(problem) => {
-            block.wrong_at("keys", None, problem);
+            block.report_key("keys", None, problem);
             return None;
         }
     };
@@ -30,7 +30,7 @@
         Ok(users) => Some(users),
         Err(invalid_line) => {
             let problem = format!("`{file}`, {invalid_line}");
-            block.wrong_at("keys", None, problem);
+            block.report_key("keys", None, problem);
             None
         }
     }
--- a/crates/wingfold-settings/src/own/receiver.rs
+++ b/crates/wingfold-settings/src/local/sink.rs
@@ -10,14 +10,14 @@
 const TIMES: RangeInclusive<Duration> = Duration::from_millis(100)..=Duration::from_secs(3600);
 
 /// Reads what all receivers have in common.
-pub(super) fn rules(block: &Block, interval: Duration) -> SinkLimits {
+pub(super) fn read_limits(block: &Block, interval: Duration) -> SinkLimits {
     let time = |name, default: Duration| {
-        let time = block.time(name, TIMES).unwrap_or(default);
+        let time = block.duration(name, TIMES).unwrap_or(default);
         Micros(time.as_micros() as u64)
     };
     let default = SinkLimits::default();
     SinkLimits {
-        max_queued_bytes: (block.whole("queue_kb", 16..=1 << 20).unwrap_or(1024) << 10) as usize,
+        max_queued_bytes: (block.integer("queue_kb", 16..=1 << 20).unwrap_or(1024) << 10) as usize,
         connect_timeout: time("connect_timeout", Duration::from_secs(2)),
         // What one interval takes longer than to be made piles up.
         write_timeout: time("write_timeout", interval),
--- a/crates/wingfold-settings/src/own/tests.rs
+++ b/crates/wingfold-settings/src/local/tests.rs
@@ -6,9 +6,9 @@
 
 #[test]
 fn nothing_said_is_everything_off() {
-    assert_eq!(Own::read("f", "").unwrap(), Own::default());
-    let off = Own::read("f", "capture {\n enabled = false\n directory = \"/d\"\n}\n").unwrap();
-    assert_eq!((off.capture, off.log), (None, Log::default()));
+    assert_eq!(LocalSettings::parse("f", "").unwrap(), LocalSettings::default());
+    let off = LocalSettings::parse("f", "capture {\n enabled = false\n directory = \"/d\"\n}\n").unwrap();
+    assert_eq!((off.capture, off.log), (None, LogSettings::default()));
 }
 
 #[test]
@@ -16,7 +16,7 @@
     let text = include_str!("../../../../deploy/wingfold.hcl");
     let types = include_str!("../../../../deploy/wingfold.types.db");
     assert_eq!(types, wingfold_metrics::collectd::TYPES_DB);
-    assert_eq!(Own::read("deploy/wingfold.hcl", text).unwrap(), Own::default());
+    assert_eq!(LocalSettings::parse("deploy/wingfold.hcl", text).unwrap(), LocalSettings::default());
     // Every key in it, switched on, is one that is known.
     let on = |line: &str| {
         let block = |text: &str| text.starts_with("  ") || text == "}" || text.ends_with('{');
@@ -27,26 +27,26 @@
     let text: String = text.lines().map(on).collect();
     let text = text.replace("enabled = false", "enabled = true").replace("  memory_mb", "  # memory_mb");
     let text = text.replace("security = \"none\"", "security = \"sign\"");
-    let own = Own::read_with("on", &text, |_| Ok("wingfold: a key".into()))
+    let own = LocalSettings::parse_with("on", &text, |_| Ok("wingfold: a key".into()))
         .unwrap_or_else(|faults| panic!("{faults}"));
-    let figures = own.figures.as_ref().unwrap();
+    let figures = own.metrics.as_ref().unwrap();
     assert_eq!((figures.sinks.graphite.len(), figures.sinks.collectd.len()), (1, 1));
     assert_eq!(
-        figures.sinks.graphite[0].rules,
+        figures.sinks.graphite[0].limits,
         SinkLimits::default(),
         "the defaults that are shown are the real ones"
     );
-    assert!(figures.intake.is_some());
+    assert!(figures.load_receiver.is_some());
     let capture = own.capture.unwrap();
-    assert_eq!(capture.target, Target::Folder("/var/lib/wingfold/capture".into()));
-    assert_eq!((capture.keep, capture.keep_bytes, capture.queue), (144, 1 << 30, 4 << 20));
+    assert_eq!(capture.target, CaptureTarget::Directory("/var/lib/wingfold/capture".into()));
+    assert_eq!((capture.max_segments, capture.max_bytes, capture.queue_bytes), (144, 1 << 30, 4 << 20));
 }
 
 #[test]
 fn all_faults_are_told_at_once_with_their_places() {
     let text = "log {\n  form = \"xml\"\n  levle = \"info\"\n}\ncapture {\n  enabled = 1\n  keep = 1\n  flush = \"2h\"\n  \
                 segment_mb = 3.5\n}\ncaptrue {\n  x = 1\n}\n";
-    let faults = Own::read("w.hcl", text).unwrap_err().to_string();
+    let faults = LocalSettings::parse("w.hcl", text).unwrap_err().to_string();
     let expected = [
         "w.hcl:2:3: key `log.form`: one of \"text\", \"json\" is expected, `\"xml\"` was found",
         "w.hcl:3:3: key `log.levle`: is not known; did you mean `level`?",
@@ -62,13 +62,14 @@
 
 #[test]
 fn what_contradicts_itself_is_told_by_its_block() {
-    let told = |body: &str| Own::read("f", &format!("capture {{\n{body}\n}}\n")).unwrap_err().to_string();
+    let told =
+        |body: &str| LocalSettings::parse("f", &format!("capture {{\n{body}\n}}\n")).unwrap_err().to_string();
     assert!(told("enabled = true").contains("needs `directory`"));
     assert!(told("directory = \"/d\"\nmemory_mb = 8").contains("exclude each other"));
     assert!(told("dump_token = \"short\"\ndump_directory = \"/d\"").contains("16 at least"));
     assert!(told("dump_token = \"0123456789abcdef\"").contains("key `capture.dump_directory`"));
     assert!(told("keep = 5\nkeep = 6").starts_with("f:3:1: "), "a key that stands twice");
-    let whole = |text: &str| Own::read("f", text).unwrap_err().to_string();
+    let whole = |text: &str| LocalSettings::parse("f", text).unwrap_err().to_string();
     assert!(whole("capture {\n").starts_with("f:1:11: "), "cut short: {}", whole("capture {\n"));
     assert_eq!(whole("log {}\nlog {}\n"), "f:2:1: key `log`: stands twice");
 }
@@ -81,21 +82,25 @@
                 listen = \"10.0.0.4:25826\"\n  keys = \"k\"\n  host \"db1\" {\n    is = \"s-1\"\n    cores = 3\n  }\n}\n";
     let secret =
         |path: &str| if path == "k" { Ok("lines: a long key".to_string()) } else { Err("no".into()) };
-    let own = Own::read_with("f", text, secret).unwrap();
-    let figures = own.figures.clone().unwrap();
-    assert_eq!(figures.sinks.graphite[0].rules.write_timeout.0, 5_000_000, "an interval's length");
+    let own = LocalSettings::parse_with("f", text, secret).unwrap();
+    let figures = own.metrics.clone().unwrap();
+    assert_eq!(figures.sinks.graphite[0].limits.write_timeout.0, 5_000_000, "an interval's length");
     assert_eq!(
-        figures.sinks.collectd[0].secrecy,
+        figures.sinks.collectd[0].security,
         PacketSecurity::Encrypted(Credentials { user: "lines".into(), key: "a long key".into() })
     );
-    assert_eq!(figures.intake.as_ref().unwrap().map["db1"], MappedHost { host: "s-1".into(), cores: 3.0 });
-    assert_eq!((own.memory(), own.descriptors()), (2 << 20, 6));
-    let other = Own::read_with("f", &text.replace("10.0.0.8", "10.0.0.7"), secret).unwrap();
-    assert_eq!(own.needs_restart(&other), Vec::<&str>::new(), "receivers change while it runs");
-    let other = Own::read_with("f", &text.replace("\"5s\"", "\"6s\""), secret).unwrap();
-    assert_eq!(own.needs_restart(&other), ["figures"]);
-    let wrong =
-        |from: &str, to: &str| Own::read_with("f", &text.replace(from, to), secret).unwrap_err().to_string();
+    assert_eq!(
+        figures.load_receiver.as_ref().unwrap().hosts["db1"],
+        MappedHost { host: "s-1".into(), cores: 3.0 }
+    );
+    assert_eq!((own.reserved_memory_bytes(), own.file_descriptors()), (2 << 20, 6));
+    let other = LocalSettings::parse_with("f", &text.replace("10.0.0.8", "10.0.0.7"), secret).unwrap();
+    assert_eq!(own.changes_that_need_restart(&other), Vec::<&str>::new(), "receivers change while it runs");
+    let other = LocalSettings::parse_with("f", &text.replace("\"5s\"", "\"6s\""), secret).unwrap();
+    assert_eq!(own.changes_that_need_restart(&other), ["figures"]);
+    let wrong = |from: &str, to: &str| {
+        LocalSettings::parse_with("f", &text.replace(from, to), secret).unwrap_err().to_string()
+    };
     assert!(wrong("g.example:2003", "g.example").contains("`g.example` is no address with a port"));
     assert!(wrong("\"g.example:2003\"", "\"10.0.0.9:2003\"").contains("names a receiver twice"));
     assert!(wrong("user = \"lines\"", "user = \"nobody\"").contains("`k` has no key of `nobody`"));
@@ -113,18 +118,19 @@
     std::fs::write(&path, "u: a key\n").unwrap();
     let with = |mode: u32| {
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
-        secret::read(path.to_str().unwrap())
+        secret::read_secret_file(path.to_str().unwrap())
     };
     assert!(with(0o644).unwrap_err().contains("may be read by others (mode 644)"));
     assert!(with(0o640).is_err());
     assert_eq!(with(0o600).unwrap(), "u: a key\n");
     std::fs::remove_file(&path).unwrap();
-    assert!(secret::read(path.to_str().unwrap()).is_err());
+    assert!(secret::read_secret_file(path.to_str().unwrap()).is_err());
 }
 
 #[test]
 fn a_ring_counts_as_memory_and_holds_several_segments() {
-    let own = Own::read("f", "capture {\n enabled = true\n memory_mb = 8\n queue_kb = 1024\n}\n").unwrap();
-    assert_eq!(own.memory(), 9 << 20);
+    let own = LocalSettings::parse("f", "capture {\n enabled = true\n memory_mb = 8\n queue_kb = 1024\n}\n")
+        .unwrap();
+    assert_eq!(own.reserved_memory_bytes(), 9 << 20);
     assert_eq!(own.capture.unwrap().segment_bytes, 2 << 20);
 }
--- a/crates/wingfold-settings/src/tests.rs
+++ b/crates/wingfold-settings/src/tests.rs
@@ -1,4 +1,8 @@
+//! Load fields, and paths in errors.
+
 use super::*;
+use serde::Deserialize;
+use wingfold_director::interface as api;
 
 #[test]
 fn a_load_report_is_read_by_the_settings_words_and_by_the_plain_ones() {
@@ -7,9 +11,9 @@
     {
         let mut load = api::HostLoad::default();
         for (word, value) in words.iter().zip(1..) {
-            assert!(put_load(&mut load, word, Some(f64::from(value))));
+            assert!(set_load_field(&mut load, word, Some(f64::from(value))));
         }
-        assert!(!put_load(&mut load, "served_ps", Some(9.0)));
+        assert!(!set_load_field(&mut load, "served_ps", Some(9.0)));
         let whole = api::HostLoad {
             in_flight: Some(1.0),
             queued: Some(2.0),
@@ -32,7 +36,7 @@
     struct Transported {
         peers: bool,
     }
-    let wrong = read::<Outer>(r#"{"inner":[{"peers":true},{"peers":3}]}"#).unwrap_err();
+    let wrong = parse_json::<Outer>(r#"{"inner":[{"peers":true},{"peers":3}]}"#).unwrap_err();
     assert_eq!(wrong.path, "inner[1].peers");
-    assert!(read::<Outer>(r#"{"inner":[]} x"#).is_err(), "what follows the object is no part of it");
+    assert!(parse_json::<Outer>(r#"{"inner":[]} x"#).is_err(), "what follows the object is no part of it");
 }
--- a/crates/wingfold-settings/tests/names.rs
+++ b/crates/wingfold-settings/tests/names.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use wingfold_director::interface::*;
 use wingfold_director::Director;
-use wingfold_settings::Info;
+use wingfold_settings::PlatformSettings;
 
 /// The names of a deployment: zones by position, and classes.
 struct Words {
@@ -113,9 +113,9 @@
 
 /// Plays a minute: drains, starts, a host that loses, one that is slow, a busy spell, proxies that come again.
 fn play(settings: &Value, zones: &[&str], seed: u64) -> Played {
-    let info: Info = wingfold_settings::read(&settings.to_string()).unwrap();
-    let classes = info.names().classes.len();
-    let mut director = Director::new(info.settings(), 9);
+    let info: PlatformSettings = wingfold_settings::parse_json(&settings.to_string()).unwrap();
+    let classes = info.report_names().classes.len();
+    let mut director = Director::new(info.director_settings(), 9);
     let zone = |at: usize| ZoneId(Arc::from(zones[at % zones.len()]));
     let host = |at: usize| HostId(format!("h{at:03}").into());
     let entry = |at: usize, readiness, started| Endpoint {
--- a/crates/wingfold-simhost/src/hosting.rs
+++ b/crates/wingfold-simhost/src/hosting.rs
@@ -9,11 +9,11 @@
 use wingfold_capture::{Head, Limits, Queue, Tap};
 use wingfold_director::interface::{Action, Endpoint, EndpointListKind, Event, Timestamp};
 use wingfold_director::Director;
-use wingfold_settings::Names;
+use wingfold_settings::ReportNames;
 
 /// One director and what is needed to read its messages.
 struct Instance {
-    names: Names,
+    names: ReportNames,
     director: Director,
     pending: Vec<Event>,
     tap: Option<Tap<Direct<Folder>>>,
@@ -24,10 +24,10 @@
         number: u64,
         now: Timestamp,
         seed: u64,
-        info: &wingfold_settings::Info,
+        info: &wingfold_settings::PlatformSettings,
         captures: Option<&Path>,
     ) -> Self {
-        let (names, settings) = (info.names(), info.settings());
+        let (names, settings) = (info.report_names(), info.director_settings());
         let tap = captures.and_then(|root| {
             let name = format!("instance-{number}");
             let build = format!("wingfold {}", env!("CARGO_PKG_VERSION"));
--- a/crates/wingfold-simhost/src/wire.rs
+++ b/crates/wingfold-simhost/src/wire.rs
@@ -10,7 +10,7 @@
     Action, AttemptCounts, ClassId, Endpoint, EndpointListKind, Event, HealthCheckOutcome, HostId, HostLoad,
     Micros, ProxyId, Readiness, Timestamp, ZoneId,
 };
-use wingfold_settings::{Info, Names};
+use wingfold_settings::{PlatformSettings, ReportNames};
 
 /// The table number that stands for every joined proxy.
 const ALL_TABLES: u32 = 65_535;
@@ -138,7 +138,7 @@
         self.value("edge").map(ProxyId)
     }
 
-    fn class(&mut self, names: &Names) -> Result<ClassId, WireError> {
+    fn class(&mut self, names: &ReportNames) -> Result<ClassId, WireError> {
         let text = self.text("profile")?;
         let at = names.classes.iter().position(|name| name == text);
         at.map(ClassId).ok_or_else(|| self.invalid("profile", text))
@@ -151,7 +151,7 @@
         }
     }
 
-    fn load(&mut self, names: &Names) -> Result<HostLoad, WireError> {
+    fn load(&mut self, names: &ReportNames) -> Result<HostLoad, WireError> {
         let text = self.text("pressure")?;
         let mut load = HostLoad::default();
         if text == "-" || text.is_empty() {
@@ -162,8 +162,8 @@
                 "-" => None,
                 _ => Some(part.parse::<f64>().map_err(|_| self.invalid("pressure", text))?),
             };
-            if let Some(name) = names.fields.get(at) {
-                wingfold_settings::put_load(&mut load, name, value);
+            if let Some(name) = names.load_fields.get(at) {
+                wingfold_settings::set_load_field(&mut load, name, value);
             }
         }
         Ok(load)
@@ -179,10 +179,10 @@
 }
 
 /// Reads the settings of a `launch`.
-pub fn launch(fields: &mut Fields) -> Result<(u64, Info), WireError> {
+pub fn launch(fields: &mut Fields) -> Result<(u64, PlatformSettings), WireError> {
     let seed = fields.value("random_seed")?;
     let text = fields.tail("info")?;
-    let info = wingfold_settings::read(text).map_err(|e| fields.invalid("info", &e.to_string()))?;
+    let info = wingfold_settings::parse_json(text).map_err(|e| fields.invalid("info", &e.to_string()))?;
     Ok((seed, info))
 }
 
@@ -225,7 +225,7 @@
 }
 
 /// Reads any event of an instance that is neither its start, its end nor its list.
-pub fn event(fields: &mut Fields, names: &Names) -> Result<Event, WireError> {
+pub fn event(fields: &mut Fields, names: &ReportNames) -> Result<Event, WireError> {
     Ok(match fields.message() {
         "wakeup" => Event::TimerFired(fields.value("ctx")?),
         "probe_result" => {
@@ -319,7 +319,7 @@
         }
         Action::SetEjected { host, ejected: on } => write!(out, "hold_back\t{}\t{}", flag(on), host.0),
         Action::SetAdmission { table, classes, level, retry } => {
-            let retry = wingfold_settings::retry_number(*retry);
+            let retry = wingfold_settings::retry_code(*retry);
             let table = table.map_or(ALL_TABLES, |table| table.0);
             write!(out, "allow\t{}\t{level}\t{table}\t{retry}", classes.0)
         }
@@ -405,9 +405,9 @@
 
     #[test]
     fn every_event_is_read_into_its_own_terms() {
-        let names = Names {
+        let names = ReportNames {
             classes: vec!["score".into(), "verdict".into()],
-            fields: vec!["cpu_share".into(), "busy_reqs".into(), "svc_ms".into(), "pending".into()],
+            load_fields: vec!["cpu_share".into(), "busy_reqs".into(), "svc_ms".into(), "pending".into()],
         };
         let read = |line: &str| {
             let mut fields = Fields::new(line);
--- a/crates/wingfold/src/serve.rs
+++ b/crates/wingfold/src/serve.rs
@@ -3,7 +3,7 @@
 use clap::Args;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use wingfold_settings::own::{Form, Own};
+use wingfold_settings::local::{LocalSettings, LogFormat};
 
 /// Serve as a director.
 #[derive(Args, Debug, Default)]
@@ -20,11 +20,11 @@
 }
 
 /// Reads own settings: of this file, else of the one that `WINGFOLD_OWN` names, else those where nothing is said.
-pub fn own(file: Option<&Path>) -> Result<Own, String> {
+pub fn own(file: Option<&Path>) -> Result<LocalSettings, String> {
     let named = file.map(Path::to_path_buf).or_else(|| std::env::var_os("WINGFOLD_OWN").map(PathBuf::from));
-    let Some(file) = named else { return Ok(Own::default()) };
+    let Some(file) = named else { return Ok(LocalSettings::default()) };
     let text = std::fs::read_to_string(&file).map_err(|problem| format!("{}: {problem}", file.display()))?;
-    Own::read(&file.display().to_string(), &text).map_err(|faults| faults.to_string())
+    LocalSettings::parse(&file.display().to_string(), &text).map_err(|faults| faults.to_string())
 }
 
 impl Serve {
@@ -33,13 +33,13 @@
         match own(self.own.as_deref()) {
             Ok(mut own) => {
                 if self.log_json {
-                    own.log.form = Form::Json;
+                    own.log.format = LogFormat::Json;
                 }
                 let file = self.own.clone();
-                let form = own.log.form;
+                let form = own.log.format;
                 wingfold_node::main(self.config, own, move || {
                     let mut own = self::own(file.as_deref())?;
-                    own.log.form = form;
+                    own.log.format = form;
                     Ok(own)
                 })
             }
