--- a/crates/wingfold-capture/src/case.rs
+++ b/crates/wingfold-capture/src/case.rs
@@ -8,7 +8,7 @@
 use wingfold_director::inspect::{HostStatus, TableView};
 use wingfold_director::interface::{HostId, Timestamp, ZoneId};
 use wingfold_director::Director;
-use wingfold_settings::hcl::{self, Block, Faults};
+use wingfold_settings::hcl::{self, Block, Diagnostics};
 
 /// What a condition expects of the status of a host in a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -242,17 +242,17 @@
 
 impl Case {
     /// Reads a case from its file; an error lists everything that is wrong with it.
-    pub fn read(file: &str, text: &str) -> Result<Case, Faults> {
+    pub fn read(file: &str, text: &str) -> Result<Case, Diagnostics> {
         hcl::read(file, text, |top| {
             let block = top.block("case");
             if block.is_none() {
-                top.wrong("a block `case \"name\" { .. }` is missing");
+                top.report("a block `case \"name\" { .. }` is missing");
             }
             let block = block.as_ref();
-            let tables = block.and_then(|block| block.word("tables", &["identical", "free"]));
+            let tables = block.and_then(|block| block.keyword("tables", &["identical", "free"]));
             Case {
                 name: block.and_then(|block| block.label.clone()).unwrap_or_default(),
-                about: block.and_then(|block| block.text("about")).unwrap_or_default(),
+                about: block.and_then(|block| block.string("about")).unwrap_or_default(),
                 identical: tables != Some("free"),
                 expectations: top.blocks("expect").iter().filter_map(read_expectation).collect(),
             }
@@ -264,17 +264,17 @@
 const MAX_SPAN: Duration = Duration::from_secs(86_400);
 
 fn read_expectation(block: &Block) -> Option<Expectation> {
-    let time = |name, default| block.time(name, Duration::ZERO..=MAX_SPAN).unwrap_or(default);
+    let time = |name, default| block.duration(name, Duration::ZERO..=MAX_SPAN).unwrap_or(default);
     let (after, until) = (time("after", Duration::ZERO), time("until", MAX_SPAN));
     if after > until {
-        block.wrong("`until` comes before `after`");
+        block.report("`until` comes before `after`");
     }
     Some(Expectation { condition: read_condition(block)?, after, until })
 }
 
 fn read_condition(block: &Block) -> Option<Condition> {
-    let zone = block.text("zone");
-    let host = || block.need("host", block.text("host"), String::new());
+    let zone = block.string("zone");
+    let host = || block.require("host", block.string("host"), String::new());
     let bound = |name, default| block.number(name, 0.0..=1e9).unwrap_or(default);
     match block.label.as_deref() {
         Some("out") => Some(Condition::NotInTables { host: host(), zone }),
@@ -283,17 +283,17 @@
             Some(Condition::Share { host, zone, least: bound("least", 0.0), most: bound("most", 1.0) })
         }
         Some("standing") => {
-            let name = block.word("is", &ExpectedStatus::NAMES).and_then(ExpectedStatus::from_name);
+            let name = block.keyword("is", &ExpectedStatus::NAMES).and_then(ExpectedStatus::from_name);
             let host = host();
-            Some(Condition::Status { host, zone, is: block.need("is", name, ExpectedStatus::Leading) })
+            Some(Condition::Status { host, zone, is: block.require("is", name, ExpectedStatus::Leading) })
         }
         Some("level") => {
-            let class = block.need("class", block.text("class"), String::new());
+            let class = block.require("class", block.string("class"), String::new());
             let (least, most) = (bound("least", 0.0), bound("most", 1e9));
             Some(Condition::AdmissionLevel { class, zone, least, most })
         }
         _ => {
-            block.unknown("is not known; here are out, share, standing, level");
+            block.reject("is not known; here are out, share, standing, level");
             None
         }
     }
--- a/crates/wingfold-emulator/src/scenario/reader/fault.rs
+++ b/crates/wingfold-emulator/src/scenario/reader/fault.rs
@@ -45,18 +45,18 @@
 
 impl FaultKeys {
     fn read(block: &Block, directors: usize) -> FaultKeys {
-        let begins_after = block.time("at", Duration::ZERO..=MAX_DURATION);
+        let begins_after = block.duration("at", Duration::ZERO..=MAX_DURATION);
         let last_director = directors as u64 - 1;
         FaultKeys {
-            begins_at: Timestamp::default() + micros(block.need("at", begins_after, Duration::ZERO)),
+            begins_at: Timestamp::default() + micros(block.require("at", begins_after, Duration::ZERO)),
             duration: duration_or(block, "lasts", 10_000),
             size: block.number("size", 0.0..=1000.0),
-            delay: block.time("by", Duration::ZERO..=MAX_DURATION),
-            director: block.whole("director", 0..=last_director).unwrap_or(0) as usize,
+            delay: block.duration("by", Duration::ZERO..=MAX_DURATION),
+            director: block.integer("director", 0..=last_director).unwrap_or(0) as usize,
             target_share: block.number("part", 0.0..=1.0),
-            hosts: block.texts("hosts"),
-            zone: block.text("zone"),
-            machine_type: block.text("kind"),
+            hosts: block.strings("hosts"),
+            zone: block.string("zone"),
+            machine_type: block.string("kind"),
         }
     }
 
@@ -92,10 +92,10 @@
 ) -> Option<Fault> {
     let keys = FaultKeys::read(block, directors);
     if keys.zone.as_ref().is_some_and(|zone| !zones.contains(zone)) {
-        block.wrong("`zone` is no zone of the scenario");
+        block.report("`zone` is no zone of the scenario");
     }
     if keys.begins_at.0 >= scenario_duration.0 {
-        block.wrong("begins after the scenario has ended");
+        block.report("begins after the scenario has ended");
     }
     let kind = read_fault_kind(block, &keys)?;
     let begins_at = keys.begins_at;
@@ -104,7 +104,7 @@
 }
 
 fn read_fault_kind(block: &Block, keys: &FaultKeys) -> Option<FaultKind> {
-    let zone = || block.need("zone", keys.zone.clone(), String::new());
+    let zone = || block.require("zone", keys.zone.clone(), String::new());
     let name = block.label.clone().unwrap_or_default();
     let kind = match name.as_str() {
         "crash" => FaultKind::Crash,
@@ -126,7 +126,7 @@
         "collector_dead" => FaultKind::CollectorOutage { zone: zone() },
         "traffic" => FaultKind::ZoneTraffic { zone: zone(), factor: keys.size_or(0.1) },
         _ => {
-            block.unknown(format!("is not known; here are {}", FAULT_KINDS.join(", ")));
+            block.reject(format!("is not known; here are {}", FAULT_KINDS.join(", ")));
             return None;
         }
     };
--- a/crates/wingfold-emulator/src/scenario/reader/values.rs
+++ b/crates/wingfold-emulator/src/scenario/reader/values.rs
@@ -17,7 +17,7 @@
 
 /// The duration of a key, or its default.
 pub(super) fn duration_or(block: &Block, key: &'static str, default_ms: u64) -> Micros {
-    let duration = block.time(key, Duration::ZERO..=MAX_DURATION);
+    let duration = block.duration(key, Duration::ZERO..=MAX_DURATION);
     micros(duration.unwrap_or(Duration::from_millis(default_ms)))
 }
 
@@ -32,7 +32,7 @@
 
     /// The integer of a key, or its default.
     pub(super) fn integer(&self, key: &'static str, range: RangeInclusive<u64>, default: u64) -> u64 {
-        self.0.as_ref().and_then(|block| block.whole(key, range)).unwrap_or(default)
+        self.0.as_ref().and_then(|block| block.integer(key, range)).unwrap_or(default)
     }
 
     /// The duration of a key, or its default.
--- a/crates/wingfold-emulator/tests/silence.rs
+++ b/crates/wingfold-emulator/tests/silence.rs
@@ -6,8 +6,8 @@
 use wingfold_director::Director;
 use wingfold_emulator::simulation::{simulate_observed, Observer};
 use wingfold_emulator::Scenario;
-use wingfold_figures::silence::State;
-use wingfold_figures::{Figure, Interval, Meter, Sample, Value};
+use wingfold_metrics::meter::{CallCounts, ExternalValues};
+use wingfold_metrics::{Interval, Meter, Metric, Sample, SourceState, Value};
 
 /// The length of the meter's intervals.
 const INTERVAL: Micros = Micros(5_000_000);
@@ -21,18 +21,18 @@
 /// The states of a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ZoneStates {
-    load_reports: State,
-    collector: State,
-    first_class: State,
+    load_reports: SourceState,
+    collector: SourceState,
+    first_class: SourceState,
 }
 
 impl ZoneStates {
-    const fn all(state: State) -> ZoneStates {
+    const fn all(state: SourceState) -> ZoneStates {
         ZoneStates { load_reports: state, collector: state, first_class: state }
     }
 }
 
-const HEARD: ZoneStates = ZoneStates::all(State::Heard);
+const HEARD: ZoneStates = ZoneStates::all(SourceState::Reporting);
 
 /// Measures director 0 as the engine does.
 struct MetricsObserver {
@@ -57,26 +57,36 @@
         let classes = ["score".to_string(), "verdict".to_string()];
         let meter = self.meter.get_or_insert_with(|| Meter::new(now, INTERVAL, module, &classes));
         for event in events {
-            meter.told(now, event);
+            meter.record_event(now, event);
             // In the emulator a collector sends nothing but load reports.
             if let Event::LoadReport { zone, .. } = event {
-                meter.collector(now, zone, 1);
+                meter.record_collector_activity(now, zone, 1);
             }
         }
         let entries = actions.iter().filter(|action| matches!(action, Action::SetEntry { .. })).count();
-        meter.answered(100, 1, entries, entries as f64);
-        meter.look(now, module);
+        meter.record_call(CallCounts {
+            duration_us: 100,
+            messages: 1,
+            lines: entries,
+            queued_lines: entries as f64,
+        });
+        meter.update(now, module);
         let zones = &module.settings().zones;
         let states = zones.iter().map(|zone| zone_states(meter, zone)).collect();
         self.states_by_second.insert(now.0 / MICROS_PER_S, states);
-        let written = hdrhistogram::Histogram::new(2).unwrap();
-        self.intervals.extend(meter.interval(now, module, &written, &[], &[]));
+        let write_delays = hdrhistogram::Histogram::new(2).unwrap();
+        let external = ExternalValues { write_delays: &write_delays, totals: &[], gauges: &[] };
+        self.intervals.extend(meter.end_interval(now, module, external));
     }
 }
 
 fn zone_states(meter: &Meter, zone: &ZoneId) -> ZoneStates {
-    let (load_reports, collector, classes) = meter.states(zone).expect("it is a zone of the settings");
-    ZoneStates { load_reports, collector, first_class: classes[0] }
+    let states = meter.source_states(zone).expect("it is a zone of the settings");
+    ZoneStates {
+        load_reports: states.load_reports,
+        collector: states.collector,
+        first_class: states.classes[0],
+    }
 }
 
 /// Runs a scenario of 100 s with the given fault; it has one director, so that all proxies are connected to it.
@@ -127,16 +137,16 @@
         states
     }
 
-    /// The value of a figure for the zone in the interval that ends at a second; `None`: it was not sent.
-    fn value(&self, figure: Figure, until_s: u64) -> Option<f64> {
-        let ends_at = |interval: &&Interval| interval.at.0 == until_s * MICROS_PER_S;
+    /// The value of a metric for the zone in the interval that ends at a second; `None`: it was not sent.
+    fn value(&self, metric: Metric, until_s: u64) -> Option<f64> {
+        let ends_at = |interval: &&Interval| interval.ended_at.0 == until_s * MICROS_PER_S;
         let interval = self.intervals.iter().find(ends_at).expect("an interval ends then");
-        let matches = |sample: &&Sample| sample.figure == figure && *sample.labels[0] == *ZONE;
+        let matches = |sample: &&Sample| sample.metric == metric && *sample.labels[0] == *ZONE;
         let sample = interval.samples.iter().find(matches)?;
         Some(match sample.value {
             Value::Count(count) => count as f64,
             Value::Gauge(value) => value,
-            Value::Spread(count, _) => count as f64,
+            Value::Distribution(distribution) => distribution.count as f64,
         })
     }
 }
@@ -147,23 +157,29 @@
         // The director loses the streams of the zone's proxies, its collector and its hosts.
         let observer = observe(&partition(), seed);
         assert_eq!(observer.states(ZONE_INDEX, 8, 29), [HEARD], "seed {seed}");
-        assert_eq!(observer.states(ZONE_INDEX, 42, 59), [ZoneStates::all(State::Cut)], "seed {seed}");
+        assert_eq!(
+            observer.states(ZONE_INDEX, 42, 59),
+            [ZoneStates::all(SourceState::Partitioned)],
+            "seed {seed}"
+        );
         assert_eq!(observer.states(ZONE_INDEX, 68, 98), [HEARD], "seed {seed}");
         // Between, it changes from heard to cut by way of silent at most; the other zones are heard all the time.
         let between = observer.states(ZONE_INDEX, 29, 42);
-        let is_expected = |state: State| matches!(state, State::Heard | State::Cut | State::Silent);
+        let is_expected = |state: SourceState| {
+            matches!(state, SourceState::Reporting | SourceState::Partitioned | SourceState::Silent)
+        };
         assert!(between.iter().all(|states| is_expected(states.load_reports)), "{between:?}");
         assert_eq!(observer.states(DIRECTOR_ZONE_INDEX, 8, 98), [HEARD], "seed {seed}");
         for until_s in [45, 50, 55] {
-            assert_eq!(observer.value(Figure::TriesTotal, until_s), None, "no zero is sent");
-            assert_eq!(observer.value(Figure::ServiceAsked, until_s), None);
+            assert_eq!(observer.value(Metric::TriesTotal, until_s), None, "no zero is sent");
+            assert_eq!(observer.value(Metric::ServiceAsked, until_s), None);
         }
-        let ages = [45, 50, 55].map(|until_s| observer.value(Figure::ZoneAge, until_s).unwrap());
+        let ages = [45, 50, 55].map(|until_s| observer.value(Metric::ZoneAge, until_s).unwrap());
         assert!(
             ages[0] > 10.0 && ages[1] > ages[0] + 4.0 && ages[2] > ages[1] + 4.0,
             "its age rises: {ages:?}"
         );
-        assert_eq!(observer.value(Figure::ZoneState, 50), Some(3.0));
+        assert_eq!(observer.value(Metric::ZoneState, 50), Some(3.0));
     }
 }
 
@@ -172,9 +188,9 @@
     for seed in 1..=5 {
         let observer = observe(LOW_TRAFFIC, seed);
         for states in observer.states(ZONE_INDEX, 25, 98) {
-            let is_quiet = states.load_reports <= State::Quiet
-                && states.collector <= State::Quiet
-                && states.first_class <= State::Quiet;
+            let is_quiet = states.load_reports <= SourceState::Quiet
+                && states.collector <= SourceState::Quiet
+                && states.first_class <= SourceState::Quiet;
             assert!(is_quiet, "seed {seed}: {states:?}");
         }
     }
@@ -184,12 +200,15 @@
 fn a_collector_that_is_down_is_silent_while_its_zone_is_heard() {
     for seed in 1..=5 {
         let observer = observe(&collector_outage(), seed);
-        let expected =
-            ZoneStates { load_reports: State::Silent, collector: State::Silent, first_class: State::Heard };
+        let expected = ZoneStates {
+            load_reports: SourceState::Silent,
+            collector: SourceState::Silent,
+            first_class: SourceState::Reporting,
+        };
         assert_eq!(observer.states(ZONE_INDEX, 40, 59), [expected], "seed {seed}");
         assert_eq!(observer.states(ZONE_INDEX, 66, 98), [HEARD]);
-        assert_eq!(observer.value(Figure::TriesTotal, 50), None, "what is not known is not sent");
-        assert!(observer.value(Figure::ServiceAsked, 50).unwrap() > 50.0, "what is known is");
+        assert_eq!(observer.value(Metric::TriesTotal, 50), None, "what is not known is not sent");
+        assert!(observer.value(Metric::ServiceAsked, 50).unwrap() > 50.0, "what is known is");
     }
 }
 
@@ -199,14 +218,14 @@
         let observer = observe(&delayed_reports(), seed);
         // The gap of 3.5 s at the beginning may look like silence for a moment; then the zone is heard.
         assert_eq!(observer.states(ZONE_INDEX, 40, 59), [HEARD], "seed {seed}");
-        let lag_s = observer.value(Figure::ZoneLag, 45).unwrap();
+        let lag_s = observer.value(Metric::ZoneLag, 45).unwrap();
         assert!((1.5..4.5).contains(&lag_s), "seed {seed}: {lag_s}");
-        assert!(observer.value(Figure::TriesLate, 45).unwrap() > 50.0, "late reports are marked");
-        assert_eq!(observer.value(Figure::TriesLate, 25), Some(0.0), "seed {seed}");
+        assert!(observer.value(Metric::TriesLate, 45).unwrap() > 50.0, "late reports are marked");
+        assert_eq!(observer.value(Metric::TriesLate, 25), Some(0.0), "seed {seed}");
         // Every interval that ends while reports are delayed is sent again with what arrived for it afterwards.
         let delayed = 40..=60;
         let corrected = observer.intervals.iter().filter(|interval| {
-            delayed.contains(&(interval.at.0 / MICROS_PER_S)) && !interval.mended.is_empty()
+            delayed.contains(&(interval.ended_at.0 / MICROS_PER_S)) && !interval.corrections.is_empty()
         });
         assert!(corrected.count() >= 3, "seed {seed}");
     }
@@ -218,13 +237,14 @@
         let observer = observe(NO_TRAFFIC, seed);
         let states = observer.states(ZONE_INDEX, 20, 95);
         // Its proxies announced their ordinary rate when they connected, so reports are missing; but nothing is cut.
-        let is_cut =
-            |states: &ZoneStates| states.load_reports == State::Cut || states.first_class == State::Cut;
+        let is_cut = |states: &ZoneStates| {
+            states.load_reports == SourceState::Partitioned || states.first_class == SourceState::Partitioned
+        };
         assert!(!states.iter().any(is_cut), "{states:?}");
-        assert_eq!(observer.value(Figure::TriesTotal, 50), None);
-        assert_eq!(observer.value(Figure::ServiceAsked, 50), None);
-        assert!(observer.value(Figure::ZoneAge, 50).unwrap() > 45.0);
-        assert_eq!(observer.value(Figure::ProxiesJoined, 50), Some(3.0), "its proxies are connected");
+        assert_eq!(observer.value(Metric::TriesTotal, 50), None);
+        assert_eq!(observer.value(Metric::ServiceAsked, 50), None);
+        assert!(observer.value(Metric::ZoneAge, 50).unwrap() > 45.0);
+        assert_eq!(observer.value(Metric::ProxiesJoined, 50), Some(3.0), "its proxies are connected");
     }
 }
 
@@ -235,10 +255,10 @@
     let appearance = |fault: &String| {
         let observer = observe(fault, 1);
         let states = observer.states(ZONE_INDEX, 55, 56)[0];
-        let is_delayed = observer.value(Figure::ZoneLag, 55).unwrap() > 1.5;
-        let has_requests = observer.value(Figure::ServiceAsked, 55).is_some();
-        let has_proxies = observer.value(Figure::ProxiesJoined, 55).unwrap() > 0.0;
-        let names = [states.load_reports, states.collector, states.first_class].map(State::name);
+        let is_delayed = observer.value(Metric::ZoneLag, 55).unwrap() > 1.5;
+        let has_requests = observer.value(Metric::ServiceAsked, 55).is_some();
+        let has_proxies = observer.value(Metric::ProxiesJoined, 55).unwrap() > 0.0;
+        let names = [states.load_reports, states.collector, states.first_class].map(SourceState::name);
         (names, is_delayed, has_requests, has_proxies)
     };
     let appearances: Vec<_> = faults.iter().map(appearance).collect();
@@ -275,8 +295,8 @@
             .unwrap();
         chart.configure_mesh().max_light_lines(0).x_labels(11).y_labels(4).draw().unwrap();
         for interval in &observer.intervals {
-            let until_s = interval.at.0 / MICROS_PER_S;
-            let Some(requests) = observer.value(Figure::ServiceAsked, until_s) else { continue };
+            let until_s = interval.ended_at.0 / MICROS_PER_S;
+            let Some(requests) = observer.value(Metric::ServiceAsked, until_s) else { continue };
             let from_x = until_s as f64 - 4.8;
             let until_x = until_s as f64 - 0.2;
             let style = RGBColor(170, 195, 225).filled();
--- a/crates/wingfold-node/src/engine/actions.rs
+++ b/crates/wingfold-node/src/engine/actions.rs
@@ -8,6 +8,7 @@
 use crate::{invariant, log, stage};
 use std::time::Instant;
 use wingfold_director::interface::{Action, Event, Timestamp};
+use wingfold_metrics::meter::CallCounts;
 
 /// Parts that the protocol allows in one message.
 const MAX_PARTS_PER_MESSAGE: usize = 64;
@@ -168,7 +169,12 @@
         self.metrics.answer_us_total.add(duration_us);
         if let Some(reporter) = &mut self.metrics_reporter {
             let _stage = stage!("book", call = self.calls).entered();
-            reporter.meter.answered(duration_us, totals.messages, totals.lines, totals.queued_lines);
+            reporter.meter.record_call(CallCounts {
+                duration_us,
+                messages: totals.messages,
+                lines: totals.lines,
+                queued_lines: totals.queued_lines,
+            });
             reporter.finish_call(now, &self.director, &self.metrics);
         }
     }
--- a/crates/wingfold-node/src/recorder.rs
+++ b/crates/wingfold-node/src/recorder.rs
@@ -12,7 +12,7 @@
 use wingfold_archive::{MemoryStore, SegmentFolder, SegmentStore, WriterConfig, WriterHandle, WriterQueue};
 use wingfold_capture::{Head, Recorder, SegmentLimits};
 use wingfold_director::interface::Timestamp;
-use wingfold_settings::own::{Capture, Target};
+use wingfold_settings::local::{CaptureSettings, CaptureTarget};
 
 /// Time for the capture's end: a planned restart leaves 0.7 s, and this is less than half of it.
 const END_TIMEOUT: Duration = Duration::from_millis(300);
@@ -46,24 +46,24 @@
 /// Starts the writer, which has a thread of its own until [`CaptureDumper::end`], and the task that reads its counters for as
 /// long as the runtime lives.
 pub fn start(
-    capture: Capture,
+    capture: CaptureSettings,
     config: &Config,
     now: Timestamp,
     metrics: Arc<Metrics>,
 ) -> Result<Recording, RunError> {
     let writer_config =
-        WriterConfig { head: head(config, now), limits: limits(&capture), queue_bytes: capture.queue };
+        WriterConfig { head: head(config, now), limits: limits(&capture), queue_bytes: capture.queue_bytes };
     let (store, dump_folder): (Box<dyn SegmentStore>, _) = match &capture.target {
-        Target::Folder(root) => (Box::new(SegmentFolder::new(root, &config.name)), None),
-        Target::Memory(bytes) => (Box::new(MemoryStore::new(*bytes)), capture.dump),
+        CaptureTarget::Directory(root) => (Box::new(SegmentFolder::new(root, &config.name)), None),
+        CaptureTarget::Memory(bytes) => (Box::new(MemoryStore::new(*bytes)), capture.dump_directory),
     };
     let (queue, handle) = wingfold_archive::spawn(store, writer_config, |line| tracing::warn!("{line}"))?;
-    tracing::info!(target = ?capture.target, queue = capture.queue, "capture: on");
+    tracing::info!(target = ?capture.target, queue = capture.queue_bytes, "capture: on");
     let dumper = CaptureDumper {
         handle,
         name: config.name.clone(),
         folder: dump_folder,
-        token: capture.token,
+        token: capture.dump_token,
         metrics,
         last_dump: Arc::default(),
     };
@@ -84,13 +84,13 @@
     }
 }
 
-fn limits(capture: &Capture) -> SegmentLimits {
+fn limits(capture: &CaptureSettings) -> SegmentLimits {
     SegmentLimits {
         segment_bytes: capture.segment_bytes,
         segment_age: micros(capture.segment_age),
-        keep_segments: capture.keep,
-        keep_bytes: capture.keep_bytes,
-        flush: micros(capture.flush),
+        keep_segments: capture.max_segments,
+        keep_bytes: capture.max_bytes,
+        flush: micros(capture.flush_interval),
         ..SegmentLimits::default()
     }
 }
--- a/crates/wingfold-node/src/sink/group.rs
+++ b/crates/wingfold-node/src/sink/group.rs
@@ -10,12 +10,11 @@
 use std::sync::Arc;
 use tokio::sync::mpsc::{channel, Sender};
 use tokio::task::JoinHandle;
-use wingfold_figures::collectd::{self, Secrecy};
-use wingfold_figures::graphite::{self, Naming, Point};
-use wingfold_figures::receiver::{Receiver, Rules};
-use wingfold_figures::spread::Ring;
-use wingfold_figures::Interval;
-use wingfold_settings::own::{Collectd, Deal, Graphite, Protocol};
+use wingfold_metrics::collectd::{self, PacketSecurity, ValueList};
+use wingfold_metrics::graphite::{self, Naming, Point};
+use wingfold_metrics::hash_ring::HashRing;
+use wingfold_metrics::{Interval, Sink, SinkLimits};
+use wingfold_settings::local::{CollectdSettings, GraphiteProtocol, GraphiteSettings, SinkAssignment};
 
 /// Intervals that may wait for a task: it takes them at its next turn, and counts what it drops itself.
 const QUEUE_INTERVALS: usize = 16;
@@ -23,14 +22,14 @@
 /// How intervals are written.
 #[derive(Clone, PartialEq)]
 enum Renderer {
-    Graphite { naming: Naming, protocol: Protocol },
-    Collectd { director: String, packet_bytes: usize, secrecy: Secrecy },
+    Graphite { naming: Naming, protocol: GraphiteProtocol },
+    Collectd { director: String, packet_bytes: usize, security: PacketSecurity },
 }
 
 impl Renderer {
     fn is_udp(&self) -> bool {
         match self {
-            Renderer::Graphite { protocol, .. } => *protocol == Protocol::Udp,
+            Renderer::Graphite { protocol, .. } => *protocol == GraphiteProtocol::Udp,
             Renderer::Collectd { .. } => true,
         }
     }
@@ -41,43 +40,45 @@
     pub(super) name: &'a str,
     addresses: &'a [String],
     /// Assigns names to addresses, where each value goes to one of them.
-    ring: Option<Ring>,
+    ring: Option<HashRing>,
     renderer: Renderer,
-    rules: &'a Rules,
+    limits: &'a SinkLimits,
 }
 
 impl<'a> GroupSettings<'a> {
-    pub(super) fn graphite(settings: &'a Graphite, context: &SinkContext) -> Self {
+    pub(super) fn graphite(settings: &'a GraphiteSettings, context: &SinkContext) -> Self {
         let naming = Naming {
             prefix: settings.prefix.clone(),
             director: context.director.clone(),
             tags: settings.tags,
         };
-        let ring = match settings.deal {
-            Deal::Hash => Some(Ring::new(&settings.addresses, micros(settings.settle))),
-            Deal::All => None,
+        let ring = match settings.assignment {
+            SinkAssignment::ConsistentHash => {
+                Some(HashRing::new(&settings.addresses, micros(settings.settle_time)))
+            }
+            SinkAssignment::Replicate => None,
         };
         GroupSettings {
             name: &settings.name,
             addresses: &settings.addresses,
             ring,
             renderer: Renderer::Graphite { naming, protocol: settings.protocol },
-            rules: &settings.rules,
+            limits: &settings.limits,
         }
     }
 
-    pub(super) fn collectd(settings: &'a Collectd, context: &SinkContext) -> Self {
+    pub(super) fn collectd(settings: &'a CollectdSettings, context: &SinkContext) -> Self {
         let renderer = Renderer::Collectd {
             director: context.director.clone(),
-            packet_bytes: settings.packet,
-            secrecy: settings.secrecy.clone(),
+            packet_bytes: settings.max_packet_bytes,
+            security: settings.security.clone(),
         };
         GroupSettings {
             name: &settings.name,
             addresses: std::slice::from_ref(&settings.address),
             ring: None,
             renderer,
-            rules: &settings.rules,
+            limits: &settings.limits,
         }
     }
 
@@ -113,7 +114,7 @@
             tokio::spawn(sink.run())
         } else {
             let seed = context.seed ^ fnv1a(address) ^ index as u64;
-            let core = Receiver::new(settings.rules.clone(), seed);
+            let core = Sink::new(settings.limits.clone(), seed);
             let sink = TcpSink::new(label, address.to_string(), work, core, context, health.clone());
             tokio::spawn(sink.run())
         };
@@ -140,7 +141,7 @@
 pub(super) struct Group {
     /// In the order of the settings.
     sinks: Vec<SinkHandle>,
-    ring: Option<Ring>,
+    ring: Option<HashRing>,
     renderer: Renderer,
 }
 
@@ -185,26 +186,26 @@
     /// Renders an interval and gives it to the tasks.
     pub(super) fn send(&mut self, interval: &Interval, context: &SinkContext, random: &mut ChaCha8Rng) {
         match &self.renderer {
-            Renderer::Collectd { director, packet_bytes, secrecy } => {
-                let lists: Vec<collectd::List> = interval
+            Renderer::Collectd { director, packet_bytes, security } => {
+                let lists: Vec<ValueList> = interval
                     .samples
                     .iter()
-                    .filter_map(|sample| collectd::list(director, interval, sample))
+                    .filter_map(|sample| ValueList::from_sample(director, interval, sample))
                     .collect();
-                let packets = collectd::packets(&lists, *packet_bytes, secrecy, random);
+                let packets = collectd::encode_packets(&lists, *packet_bytes, security, random);
                 self.sinks[0].give(Work::Datagrams(Arc::new(packets)), context);
             }
             Renderer::Graphite { naming, protocol } => {
                 let points = naming.points(interval);
                 let protocol = *protocol;
-                self.send_points(points, interval.number, protocol, context);
+                self.send_points(points, protocol, context);
             }
         }
     }
 
-    fn send_points(&mut self, points: Vec<Point>, interval: u64, protocol: Protocol, context: &SinkContext) {
+    fn send_points(&mut self, points: Vec<Point>, protocol: GraphiteProtocol, context: &SinkContext) {
         let Some(ring) = &mut self.ring else {
-            let work = render_points(&points, interval, protocol);
+            let work = render_points(&points, protocol);
             for sink in &self.sinks {
                 sink.give(work.clone(), context);
             }
@@ -212,24 +213,24 @@
         };
         let now = context.clock.now();
         for (index, sink) in self.sinks.iter().enumerate() {
-            ring.learn(now, index, sink.health.is_down(), sink.health.healthy_since());
+            ring.update_health(now, index, sink.health.is_down(), sink.health.healthy_since());
         }
         let mut points_by_sink: Vec<Vec<Point>> = vec![Vec::new(); self.sinks.len()];
         for point in points {
-            points_by_sink[ring.of(&point.path)].push(point);
+            points_by_sink[ring.sink_for(&point.path)].push(point);
         }
         for (sink, points) in self.sinks.iter().zip(&points_by_sink) {
             if !points.is_empty() {
-                sink.give(render_points(points, interval, protocol), context);
+                sink.give(render_points(points, protocol), context);
             }
         }
     }
 }
 
-fn render_points(points: &[Point], interval: u64, protocol: Protocol) -> Work {
+fn render_points(points: &[Point], protocol: GraphiteProtocol) -> Work {
     match protocol {
-        Protocol::Plain => Work::Bytes { interval, bytes: graphite::plain(points) },
-        Protocol::Pickle => Work::Bytes { interval, bytes: graphite::pickle(points) },
-        Protocol::Udp => Work::Datagrams(Arc::new(graphite::datagrams(points))),
+        GraphiteProtocol::Plain => Work::Bytes(graphite::encode_lines(points)),
+        GraphiteProtocol::Pickle => Work::Bytes(graphite::encode_pickles(points)),
+        GraphiteProtocol::Udp => Work::Datagrams(Arc::new(graphite::encode_datagrams(points))),
     }
 }
--- a/crates/wingfold-settings/src/own/secret.rs
+++ b/crates/wingfold-settings/src/local/secret.rs
@@ -2,13 +2,13 @@
 
 use crate::hcl::Block;
 use std::os::unix::fs::PermissionsExt;
-use wingfold_figures::collectd::Users;
+use wingfold_metrics::collectd::Users;
 
 /// Reads a file of keys by its path.
-pub(super) type ReadSecret<'a> = dyn Fn(&str) -> Result<String, String> + 'a;
+pub(super) type SecretReader<'a> = dyn Fn(&str) -> Result<String, String> + 'a;
 
 /// Reads a file of keys, which nobody else may read.
-pub(super) fn read(path: &str) -> Result<String, String> {
+pub(super) fn read_secret_file(path: &str) -> Result<String, String> {
     let data = std::fs::metadata(path).map_err(|problem| format!("`{path}`: {problem}"))?;
     let mode = data.permissions().mode() & 0o777;
     if mode & 0o077 != 0 {
@@ -18,19 +18,19 @@
 }
 
 /// Reads the users of a file of keys.
-pub(super) fn keys(block: &Block, file: &str, read_secret: &ReadSecret) -> Option<Users> {
+pub(super) fn read_users(block: &Block, file: &str, read_secret: &SecretReader) -> Option<Users> {
     let text = match read_secret(file) {
         Ok(text) => text,
         Err(problem) => {
-            block.wrong_at("keys", None, problem);
+            block.report_key("keys", None, problem);
             return None;
         }
     };
-    match Users::read(&text) {
+    match Users::parse(&text) {
         Ok(users) => Some(users),
-        Err(line) => {
-            let problem = format!("`{file}`, line {line}: `user: key` is expected, each user once");
-            block.wrong_at("keys", None, problem);
+        Err(invalid_line) => {
+            let problem = format!("`{file}`, {invalid_line}");
+            block.report_key("keys", None, problem);
             None
         }
     }
--- a/crates/wingfold/src/figures.rs
+++ b/crates/wingfold/src/figures.rs
@@ -6,7 +6,7 @@
 use std::io::{IsTerminal, Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
-use wingfold_figures::catalogue;
+use wingfold_metrics::catalogue;
 
 /// What can be asked of figures.
 #[derive(Debug, Subcommand)]
@@ -55,18 +55,18 @@
                 Outcome::Good
             }
             Figures::List { markdown: false } => {
-                for (_, entry) in catalogue::CATALOGUE {
-                    let labels = if entry.labels.is_empty() {
+                for (_, metric) in catalogue::CATALOGUE {
+                    let labels = if metric.labels.is_empty() {
                         String::new()
                     } else {
-                        format!(" by {}", entry.labels.join(", "))
+                        format!(" by {}", metric.labels.join(", "))
                     };
                     println!(
                         "{:<22} {} in {}{labels}: {}",
-                        entry.name,
-                        entry.kind.name(),
-                        entry.unit,
-                        entry.about
+                        metric.name,
+                        metric.kind.name(),
+                        metric.unit,
+                        metric.description
                     );
                 }
                 Outcome::Good
