--- a/crates/wingfold-simhost/src/hosting.rs
+++ b/crates/wingfold-simhost/src/hosting.rs
@@ -1,207 +1,122 @@
-//! Reads batches, hands events to the instances concerned and writes their replies. Where a folder is named, every call
-//! is captured there, each instance in a folder of its own.
+//! Reads batches, hands their events to the instances concerned and writes the replies.
 
-use crate::wire::{self, Fields, WireError};
+use crate::batch::Batch;
+use crate::instance::Instance;
+use crate::wire::{self, BatchStart, Fields, LineReader, MessageKind, OrderError, WireError};
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
-use std::path::Path;
-use wingfold_archive::{direct, writer::Direct, Folder};
-use wingfold_capture::{Head, Limits, Queue, Tap};
-use wingfold_director::interface::{Action, Endpoint, EndpointListKind, Event, Timestamp};
-use wingfold_director::Director;
-use wingfold_settings::Names;
+use std::path::PathBuf;
+use wingfold_director::interface::{Action, Event, Timestamp};
 
-/// One director and what is needed to read its messages.
-struct Instance {
-    names: Names,
-    director: Director,
-    pending: Vec<Event>,
-    tap: Option<Tap<Direct<Folder>>>,
-}
-
-impl Instance {
-    fn new(
-        number: u64,
-        now: Timestamp,
-        seed: u64,
-        info: &wingfold_settings::Info,
-        captures: Option<&Path>,
-    ) -> Self {
-        let (names, settings) = (info.names(), info.settings());
-        let tap = captures.and_then(|root| {
-            let name = format!("instance-{number}");
-            let build = format!("wingfold {}", env!("CARGO_PKG_VERSION"));
-            let (settings, classes) = (settings.clone(), names.classes.clone());
-            let head = Head {
-                build,
-                name: name.clone(),
-                run: now,
-                segment: 0,
-                seed,
-                settings,
-                classes,
-                ..Head::default()
-            };
-            let begun = direct(Folder::new(root, &name), head, Limits::default());
-            begun.map_err(|problem| eprintln!("wingfold-simhost: no capture: {problem}")).ok().map(Tap::new)
-        });
-        Instance { names, director: Director::new(settings, seed), pending: Vec::new(), tap }
-    }
-
-    fn answer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        if let Some(tap) = &mut self.tap {
-            tap.before(now, &self.director);
-        }
-        self.director.handle(now, &self.pending, actions);
-        if let Some(tap) = &mut self.tap {
-            tap.after(now, &self.pending, actions, self.director.digest());
-        }
-        self.pending.clear();
-    }
-}
-
-impl Drop for Instance {
-    fn drop(&mut self) {
-        if let Some(Err(problem)) = self.tap.as_mut().map(|tap| tap.queue().end()) {
-            eprintln!("wingfold-simhost: the capture has gaps: {problem}");
-        }
+/// Answers batches until the input ends. If `capture_root` is given, the calls of every instance are captured in a
+/// directory of its own there.
+pub fn serve(
+    input: impl BufRead,
+    mut output: impl Write,
+    capture_root: Option<PathBuf>,
+) -> Result<(), WireError> {
+    let mut lines = LineReader::new(input);
+    let mut host = InstanceHost::new(capture_root);
+    let mut reply = String::new();
+    while let Some(mut fields) = lines.next_line()? {
+        let start = wire::read_batch_start(&mut fields)?;
+        host.read_batch(&mut lines, start.clock)?;
+        reply.clear();
+        host.write_reply(&mut reply, &start);
+        output.write_all(reply.as_bytes())?;
+        output.flush()?;
     }
+    Ok(())
 }
 
-/// A list of which some entries are still to come.
-struct OpenList {
-    kind: EndpointListKind,
-    left: usize,
-    entries: Vec<Endpoint>,
+/// All instances of this process. They share nothing.
+struct InstanceHost {
+    instances: BTreeMap<u64, Instance>,
+    capture_root: Option<PathBuf>,
+    /// The actions of one instance; kept between calls for its allocation.
+    actions: Vec<Action>,
 }
 
-/// The state of one batch while it is read.
-struct Batch {
-    clock: Timestamp,
-    sequence: u64,
-    instance: Option<u64>,
-    list: Option<OpenList>,
-}
+impl InstanceHost {
+    fn new(capture_root: Option<PathBuf>) -> Self {
+        InstanceHost { instances: BTreeMap::new(), capture_root, actions: Vec::new() }
+    }
 
-/// Answers batches until the input ends.
-pub fn serve(
-    mut input: impl BufRead,
-    mut output: impl Write,
-    captures: Option<&Path>,
-) -> Result<(), WireError> {
-    let mut instances: BTreeMap<u64, Instance> = BTreeMap::new();
-    let mut batch: Option<Batch> = None;
-    let mut line = String::new();
-    let mut reply = String::new();
-    let mut actions: Vec<Action> = Vec::new();
-    loop {
-        line.clear();
-        if input.read_line(&mut line)? == 0 {
-            return match batch {
-                None => Ok(()),
-                Some(_) => Err(Fields::new("batch").unexpected("the input ends inside it")),
-            };
-        }
-        let text = line.trim_end_matches(['\n', '\r']);
-        let mut fields = Fields::new(text);
-        if text.is_empty() {
-            continue;
-        }
-        let Some(open) = &mut batch else {
-            if fields.message() != "batch" {
-                return Err(fields.unexpected("stands outside a batch"));
+    /// Reads the lines of a batch up to its end; the events wait in their instances.
+    fn read_batch(
+        &mut self,
+        lines: &mut LineReader<impl BufRead>,
+        clock: Timestamp,
+    ) -> Result<(), WireError> {
+        let mut batch = Batch::new(clock);
+        while let Some(mut fields) = lines.next_line()? {
+            batch.check_list_order(&fields)?;
+            if fields.kind() == MessageKind::BatchEnd {
+                return fields.end();
             }
-            let clock = Timestamp(fields.value("t")?);
-            let sequence = fields.value("frame")?;
-            fields.end()?;
-            batch = Some(Batch { clock, sequence, instance: None, list: None });
-            continue;
-        };
-        if open.list.is_some() != (fields.message() == "item") {
-            return Err(fields.unexpected("list entries must follow their `fleet`, all of them"));
-        }
-        if fields.message() != "flush" {
-            take(open, &mut fields, &mut instances, captures)?;
+            self.apply_line(&mut batch, &mut fields)?;
             fields.end()?;
-            continue;
         }
-        fields.end()?;
-        reply.clear();
-        for (number, instance) in &mut instances {
-            if instance.pending.is_empty() {
-                continue;
+        Err(WireError::input_ended_in_batch())
+    }
+
+    /// Applies a line inside a batch.
+    fn apply_line(&mut self, batch: &mut Batch, fields: &mut Fields) -> Result<(), WireError> {
+        match fields.kind() {
+            MessageKind::BatchStart => return Err(fields.unexpected(OrderError::BatchNotEnded)),
+            MessageKind::Instance => {
+                batch.select_instance(wire::read_instance(fields)?);
+                return Ok(());
             }
-            actions.clear();
-            instance.answer(open.clock, &mut actions);
-            actions.retain(|action| !matches!(action, Action::EvictHost(_)));
-            if !actions.is_empty() {
-                reply.push_str(&format!("source\t{number}\n"));
-                actions.iter().for_each(|action| wire::action(&mut reply, action));
+            _ => {}
+        }
+        let number = batch.instance().ok_or_else(|| fields.unexpected(OrderError::NoInstance))?;
+        match fields.kind() {
+            MessageKind::Launch => self.launch(number, batch.clock(), fields),
+            MessageKind::Destroy => {
+                self.instances.remove(&number);
+                Ok(())
             }
+            _ => self.queue_event(number, batch, fields),
         }
-        reply.push_str(&format!("ack\t{}\n", open.sequence));
-        output.write_all(reply.as_bytes())?;
-        output.flush()?;
-        batch = None;
     }
-}
 
-/// Takes in one line inside a batch.
-fn take(
-    batch: &mut Batch,
-    fields: &mut Fields,
-    instances: &mut BTreeMap<u64, Instance>,
-    captures: Option<&Path>,
-) -> Result<(), WireError> {
-    if fields.message() == "batch" {
-        return Err(fields.unexpected("the batch before it has not ended"));
-    }
-    if fields.message() == "for" {
-        batch.instance = Some(fields.value("i")?);
-        return Ok(());
-    }
-    let Some(number) = batch.instance else {
-        return Err(fields.unexpected("no instance was named before it"));
-    };
-    if fields.message() == "launch" {
-        let (seed, info) = wire::launch(fields)?;
-        // The old one ends its capture before the new one begins in the same folder.
-        instances.remove(&number);
-        instances.insert(number, Instance::new(number, batch.clock, seed, &info, captures));
-        return Ok(());
+    /// Starts an instance, in place of the one that had its number.
+    fn launch(&mut self, number: u64, now: Timestamp, fields: &mut Fields) -> Result<(), WireError> {
+        let launch = wire::read_launch(fields)?;
+        // The previous instance ends its capture before the next one begins in the same directory.
+        self.instances.remove(&number);
+        let instance = Instance::new(number, now, &launch, self.capture_root.as_deref());
+        self.instances.insert(number, instance);
+        Ok(())
     }
-    if fields.message() == "destroy" {
-        instances.remove(&number);
-        return Ok(());
-    }
-    let Some(instance) = instances.get_mut(&number) else {
-        return Err(fields.unexpected("the instance has not been launched"));
-    };
-    match fields.message() {
-        "fleet" => {
-            let (kind, left) = wire::fleet(fields)?;
-            match kind {
-                None => instance.pending.push(Event::EndpointListFailed),
-                Some(kind) if left == 0 => {
-                    instance.pending.push(Event::EndpointList { kind, endpoints: Vec::new() })
-                }
-                Some(kind) => batch.list = Some(OpenList { kind, left, entries: Vec::new() }),
-            }
+
+    /// Queues the event of a line, or the part of an event that it holds.
+    fn queue_event(&mut self, number: u64, batch: &mut Batch, fields: &mut Fields) -> Result<(), WireError> {
+        let Some(instance) = self.instances.get_mut(&number) else {
+            return Err(fields.unexpected(OrderError::NotLaunched));
+        };
+        let event: Option<Event> = match fields.kind() {
+            MessageKind::EndpointList => batch.begin_list(wire::read_endpoint_list(fields)?),
+            MessageKind::Endpoint => batch.add_endpoint(wire::read_endpoint(fields)?),
+            _ => Some(wire::read_event(fields, instance.names())?),
+        };
+        if let Some(event) = event {
+            instance.queue(event);
         }
-        "item" => {
-            let entry = wire::item(fields)?;
-            if let Some(list) = &mut batch.list {
-                list.entries.push(entry);
-                list.left -= 1;
-                if list.left == 0 {
-                    let done =
-                        Event::EndpointList { kind: list.kind, endpoints: std::mem::take(&mut list.entries) };
-                    instance.pending.push(done);
-                    batch.list = None;
-                }
+        Ok(())
+    }
+
+    /// Lets every instance with events handle them, and writes the reply.
+    fn write_reply(&mut self, reply: &mut String, start: &BatchStart) {
+        for (&number, instance) in &mut self.instances {
+            if !instance.has_events() {
+                continue;
             }
+            self.actions.clear();
+            instance.handle_events(start.clock, &mut self.actions);
+            wire::write_actions(reply, number, &self.actions);
         }
-        _ => instance.pending.push(wire::event(fields, &instance.names)?),
+        wire::write_acknowledgement(reply, start.sequence);
     }
-    Ok(())
 }
