--- a/crates/wingfold/src/cli.rs
+++ b/crates/wingfold/src/cli.rs
@@ -1,11 +1,14 @@
-//! The command line: what can be asked, and the exit codes.
+//! The command line: the commands and their exit codes.
 
-use crate::{capture, figures, lab, replay, serve, why};
+use crate::{capture, emulate, metrics, replay, serve, settings, why};
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
-use std::path::PathBuf;
+use std::fmt::Display;
 use std::process::ExitCode;
 
+/// The program's name, for shells.
+const PROGRAM: &str = "wingfold";
+
 /// How a command ended, as its exit code tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
@@ -17,6 +20,16 @@
     Unusable,
 }
 
+impl Outcome {
+    /// How a command ended that may have failed; why it failed is printed.
+    pub fn of(result: Result<Outcome, impl Display>) -> Outcome {
+        result.unwrap_or_else(|error| {
+            eprintln!("{error}");
+            Outcome::Unusable
+        })
+    }
+}
+
 impl From<Outcome> for ExitCode {
     fn from(outcome: Outcome) -> ExitCode {
         ExitCode::from(outcome as u8)
@@ -30,14 +43,14 @@
   GW_CONFIG=config.json wingfold                     serve as a director
   wingfold serve --config config.json --own deploy/wingfold.hcl
   wingfold replay /var/lib/wingfold/capture/n3       replay a night, compare every call
-  wingfold why /var/lib/wingfold/capture/n3 --at 03:12:05 --host s-5be2a07c
+  wingfold explain /var/lib/wingfold/capture/n3 --at 03:12:05 --host s-5be2a07c
   wingfold capture show /var/lib/wingfold/capture/n3
-  wingfold figures watch 10.0.0.4:8443
-  wingfold lab run crates/wingfold-lab/scenarios/example.hcl --seeds 1..20 --out target/lab
+  wingfold metrics watch 10.0.0.4:8443
+  wingfold emulate run crates/wingfold-lab/scenarios/example.hcl --seeds 1..20 --out target/lab
   wingfold completions bash > /etc/bash_completion.d/wingfold";
 
 #[derive(Debug, Parser)]
-#[command(name = "wingfold", version, about = "A traffic director for fleets of sidecar proxies", after_help = EXAMPLES)]
+#[command(name = PROGRAM, version, about = "A traffic director for fleets of sidecar proxies", after_help = EXAMPLES)]
 struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
@@ -49,20 +62,21 @@
     Serve(serve::Serve),
     /// Run the module over a capture and compare every answer with what was answered then
     Replay(replay::Replay),
-    /// Tell why the tables held what they held at a time
-    Why(why::Why),
+    /// Explain why the tables held what they held at a time
+    #[command(visible_alias = "why")]
+    Explain(why::Why),
     /// Look at captures, check them, cut them, keep a case of them
     #[command(subcommand)]
     Capture(capture::Capture),
-    /// List figures, or watch a director's
-    #[command(subcommand)]
-    Figures(figures::Figures),
-    /// Play scenarios in the emulator
-    #[command(subcommand)]
-    Lab(lab::Lab),
-    /// Read wingfold's own settings
-    #[command(subcommand)]
-    Own(OwnCommand),
+    /// List metrics, or watch a director's
+    #[command(subcommand, visible_alias = "figures")]
+    Metrics(metrics::Metrics),
+    /// Simulate scenarios in the emulator
+    #[command(subcommand, visible_alias = "lab")]
+    Emulate(emulate::Emulate),
+    /// Check wingfold's own settings
+    #[command(subcommand, visible_alias = "own")]
+    Settings(settings::Settings),
     /// Print completions for a shell
     Completions {
         /// The shell
@@ -70,49 +84,33 @@
     },
 }
 
-#[derive(Debug, Subcommand)]
-enum OwnCommand {
-    /// Tell everything that is wrong with a file of own settings (HCL)
-    Check {
-        /// The file
-        file: PathBuf,
-    },
+impl Command {
+    fn run(self) -> ExitCode {
+        match self {
+            Command::Serve(serve) => serve.run(),
+            Command::Replay(replay) => replay.run().into(),
+            Command::Explain(explain) => explain.run().into(),
+            Command::Capture(capture) => capture.run().into(),
+            Command::Metrics(metrics) => metrics.run().into(),
+            Command::Emulate(emulate) => emulate.run().into(),
+            Command::Settings(settings) => settings.run().into(),
+            Command::Completions { shell } => print_completions(shell).into(),
+        }
+    }
 }
 
-/// Runs the command that was asked for.
+/// Runs the command of the command line.
 pub fn run() -> ExitCode {
-    let cli = Cli::parse();
-    match cli.command {
+    match Cli::parse().command {
         None => serve::Serve::default().run(),
-        Some(Command::Serve(serve)) => serve.run(),
-        Some(Command::Replay(replay)) => replay.run().into(),
-        Some(Command::Why(why)) => why.run().into(),
-        Some(Command::Capture(capture)) => capture.run().into(),
-        Some(Command::Figures(figures)) => figures.run().into(),
-        Some(Command::Lab(lab)) => lab.run().into(),
-        Some(Command::Own(OwnCommand::Check { file })) => match serve::own(Some(&file)) {
-            Ok(_) => {
-                println!("{}: good", file.display());
-                Outcome::Good.into()
-            }
-            Err(problem) => {
-                eprintln!("{problem}");
-                Outcome::Unusable.into()
-            }
-        },
-        Some(Command::Completions { shell }) => {
-            clap_complete::generate(shell, &mut Cli::command(), "wingfold", &mut std::io::stdout());
-            Outcome::Good.into()
-        }
+        Some(command) => command.run(),
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_command_line_is_sound() {
-        Cli::command().debug_assert();
-    }
+fn print_completions(shell: Shell) -> Outcome {
+    clap_complete::generate(shell, &mut Cli::command(), PROGRAM, &mut std::io::stdout());
+    Outcome::Good
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/wingfold/src/main.rs
+++ b/crates/wingfold/src/main.rs
@@ -3,11 +3,13 @@
 
 mod capture;
 mod cli;
-mod figures;
-mod lab;
+mod emulate;
+mod file_error;
+mod metrics;
 mod replay;
 mod say;
 mod serve;
+mod settings;
 mod why;
 
 fn main() -> std::process::ExitCode {
--- a/crates/wingfold/src/serve.rs
+++ b/crates/wingfold/src/serve.rs
@@ -1,7 +1,8 @@
 //! `wingfold serve`: the director as a service.
 
+use crate::settings;
 use clap::Args;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::ExitCode;
 use wingfold_settings::own::{Form, Own};
 
@@ -19,34 +20,30 @@
     log_json: bool,
 }
 
-/// Reads own settings: of this file, else of the one that `WINGFOLD_OWN` names, else those where nothing is said.
-pub fn own(file: Option<&Path>) -> Result<Own, String> {
-    let named = file.map(Path::to_path_buf).or_else(|| std::env::var_os("WINGFOLD_OWN").map(PathBuf::from));
-    let Some(file) = named else { return Ok(Own::default()) };
-    let text = std::fs::read_to_string(&file).map_err(|problem| format!("{}: {problem}", file.display()))?;
-    Own::read(&file.display().to_string(), &text).map_err(|faults| faults.to_string())
-}
-
 impl Serve {
     /// Serves until it is asked to end.
     pub fn run(self) -> ExitCode {
-        match own(self.own.as_deref()) {
-            Ok(mut own) => {
-                if self.log_json {
-                    own.log.form = Form::Json;
-                }
-                let file = self.own.clone();
-                let form = own.log.form;
-                wingfold_node::main(self.config, own, move || {
-                    let mut own = self::own(file.as_deref())?;
-                    own.log.form = form;
-                    Ok(own)
-                })
-            }
-            Err(problem) => {
-                eprintln!("{problem}");
+        match settings::load(self.own.as_deref()) {
+            Ok(own) => self.serve(own),
+            Err(error) => {
+                eprintln!("{error}");
                 ExitCode::FAILURE
             }
         }
     }
+
+    fn serve(self, mut own: Own) -> ExitCode {
+        if self.log_json {
+            own.log.form = Form::Json;
+        }
+        let log_form = own.log.form;
+        let file = self.own;
+        let reload = move || {
+            let mut own = settings::load(file.as_deref()).map_err(|error| error.to_string())?;
+            // The form of the log is that of the start.
+            own.log.form = log_form;
+            Ok(own)
+        };
+        wingfold_node::main(self.config, own, reload)
+    }
 }
--- /dev/null
+++ b/crates/wingfold/src/settings.rs
@@ -0,0 +1,62 @@
+//! `wingfold settings`: wingfold's own settings, read and checked.
+
+use crate::cli::Outcome;
+use crate::file_error::{read_text, FileError};
+use clap::Subcommand;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
+use wingfold_settings::hcl::Faults;
+use wingfold_settings::own::Own;
+
+/// Names the file of own settings where the command line names none.
+const FILE_VARIABLE: &str = "WINGFOLD_OWN";
+
+/// What can be done with own settings.
+#[derive(Debug, Subcommand)]
+pub enum Settings {
+    /// Report everything that is wrong with a file of own settings (HCL)
+    Check {
+        /// The file
+        file: PathBuf,
+    },
+}
+
+/// Why own settings cannot be used.
+#[derive(Debug, Error)]
+pub enum SettingsError {
+    /// The file cannot be read.
+    #[error(transparent)]
+    File(#[from] FileError),
+    /// The file is read, and wrong.
+    #[error(transparent)]
+    Invalid(#[from] Faults),
+}
+
+impl Settings {
+    /// Runs the command.
+    pub fn run(self) -> Outcome {
+        match self {
+            Settings::Check { file } => Outcome::of(check(&file)),
+        }
+    }
+}
+
+fn check(file: &Path) -> Result<Outcome, SettingsError> {
+    load(Some(file))?;
+    println!("{}: good", file.display());
+    Ok(Outcome::Good)
+}
+
+/// Reads own settings: from `file`, or else from the file that `WINGFOLD_OWN` names, or else the defaults.
+pub fn load(file: Option<&Path>) -> Result<Own, SettingsError> {
+    let file = file.map(Path::to_path_buf).or_else(file_of_environment);
+    let Some(file) = file else {
+        return Ok(Own::default());
+    };
+    let text = read_text(&file)?;
+    Ok(Own::read(&file.display().to_string(), &text)?)
+}
+
+fn file_of_environment() -> Option<PathBuf> {
+    std::env::var_os(FILE_VARIABLE).map(PathBuf::from)
+}
