--- a/crates/wingfold-node/src/engine/tests.rs
+++ b/crates/wingfold-node/src/engine/tests.rs
@@ -17,7 +17,7 @@
     let (inbox, _) = inbox::channel(10, metrics.clone());
     Engine {
         tables: Tables::new(&config.names.classes),
-        prober: health_check::HealthChecker::new(&config.bounds, inbox, metrics.clone()),
+        health_checker: health_check::HealthChecker::new(&config.bounds, inbox, metrics.clone()),
         director: Director::new(config.settings, config.seed),
         clock: Clock::start(),
         discovery: tokio::sync::mpsc::unbounded_channel().0,
@@ -30,9 +30,9 @@
         connections: BTreeMap::new(),
         timers: Timers::default(),
         calls: 0,
-        tap: None,
-        dumps: None,
-        figures: None,
+        recorder: None,
+        capture_dumper: None,
+        metrics_reporter: None,
     }
 }
 
--- a/crates/wingfold-node/src/parts.rs
+++ b/crates/wingfold-node/src/parts.rs
@@ -116,13 +116,14 @@
     metrics: &Arc<Metrics>,
     outputs: EngineOutputs,
 ) -> Engine {
-    let (tap, dumps) = outputs.recording.map(|recording| (recording.tap, recording.dumper)).unzip();
+    let (recorder, capture_dumper) =
+        outputs.recording.map(|recording| (recording.recorder, recording.dumper)).unzip();
     Engine {
         tables: Tables::new(&config.names.classes),
         director,
         clock,
         discovery: outputs.commands,
-        prober: HealthChecker::new(&config.bounds, inbox.clone(), metrics.clone()),
+        health_checker: HealthChecker::new(&config.bounds, inbox.clone(), metrics.clone()),
         peer_sender: outputs.peers,
         addresses: EndpointAddresses::default(),
         max_hosts: config.bounds.max_hosts,
@@ -132,9 +133,9 @@
         connections: BTreeMap::new(),
         timers: Timers::default(),
         calls: 0,
-        tap,
-        dumps,
-        figures: outputs.reporter,
+        recorder,
+        capture_dumper,
+        metrics_reporter: outputs.reporter,
     }
 }
 
--- a/crates/wingfold-simhost/src/capture.rs
+++ b/crates/wingfold-simhost/src/capture.rs
@@ -1,15 +1,15 @@
 //! Captures the calls of an instance in a directory.
 
 use std::path::Path;
-use wingfold_archive::{direct, writer::Direct, Folder};
-use wingfold_capture::{Head, Limits, Queue, Tap};
+use wingfold_archive::{synchronous, SegmentFolder, SynchronousQueue};
+use wingfold_capture::{Head, Recorder, RecorderQueue, SegmentLimits};
 use wingfold_director::interface::{Action, Event, Settings, Timestamp};
 use wingfold_director::Director;
 use wingfold_settings::Names;
 
 /// The capture of one instance; ends when it is dropped.
 pub struct Capture {
-    tap: Tap<Direct<Folder>>,
+    recorder: Recorder<SynchronousQueue<SegmentFolder>>,
 }
 
 impl Capture {
@@ -25,16 +25,16 @@
         let name = format!("instance-{number}");
         let head = Head {
             build: format!("wingfold {}", env!("CARGO_PKG_VERSION")),
-            name: name.clone(),
-            run: now,
+            director: name.clone(),
+            incarnation: now,
             segment: 0,
             seed,
             settings: settings.clone(),
-            classes: names.classes.clone(),
+            class_names: names.classes.clone(),
             ..Head::default()
         };
-        match direct(Folder::new(root, &name), head, Limits::default()) {
-            Ok(queue) => Some(Capture { tap: Tap::new(queue) }),
+        match synchronous(SegmentFolder::new(root, &name), head, SegmentLimits::default()) {
+            Ok(queue) => Some(Capture { recorder: Recorder::new(queue) }),
             Err(problem) => {
                 eprintln!("wingfold-simhost: no capture: {problem}");
                 None
@@ -44,18 +44,18 @@
 
     /// To be called before the decision module handles events.
     pub fn before_call(&mut self, now: Timestamp, director: &Director) {
-        self.tap.before(now, director);
+        self.recorder.before_call(now, director);
     }
 
     /// To be called after the decision module has handled `events` and ordered `actions`.
     pub fn after_call(&mut self, now: Timestamp, events: &[Event], actions: &[Action], director: &Director) {
-        self.tap.after(now, events, actions, director.digest());
+        self.recorder.after_call(now, events, actions, director.digest());
     }
 }
 
 impl Drop for Capture {
     fn drop(&mut self) {
-        if let Err(problem) = self.tap.queue().end() {
+        if let Err(problem) = self.recorder.queue().finish() {
             eprintln!("wingfold-simhost: the capture has gaps: {problem}");
         }
     }
