--- a/crates/wingfold/src/cli.rs
+++ b/crates/wingfold/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line: the commands and their exit codes.
 
-use crate::{capture, emulate, metrics, replay, serve, settings, why};
+use crate::{capture, emulate, explain, metrics, replay, serve, settings};
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
 use std::fmt::Display;
@@ -13,11 +13,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// All is well, or equal.
-    Good,
+    Success,
     /// It was done, and the answer is no: different, not as expected, a rule broken.
-    Different,
+    Negative,
     /// It could not be done.
-    Unusable,
+    Failure,
 }
 
 impl Outcome {
@@ -25,7 +25,7 @@
     pub fn of(result: Result<Outcome, impl Display>) -> Outcome {
         result.unwrap_or_else(|error| {
             eprintln!("{error}");
-            Outcome::Unusable
+            Outcome::Failure
         })
     }
 }
@@ -64,7 +64,7 @@
     Replay(replay::Replay),
     /// Explain why the tables held what they held at a time
     #[command(visible_alias = "why")]
-    Explain(why::Why),
+    Explain(explain::Explain),
     /// Look at captures, check them, cut them, keep a case of them
     #[command(subcommand)]
     Capture(capture::Capture),
@@ -109,7 +109,7 @@
 
 fn print_completions(shell: Shell) -> Outcome {
     clap_complete::generate(shell, &mut Cli::command(), PROGRAM, &mut std::io::stdout());
-    Outcome::Good
+    Outcome::Success
 }
 
 #[cfg(test)]
--- a/crates/wingfold/src/emulate.rs
+++ b/crates/wingfold/src/emulate.rs
@@ -2,7 +2,7 @@
 
 use crate::cli::Outcome;
 use crate::file_error::{read_text, FileError};
-use crate::say;
+use crate::format;
 use clap::{Args, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::{self, IsTerminal};
@@ -85,9 +85,9 @@
         eprintln!("{error}");
     }
     if errors.is_empty() {
-        Outcome::Good
+        Outcome::Success
     } else {
-        Outcome::Unusable
+        Outcome::Failure
     }
 }
 
@@ -151,7 +151,7 @@
 
 fn print_log(seed: u64, result: &RunResult) {
     for line in &result.log {
-        println!("seed {seed} director {} {}: {}", line.director, say::time(line.at), line.text);
+        println!("seed {seed} director {} {}: {}", line.director, format::time(line.at), line.text);
     }
 }
 
@@ -162,9 +162,9 @@
         eprintln!("seed {seed} broke: {}", rules.join("; "));
     }
     if broken.is_empty() {
-        Outcome::Good
+        Outcome::Success
     } else {
-        Outcome::Different
+        Outcome::Negative
     }
 }
 
--- a/crates/wingfold/src/main.rs
+++ b/crates/wingfold/src/main.rs
@@ -4,13 +4,15 @@
 mod capture;
 mod cli;
 mod emulate;
+mod explain;
 mod file_error;
+mod format;
 mod metrics;
 mod replay;
-mod say;
+mod segments;
 mod serve;
 mod settings;
-mod why;
+mod time_range;
 
 fn main() -> std::process::ExitCode {
     cli::run()
--- a/crates/wingfold/src/metrics.rs
+++ b/crates/wingfold/src/metrics.rs
@@ -49,7 +49,7 @@
             }
             Metrics::Watch { address, times } => return watch(&address, times),
         }
-        Outcome::Good
+        Outcome::Success
     }
 }
 
@@ -73,7 +73,7 @@
                 let is_shown = show(&page, is_terminal);
                 // The reader of the output is gone.
                 if is_shown.is_err() {
-                    return Outcome::Good;
+                    return Outcome::Success;
                 }
             }
             Err(error) => {
@@ -81,12 +81,12 @@
                 // A director that has been seen may restart: it is polled again.
                 let retry = is_terminal && !is_first;
                 if !retry {
-                    return Outcome::Unusable;
+                    return Outcome::Failure;
                 }
             }
         }
     }
-    Outcome::Good
+    Outcome::Success
 }
 
 fn show(page: &Page, is_terminal: bool) -> io::Result<()> {
--- /dev/null
+++ b/crates/wingfold/src/segments.rs
@@ -0,0 +1,62 @@
+//! Reads the segments of a capture one after the other and shows how far that is.
+
+use crate::file_error::FileError;
+use indicatif::{ProgressBar, ProgressStyle};
+use std::io::{self, IsTerminal};
+use std::ops::ControlFlow;
+use std::path::PathBuf;
+use thiserror::Error;
+use wingfold_archive::SegmentFile;
+use wingfold_capture::replay::ReplayError;
+use wingfold_capture::{entries, Entry};
+
+/// Why the segments of a capture cannot be replayed.
+#[derive(Debug, Error)]
+pub enum SegmentError {
+    /// A segment cannot be read.
+    #[error(transparent)]
+    File(#[from] FileError),
+    /// A segment cannot be replayed.
+    #[error("{}: {problem}", path.display())]
+    Replay {
+        /// The segment's file.
+        path: PathBuf,
+        /// Why not.
+        problem: ReplayError,
+    },
+}
+
+/// Calls `feed` with each entry of each segment; if it breaks, the rest of that segment is skipped.
+pub fn for_each_entry(
+    segments: &[&SegmentFile],
+    mut feed: impl FnMut(Entry) -> Result<ControlFlow<()>, ReplayError>,
+) -> Result<(), SegmentError> {
+    let bar = progress_bar(segments);
+    for segment in segments {
+        let bytes = read(segment)?;
+        for entry in entries(&bytes) {
+            let error = |problem| SegmentError::Replay { path: segment.path.clone(), problem };
+            if feed(entry).map_err(error)?.is_break() {
+                break;
+            }
+        }
+        bar.inc(segment.meta.bytes);
+    }
+    bar.finish_and_clear();
+    Ok(())
+}
+
+/// Reads the bytes of a segment.
+pub fn read(segment: &SegmentFile) -> Result<Vec<u8>, FileError> {
+    segment.read().map_err(|problem| FileError::new(&segment.path, problem))
+}
+
+/// A bar on a terminal, nothing elsewhere.
+fn progress_bar(segments: &[&SegmentFile]) -> ProgressBar {
+    if !io::stderr().is_terminal() {
+        return ProgressBar::hidden();
+    }
+    let bytes = segments.iter().map(|segment| segment.meta.bytes).sum();
+    let style = ProgressStyle::with_template("{bar:40} {bytes}/{total_bytes} {eta}");
+    ProgressBar::new(bytes).with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
+}
--- a/crates/wingfold/src/settings.rs
+++ b/crates/wingfold/src/settings.rs
@@ -44,7 +44,7 @@
 fn check(file: &Path) -> Result<Outcome, SettingsError> {
     load(Some(file))?;
     println!("{}: good", file.display());
-    Ok(Outcome::Good)
+    Ok(Outcome::Success)
 }
 
 /// Reads own settings: from `file`, or else from the file that `WINGFOLD_OWN` names, or else the defaults.
