--- a/crates/wingfold/src/emulate.rs
+++ b/crates/wingfold/src/emulate.rs
@@ -10,8 +10,8 @@
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
-use wingfold_lab::experiment::Experiment;
-use wingfold_lab::{report, RunResult, Scenario};
+use wingfold_emulator::experiment::Experiment;
+use wingfold_emulator::{report, RunResult, Scenario};
 use wingfold_settings::hcl::Faults;
 
 /// What can be done in the emulator.
@@ -138,7 +138,7 @@
             return Ok(());
         };
         report::write(experiment, directory).map_err(|problem| FileError::new(directory, problem))?;
-        let service = experiment.mean(|result| result.service());
+        let service = experiment.mean(|result| result.service_ratio());
         println!(
             "service {:.4} ± {:.4}; tables and chart in {}",
             service.mean,
@@ -157,11 +157,11 @@
 
 /// Prints which rules were broken with which seed.
 fn report_broken_rules(experiment: &Experiment) -> Outcome {
-    let broken = experiment.broken();
-    for (seed, rules) in &broken {
-        eprintln!("seed {seed} broke: {}", rules.join("; "));
+    let violations = experiment.violations();
+    for violations_of_seed in &violations {
+        eprintln!("seed {} broke: {violations_of_seed}", violations_of_seed.seed);
     }
-    if broken.is_empty() {
+    if violations.is_empty() {
         Outcome::Success
     } else {
         Outcome::Negative
--- a/crates/wingfold/tests/commands.rs
+++ b/crates/wingfold/tests/commands.rs
@@ -38,7 +38,7 @@
 fn earlier_words_of_commands_do_and_print_the_same() {
     let capture = repository_file("captures/overload/capture.wfcap");
     let settings = repository_file("deploy/wingfold.hcl");
-    let scenario = repository_file("crates/wingfold-lab/scenarios/example.hcl");
+    let scenario = repository_file("crates/wingfold-emulator/scenarios/example.hcl");
     let cases: [(&str, &[&str], i32, &str); 13] = [
         ("emulate", &["run", &scenario, "--seeds", "3"], 0, "service"),
         ("emulate", &["run", &scenario, "--seeds", "3..1"], 2, "no range of seeds"),
