--- a/crates/wingfold/src/main.rs
+++ b/crates/wingfold/src/main.rs
@@ -3,12 +3,16 @@
 
 mod capture;
 mod cli;
-mod figures;
-mod lab;
+mod emulate;
+mod explain;
+mod file_error;
+mod format;
+mod metrics;
 mod replay;
-mod say;
+mod segments;
 mod serve;
-mod why;
+mod settings;
+mod time_range;
 
 fn main() -> std::process::ExitCode {
     cli::run()
