--- a/crates/wingfold-scale/src/baseline.rs
+++ b/crates/wingfold-scale/src/baseline.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A host that has been leaving for longer should be in no table.
+/// No table should have a host that has been leaving for longer.
 const STALE_USE_AGE: Duration = Duration::from_secs(6);
 const MIB: f64 = 1024.0;
 
@@ -32,6 +32,7 @@
     process: Usage,
 }
 
+/// Counts of one real director at the beginning of the measured time.
 struct RealBaseline {
     usage: Usage,
     discovery: TrafficCount,
@@ -78,7 +79,7 @@
         })
     }
 
-    /// The real and the simulated directors that are compared: those that the fault does not concern, if any real one is
+    /// The real and the simulated directors to compare: those that the fault does not concern, if any real one is
     /// among them.
     fn comparable_directors(&self) -> (Vec<usize>, Vec<usize>) {
         let is_spared = |director: &usize| match self.fault.fault {
@@ -137,11 +138,12 @@
         })
     }
 
-    /// The report with the times as they are once all have settled.
+    /// Replaces the delays of a report by those at the end of the run.
     pub(crate) fn with_delays(&self, report: Report, fleet: &Fleet) -> Report {
         Report { delays: delay_metrics(fleet), ..report }
     }
 
+    /// Metrics of each real director since the baseline.
     fn director_metrics(
         &self,
         fleet: &mut Fleet,
@@ -196,6 +198,7 @@
     }
 }
 
+/// Health checks since the baseline.
 fn health_check_metrics(fleet: &Fleet, baseline: &Baseline, watched_s: f64) -> HealthCheckMetrics {
     let health_checks = fleet.hosts.health_checks.iter().zip(&baseline.health_checks);
     let each: Vec<f64> = health_checks.map(|(now, before)| (now.get() - before) as f64 / watched_s).collect();
@@ -207,6 +210,7 @@
     }
 }
 
+/// Delays of the whole run.
 fn delay_metrics(fleet: &Fleet) -> DelayMetrics {
     DelayMetrics {
         start: fleet.shared.start_delays.summary(),
--- a/crates/wingfold-scale/src/cli.rs
+++ b/crates/wingfold-scale/src/cli.rs
@@ -20,7 +20,7 @@
 
 /// The whole ladder takes no longer than this.
 const LADDER_TIME_LIMIT: Duration = Duration::from_secs(600);
-/// Threads of the hollow parts; real directors need cores too.
+/// Threads of the simulated parts; real directors need cores too.
 const WORKER_THREADS: usize = 3;
 
 const EXAMPLES: &str = "\
@@ -136,7 +136,7 @@
     /// A run has failed.
     #[error(transparent)]
     Run(#[from] RunError),
-    /// Hollow directors did not do as real ones.
+    /// Simulated directors differ from real ones.
     #[error("hollow and real directors differ in: {0}")]
     Differs(String),
     /// A report cannot be written.
--- a/crates/wingfold-scale/src/compare.rs
+++ b/crates/wingfold-scale/src/compare.rs
@@ -1,5 +1,5 @@
-//! Whether simulated directors do as real ones: calls and bytes at discovery, and health checks, of a director of either kind in
-//! the same time.
+//! Compares simulated directors with real ones: calls and bytes at discovery, and health checks, of one director of
+//! either kind in the same time.
 
 use crate::counters::TrafficCount;
 use serde::Serialize;
@@ -15,12 +15,12 @@
     /// What is compared.
     #[serde(rename = "figure")]
     pub metric: &'static str,
-    /// Of one real director, on the mean.
+    /// Of one real director, on average.
     pub real: f64,
-    /// Of one simulated director, on the mean.
+    /// Of one simulated director, on average.
     #[serde(rename = "hollow")]
     pub simulated: f64,
-    /// The share by which they may differ.
+    /// The ratio by which they may differ.
     pub tolerance: f64,
 }
 
--- a/crates/wingfold-scale/src/deployment.rs
+++ b/crates/wingfold-scale/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment that is played: names, settings and paces, derived from the sizes of a step.
+//! The deployment of a run: names, settings and rates, derived from the size of its fleet.
 
 use crate::plan::{FleetSize, REAL_DESCRIPTORS, REAL_MEMORY_MIB};
 use serde_json::{json, Value};
@@ -7,28 +7,28 @@
 
 /// Classes of requests, as the settings name them.
 pub const CLASSES: [&str; 2] = ["lookup", "order"];
-/// Time in which a director has to ask discovery; a watch waits half of it.
+/// Time within which a director has to poll discovery; a watch waits half of it.
 pub const POLL_DEADLINE: Duration = Duration::from_secs(4);
-/// Time between two reports of a proxy on its usage.
+/// Time between two usage reports of a proxy.
 pub const REPORT_PERIOD: Duration = Duration::from_secs(1);
 /// Time until a proxy has applied an update that has left the send queue.
 pub const PUSH_DELAY: Duration = Duration::from_millis(200);
-/// Time for a connection to a host.
+/// Timeout of a connection attempt to a host.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Timeout of a health check: the shortest latency objective of the classes.
 pub const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Requests a second at one proxy.
+/// Requests a second that reach one proxy.
 pub const REQUESTS_PER_PROXY: f64 = 20.0;
-/// The report of a host on its load.
+/// The load report of a host.
 pub const LOAD_REPORT: &str = r#"{"inflight":7,"queue":2,"util":0.41}"#;
 
-/// Lines that a message to a proxy costs beside its own.
+/// Lines that a message to a proxy takes of the send queue besides its own.
 pub const LINES_PER_MESSAGE: usize = 4;
 /// A table of every host reaches all proxies of a director in about this time, in seconds.
 const FULL_PUSH_SECONDS: usize = 10;
-/// Lines of sums a second that a director gets at least.
+/// The least number of load reports that a director gets.
 const MIN_REPORTS_PER_S: usize = 200;
-/// Lines a second that a director's channel sends at least.
+/// The least drain rate of a director's send queue.
 const MIN_DRAIN_RATE_PER_S: usize = 4_000;
 /// The second byte of the addresses is taken from here on: the first ones are those of other tools.
 const FIRST_BLOCK: u32 = 10;
@@ -79,12 +79,12 @@
     }
 }
 
-/// Lines of sums a second that one director gets from all collectors together.
+/// Load reports a second that one director gets from all collectors together.
 pub fn reports_per_s(fleet_size: &FleetSize) -> usize {
     fleet_size.hosts.max(MIN_REPORTS_PER_S)
 }
 
-/// Lines a second that a director's channel sends.
+/// The drain rate of a director's send queue, in lines.
 pub fn drain_rate_per_s(fleet_size: &FleetSize) -> usize {
     (fleet_size.proxies_per_director * fleet_size.hosts / FULL_PUSH_SECONDS).max(MIN_DRAIN_RATE_PER_S)
 }
@@ -124,7 +124,7 @@
     settings
 }
 
-/// The configuration of a real director. It holds no remembered list: a start from nothing is the dearest.
+/// The configuration of a real director. It has no known list: a start without one costs most.
 pub fn configuration(
     fleet_size: &FleetSize,
     director: usize,
--- a/crates/wingfold-scale/src/discovery.rs
+++ b/crates/wingfold-scale/src/discovery.rs
@@ -121,8 +121,8 @@
         (Discovery { shared, calls }, queue.run())
     }
 
-    /// Listens for one director at a free port; returns the address and the task that serves it. `moved_at` is the time at
-    /// which the director got this address, if it had another one before.
+    /// Listens for one director at a free port; returns the address and the task that serves it. `moved_at` is when the
+    /// director got this address, if it had another one before.
     pub async fn listen(
         &self,
         at: IpAddr,
--- a/crates/wingfold-scale/src/http.rs
+++ b/crates/wingfold-scale/src/http.rs
@@ -1,4 +1,4 @@
-//! As much of HTTP/1.1 as discovery and hosts speak: requests without a body, answers with a length.
+//! The HTTP/1.1 that discovery and hosts speak: requests without a body, responses with a length.
 
 use std::io;
 use std::time::Duration;
@@ -20,13 +20,13 @@
 }
 
 impl Request {
-    /// Returns the value of a number in the query.
+    /// Returns the number that a key has in the query, if it has one.
     pub fn query_number(&self, key: &str) -> Option<u64> {
         http::query_number(&self.target, key)
     }
 }
 
-/// An answer as it arrived.
+/// A response as it arrived.
 #[derive(Debug)]
 pub struct Response {
     /// Its status.
@@ -35,7 +35,7 @@
     pub body: Vec<u8>,
 }
 
-/// A connection of either end.
+/// A connection, of the client or the server.
 #[derive(Debug)]
 pub struct Connection {
     reader: BufReader<OwnedReadHalf>,
@@ -43,15 +43,15 @@
 }
 
 impl Connection {
-    /// Over a connection that is up.
+    /// Wraps an established connection.
     pub fn new(stream: TcpStream) -> Connection {
-        // Where it cannot be set the connection is slower, no more.
+        // Without the option the connection is slower, but works.
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.into_split();
         Connection { reader: BufReader::new(reader), writer }
     }
 
-    /// The next request; `None` once the other end has closed.
+    /// Reads the next request; `None` once the other end has closed.
     pub async fn read_request(&mut self) -> io::Result<Option<Request>> {
         let Some(first) = self.read_line().await? else { return Ok(None) };
         let target = first.split(' ').nth(1).ok_or(io::ErrorKind::InvalidData)?.to_string();
@@ -84,17 +84,17 @@
         Ok(Response { status, body })
     }
 
-    /// Ends when the other end closes; what arrives meanwhile is left where it is.
+    /// Waits until the other end closes, or sends something, which stays to be read.
     pub async fn wait_until_closed(&mut self) {
         let _ = self.reader.fill_buf().await;
     }
 
-    /// Passes over whatever arrives until the other end closes.
+    /// Discards what arrives until the other end closes.
     pub async fn discard_until_closed(&mut self) {
         let _ = tokio::io::copy(&mut self.reader, &mut tokio::io::sink()).await;
     }
 
-    /// Ends the connection by a reset, so that no address stays taken.
+    /// Resets the connection, so that its address is free at once.
     pub fn reset(self) {
         if let Ok(stream) = self.reader.into_inner().reunite(self.writer) {
             let _ = stream.set_zero_linger();
@@ -126,7 +126,7 @@
     }
 }
 
-/// Dials within a time.
+/// Connects within a time.
 pub async fn connect_within(
     socket: tokio::net::TcpSocket,
     to: std::net::SocketAddr,
--- a/crates/wingfold-scale/src/lib.rs
+++ b/crates/wingfold-scale/src/lib.rs
@@ -1,5 +1,6 @@
 //! Scale runs: a few real directors, started as processes, among any number of simulated directors, proxies, collectors
-//! and hosts, which are tasks of this process. A simulated part speaks its protocol at the true rate and decides nothing.
+//! and hosts, which are tasks of this process. A simulated part speaks its protocol at the true rate and makes no
+//! decisions.
 //!
 //! Nothing of the product depends on this crate.
 #![forbid(unsafe_code)]
--- a/crates/wingfold-scale/src/plan.rs
+++ b/crates/wingfold-scale/src/plan.rs
@@ -17,8 +17,8 @@
 /// Processes that a run may take, its own included.
 const MAX_PROCESSES: usize = 300;
 
-/// Proxies and collectors of each simulated director, except the reference one, which has all of them. All of
-/// them would take more descriptors than one process has, and touch nothing that is measured.
+/// Proxies of each simulated director, except the reference one, which has as many as a real one. That many for each
+/// would take more descriptors than one process has, and would not change what is measured.
 pub const PROXIES_PER_SIMULATED_DIRECTOR: usize = 1;
 /// See [`PROXIES_PER_SIMULATED_DIRECTOR`].
 pub const COLLECTORS_PER_SIMULATED_DIRECTOR: usize = 1;
@@ -26,17 +26,18 @@
 /// Descriptors of a simulated director besides those of its clients: its listener, both ends of its connection to
 /// discovery, and both ends of two health checks under way.
 const DESCRIPTORS_PER_SIMULATED_DIRECTOR: usize = 7;
-/// Connections to hosts that a real director keeps, at most: some 16 health checks a second, each kept for 5 s, and a fifth.
+/// The most connections to hosts that a real director keeps: some 16 health checks a second, each kept for 5 s, and a
+/// fifth more.
 const HOST_CONNECTIONS_PER_REAL_DIRECTOR: usize = 96;
 /// Descriptors of the process itself: its runtime, its output, logs of real directors, files of /proc.
 const OWN_DESCRIPTORS: usize = 64;
 
-/// Memory limit that a real director is given, in MiB: that of scored deployments.
+/// Memory limit of a real director.
 pub const REAL_MEMORY_MIB: usize = 192;
-/// Descriptors that a real director is given.
+/// Descriptor limit of a real director.
 pub const REAL_DESCRIPTORS: usize = 1_024;
-/// Estimates of what simulated parts hold, in bytes: the tasks and buffers of a connection, a host in the list and in its
-/// answer, a measurement kept for the report.
+/// Estimates of what simulated parts hold: the tasks and buffers of a connection, a host in the list and its responses,
+/// and the process itself.
 const BYTES_PER_CONNECTION: usize = 48 << 10;
 const BYTES_PER_LISTED_HOST: usize = 512;
 const OWN_MEMORY_BYTES: usize = 128 << 20;
--- a/crates/wingfold-scale/src/run.rs
+++ b/crates/wingfold-scale/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: the plan is checked, the fleet set up, the script played, and all that was started is ended.
+//! One run: checks the plan, sets up the fleet, plays the script and stops everything that was started.
 
 use crate::fleet::{Fleet, FleetError};
 use crate::limits::{LimitsError, MachineLimits, PlanError};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Beyond start, script and settling a run takes no longer than this.
+/// The time limit of a run beyond the timeouts and the duration of the script.
 const RUN_MARGIN: Duration = Duration::from_secs(60);
 /// How often a condition is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -37,14 +37,14 @@
     }
 }
 
-/// What is to be played.
+/// A run to be played.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// The plan.
     pub plan: Plan,
     /// The program that a real director is.
     pub program: PathBuf,
-    /// What goes wrong.
+    /// The fault.
     pub fault: FaultPlan,
     /// How long it waits at most.
     pub timeouts: Timeouts,
@@ -53,19 +53,19 @@
 /// Why a run has no report.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// It would take too much.
+    /// The plan exceeds a limit.
     #[error(transparent)]
     Rejected(#[from] PlanError),
-    /// The machine does not tell its limits.
+    /// The machine's limits cannot be read.
     #[error(transparent)]
     Limits(#[from] LimitsError),
-    /// Something of the fleet has failed.
+    /// A part of the fleet has failed.
     #[error(transparent)]
     Fleet(#[from] FleetError),
     /// This process cannot be measured.
     #[error(transparent)]
     Measure(#[from] MeasureError),
-    /// Directors never had the list.
+    /// Directors did not get the list in time.
     #[error(
         "{behind} directors (the first is number {first}) do not have version {version} of the list; \
          the last calls of {rejected} of them were refused by discovery"
@@ -77,20 +77,20 @@
         first: usize,
         /// The version.
         version: u64,
-        /// Of these, ones that discovery has rejected.
+        /// How many of them discovery rejected last.
         rejected: usize,
     },
-    /// Proxies never had tables.
+    /// Proxies did not get tables in time.
     #[error("{bound} of {proxies} proxies at real directors hold tables after {} s", after.as_secs())]
     Unbound {
-        /// The time for that.
+        /// The timeout.
         after: Duration,
         /// Proxies with tables.
         bound: usize,
-        /// All of them.
+        /// All proxies.
         proxies: usize,
     },
-    /// It took longer than it may.
+    /// It exceeded its time limit.
     #[error("the run was not over within {} s", .0.as_secs())]
     Overrun(Duration),
     /// It was interrupted.
@@ -104,10 +104,10 @@
         let estimate = self.plan.check(&MachineLimits::read()?)?;
         let mut fleet = Fleet::set_up(&self.plan, self.timeouts.ready).await?;
         let Timeouts { ready, start, settle } = self.timeouts;
-        let within = ready + start + self.plan.duration + settle + RUN_MARGIN;
+        let time_limit = ready + start + self.plan.duration + settle + RUN_MARGIN;
         let played = tokio::select! {
-            played = timeout(within, self.play_fleet(&mut fleet, estimate)) => {
-                played.unwrap_or(Err(RunError::Overrun(within)))
+            played = timeout(time_limit, self.play_fleet(&mut fleet, estimate)) => {
+                played.unwrap_or(Err(RunError::Overrun(time_limit)))
             }
             () = interrupted => Err(RunError::Interrupted),
         };
@@ -117,6 +117,7 @@
         Ok(report)
     }
 
+    /// Starts the fleet, plays the script and makes the report.
     async fn play_fleet(&self, fleet: &mut Fleet, estimate: ResourceEstimate) -> Result<Report, RunError> {
         fleet.start(&self.program).await?;
         tracing::info!("all directors answer");
--- a/crates/wingfold-scale/src/script.rs
+++ b/crates/wingfold-scale/src/script.rs
@@ -12,16 +12,16 @@
 
 /// Time between two changes of the list.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
-/// Changes that a host stays away for.
+/// A host stays away for this many changes.
 const AWAY_CHANGES: usize = 10;
 /// How often the script advances and the fleet is checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 /// Ticks between two measurements of the real directors.
 const TICKS_PER_MEASUREMENT: u32 = 5;
-/// When the fault begins, and when discovery moves, as shares of the run.
+/// When the fault begins, and when discovery moves, as ratios of its duration.
 const FAULT_START_RATIO: f64 = 0.25;
 const DISCOVERY_MOVE_RATIO: f64 = 0.75;
-/// The zone that `zone-silent` silences.
+/// The zone of the fault `zone-silent`.
 const SILENT_ZONE: usize = 0;
 
 /// The fault of a run.
@@ -43,15 +43,15 @@
     /// Hosts that are away, the one that left first in front.
     away: VecDeque<usize>,
     changes: u64,
-    phase: Phase,
+    fault_phase: FaultPhase,
     has_moved: bool,
-    begun: Option<Instant>,
+    begun_at: Option<Instant>,
     ticks_done: u32,
 }
 
-/// Where the fault stands.
+/// Whether the fault has started and ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Phase {
+enum FaultPhase {
     Before,
     During,
     After,
@@ -68,33 +68,33 @@
             departure_order: order.into(),
             away: VecDeque::new(),
             changes: 0,
-            phase: Phase::Before,
+            fault_phase: FaultPhase::Before,
             has_moved: false,
-            begun: None,
+            begun_at: None,
             ticks_done: 0,
         }
     }
 
-    /// Plays it for as long as no director waits for discovery: until it moves or goes down. After that chance has the
-    /// greatest part in who gets a list when.
+    /// Plays it until discovery moves or becomes unavailable. After that it is mostly chance which director gets a list
+    /// when.
     pub async fn play_steady(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let steady =
             if self.fault.fault == Fault::DiscoveryDown { FAULT_START_RATIO } else { DISCOVERY_MOVE_RATIO };
         self.play_until(self.duration.mul_f64(steady), fleet).await
     }
 
-    /// Plays it to its end.
+    /// Plays the rest of it.
     pub async fn play_to_end(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         self.play_until(self.duration, fleet).await
     }
 
-    /// Changes of the list so far.
+    /// Returns how many changes of the list were made.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
     async fn play_until(&mut self, end: Duration, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let begun = *self.begun.get_or_insert_with(Instant::now);
+        let begun = *self.begun_at.get_or_insert_with(Instant::now);
         let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         while begun.elapsed() < end {
@@ -109,23 +109,23 @@
         Ok(())
     }
 
-    /// Does what is due.
+    /// Plays what is due at this time of the run.
     async fn advance(&mut self, at: Duration, fleet: &mut Fleet) -> Result<(), FleetError> {
         if at >= CHANGE_INTERVAL * self.changes as u32 {
             self.change_list(fleet);
         }
-        let begins = self.duration.mul_f64(FAULT_START_RATIO);
-        match self.phase {
-            Phase::Before if self.fault.fault == Fault::None => self.phase = Phase::After,
-            Phase::Before if at >= begins => {
-                self.phase = Phase::During;
+        let fault_start = self.duration.mul_f64(FAULT_START_RATIO);
+        match self.fault_phase {
+            FaultPhase::Before if self.fault.fault == Fault::None => self.fault_phase = FaultPhase::After,
+            FaultPhase::Before if at >= fault_start => {
+                self.fault_phase = FaultPhase::During;
                 tracing::info!(fault = %self.fault.fault, "fault begins");
-                begin(self.fault.fault, fleet).await?;
+                start_fault(self.fault.fault, fleet).await?;
             }
-            Phase::During if at >= begins + self.fault.duration => {
-                self.phase = Phase::After;
+            FaultPhase::During if at >= fault_start + self.fault.duration => {
+                self.fault_phase = FaultPhase::After;
                 tracing::info!(fault = %self.fault.fault, "fault ends");
-                end(self.fault.fault, fleet);
+                end_fault(self.fault.fault, fleet);
             }
             _ => {}
         }
@@ -146,7 +146,8 @@
             changes.push(HostChange { host: leaves, state: HostState::Leaving, started_ms: 0 });
         }
         let is_back = self.away.len() > AWAY_CHANGES || changes.is_empty();
-        if let Some(back) = if is_back { self.away.pop_front() } else { None } {
+        let returning = if is_back { self.away.pop_front() } else { None };
+        if let Some(back) = returning {
             fleet.departures.host_returns(back);
             self.departure_order.push_back(back);
             changes.push(HostChange { host: back, state: HostState::Active, started_ms: unix_ms() });
@@ -156,7 +157,8 @@
     }
 }
 
-async fn begin(fault: Fault, fleet: &mut Fleet) -> Result<(), FleetError> {
+/// Starts a fault.
+async fn start_fault(fault: Fault, fleet: &mut Fleet) -> Result<(), FleetError> {
     match fault {
         Fault::None => {}
         Fault::DiscoveryDown => fleet.discovery.set_down(true),
@@ -167,7 +169,8 @@
     Ok(())
 }
 
-fn end(fault: Fault, fleet: &Fleet) {
+/// Ends a fault.
+fn end_fault(fault: Fault, fleet: &Fleet) {
     match fault {
         Fault::None | Fault::RestartQuarter => {}
         Fault::DiscoveryDown => fleet.discovery.set_down(false),
--- a/crates/wingfold-scale/src/simulated/director.rs
+++ b/crates/wingfold-scale/src/simulated/director.rs
@@ -252,8 +252,8 @@
     }
 }
 
-/// One health check, over a connection of its own: a real director keeps them for five seconds, which 480 simulated ones in one
-/// process have no descriptors for.
+/// One health check, over a connection of its own. A real director keeps the connection for five seconds; 480 simulated
+/// ones in one process have no descriptors for that.
 async fn check_host(from: IpAddr, host: SocketAddr) -> io::Result<()> {
     let mut connection = Connection::new(connect_from(from, host, CONNECT_TIMEOUT).await?);
     connection.get("/status/load", &host.to_string()).await?;
--- a/crates/wingfold-test-support/src/scripted_server.rs
+++ b/crates/wingfold-test-support/src/scripted_server.rs
@@ -123,8 +123,8 @@
     }
 }
 
-/// Waits until the other end of a loopback connection has read all that was written here: nothing waits in this socket's
-/// send queue, nor in the other's receive queue, as the kernel lists them.
+/// Waits until the other end of a loopback connection has read all that was written here: nothing waits in this
+/// socket's send queue, nor in the other's receive queue, as the kernel lists them.
 pub fn wait_until_read(connection: &TcpStream) {
     let (local, remote) = (connection.local_addr().unwrap(), connection.peer_addr().unwrap());
     let begun = Instant::now();
--- a/crates/wingfold/tests/scale.rs
+++ b/crates/wingfold/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The smallest step of a scale run, on this build of the program: simulated directors do as the real ones, every change
-//! reaches all of them, what fails is named, and nothing is left running.
+//! The smallest step of a scale run, on this build of the program: simulated directors do as the real ones, every
+//! change reaches all of them, what fails is named, and nothing is left running.
 
 use std::future::pending;
 use std::os::unix::fs::symlink;
