--- a/crates/wingfold-node/src/parts.rs
+++ b/crates/wingfold-node/src/parts.rs
@@ -65,14 +65,14 @@
         metrics: &Arc<Metrics>,
     ) -> Result<Parts, RunError> {
         let (inbox, engine_inbox) = inbox::channel(config.bounds.max_queued_reports, metrics.clone());
-        let recording = match start.own.capture {
+        let recording = match start.local.capture {
             Some(capture) => Some(recorder::start(capture, config, clock.now(), metrics.clone())?),
             None => None,
         };
         let dumper = recording.as_ref().map(|recording| recording.dumper.clone());
         let director = Director::new(config.settings.clone(), config.seed);
-        let reporting = start.own.metrics.map(|figures| {
-            MetricsReporter::new(config, figures.interval, start.causes, clock.now(), &director)
+        let reporting = start.local.metrics.map(|metrics| {
+            MetricsReporter::new(config, metrics.interval, start.causes, clock.now(), &director)
         });
         let (reporter, intervals) = reporting.unzip();
         let admission = build_admission(config, &inbox, metrics, dumper.clone(), reporter.as_ref());
--- a/crates/wingfold-node/src/reload.rs
+++ b/crates/wingfold-node/src/reload.rs
@@ -13,8 +13,8 @@
 pub struct Readings {
     /// The platform's configuration.
     pub config: Result<Config, ConfigError>,
-    /// The own settings, or what is wrong with them, a fault a line.
-    pub own: Result<LocalSettings, String>,
+    /// The local settings, or their diagnostics, one per line.
+    pub local: Result<LocalSettings, String>,
 }
 
 /// Calls `read` on a blocking thread; `None` if it panicked, which the log says.
@@ -26,8 +26,8 @@
 pub struct Reloader {
     config: watch::Sender<Arc<Config>>,
     sinks: watch::Sender<Arc<SinkSettings>>,
-    /// The own settings in force.
-    own: LocalSettings,
+    /// The local settings in force.
+    local: LocalSettings,
     /// Bytes that the start reserved for queues of sinks: there are no more.
     reserved_bytes: usize,
     /// Descriptors that the start reserved for sinks: there are no more.
@@ -35,15 +35,15 @@
 }
 
 impl Reloader {
-    /// Hands configurations to `config` and the settings of sinks to `sinks`; `own` are the own settings at the start.
+    /// Hands configurations to `config` and the settings of sinks to `sinks`; `local` are the local settings at the start.
     pub fn new(
         config: watch::Sender<Arc<Config>>,
         sinks: watch::Sender<Arc<SinkSettings>>,
-        own: LocalSettings,
+        local: LocalSettings,
     ) -> Reloader {
-        let reserved_bytes = own.reserved_memory_bytes();
-        let reserved_descriptors = own.file_descriptors();
-        Reloader { config, sinks, own, reserved_bytes, reserved_descriptors }
+        let reserved_bytes = local.reserved_memory_bytes();
+        let reserved_descriptors = local.file_descriptors();
+        Reloader { config, sinks, local, reserved_bytes, reserved_descriptors }
     }
 
     /// Never returns; ends when it is dropped. A signal that comes while files are read leads to a new reading, and the one
@@ -72,8 +72,8 @@
             Ok(config) => self.apply_config(config),
             Err(error) => tracing::error!("reload: {error}; the old configuration goes on"),
         }
-        match readings.own {
-            Ok(own) => self.apply_own(own),
+        match readings.local {
+            Ok(local) => self.apply_local(local),
             Err(faults) => {
                 for fault in faults.lines() {
                     tracing::error!("reload: {}; the old own settings go on", log::plain(fault));
@@ -93,18 +93,18 @@
         self.config.send_modify(|current| *current = Arc::new(current.with(&new)));
     }
 
-    /// Hands the settings of sinks on; all other own settings wait for a restart.
-    fn apply_own(&mut self, new: LocalSettings) {
+    /// Hands the settings of sinks on; all other local settings wait for a restart.
+    fn apply_local(&mut self, new: LocalSettings) {
         if new.reserved_memory_bytes() > self.reserved_bytes
             || new.file_descriptors() > self.reserved_descriptors
         {
             tracing::warn!("reload: sinks need more than was set aside, which takes effect at a restart");
             return;
         }
-        for key in self.own.changes_that_need_restart(&new) {
+        for key in self.local.changes_that_need_restart(&new) {
             tracing::warn!("reload: own key `{key}` has changed, which takes effect at a restart");
         }
-        let (Some(current), Some(new)) = (&mut self.own.metrics, new.metrics) else { return };
+        let (Some(current), Some(new)) = (&mut self.local.metrics, new.metrics) else { return };
         if current.sinks != new.sinks {
             tracing::info!("reload: sinks have changed");
             current.sinks = new.sinks;
--- a/crates/wingfold-node/src/run.rs
+++ b/crates/wingfold-node/src/run.rs
@@ -16,17 +16,17 @@
 use wingfold_settings::local::LocalSettings;
 
 /// The whole program: sets up the log, reads the configuration (of `file`, or else of the file that `GW_CONFIG` names) and
-/// serves. `read_own` reads the own settings again at SIGHUP.
+/// serves. `read_local` reads the local settings again at SIGHUP.
 pub fn main(
     file: Option<PathBuf>,
-    own: LocalSettings,
-    read_own: impl Fn() -> Result<LocalSettings, String> + Clone + Send + 'static,
+    local: LocalSettings,
+    read_local: impl Fn() -> Result<LocalSettings, String> + Clone + Send + 'static,
 ) -> ExitCode {
-    let keeps_causes = own.metrics.as_ref().is_some_and(|figures| figures.keep_causes);
+    let keeps_causes = local.metrics.as_ref().is_some_and(|metrics| metrics.keep_causes);
     let causes = keeps_causes.then(Causes::default);
-    let _log = log::start(&own.log, causes.clone());
+    let _log = log::start(&local.log, causes.clone());
     let read_config = move |first| Config::from_env(file.as_deref(), first);
-    match block_on_run(Start { own, causes }, read_config, read_own) {
+    match block_on_run(Start { local, causes }, read_config, read_local) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!("{error}");
@@ -39,22 +39,22 @@
 fn block_on_run(
     start: Start,
     read_config: impl Fn(First) -> Result<Config, ConfigError> + Clone + Send + 'static,
-    read_own: impl Fn() -> Result<LocalSettings, String> + Clone + Send + 'static,
+    read_local: impl Fn() -> Result<LocalSettings, String> + Clone + Send + 'static,
 ) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let result = runtime.block_on(run(start, read_config, read_own));
+    let result = runtime.block_on(run(start, read_config, read_local));
     // A blocking thread that hangs on a disk is left behind: waiting for it would hold up the end.
     runtime.shutdown_background();
     result
 }
 
 /// Serves as a director until SIGTERM or an interrupt. `read` reads the configuration, now and at each SIGHUP; its argument
-/// says whether variables or the file's keys take precedence. `read_own` reads the own settings at each SIGHUP. Both
+/// says whether variables or the file's keys take precedence. `read_local` reads the local settings at each SIGHUP. Both
 /// are called on blocking threads: a file that hangs holds up neither orders nor the end.
 pub async fn run(
     start: Start,
     read: impl Fn(First) -> Result<Config, ConfigError> + Clone + Send + 'static,
-    read_own: impl Fn() -> Result<LocalSettings, String> + Clone + Send + 'static,
+    read_local: impl Fn() -> Result<LocalSettings, String> + Clone + Send + 'static,
 ) -> Result<(), RunError> {
     // Handlers are installed before anything else: a signal without one ends the process.
     let hangup = signal(SignalKind::hangup())?;
@@ -69,10 +69,10 @@
     let config = config.ok_or(RunError::Ended(TaskEnd::ReadingConfiguration))??;
 
     let (config_sender, config) = watch::channel(Arc::new(config));
-    let sinks = start.own.metrics.as_ref().map(|figures| figures.sinks.clone()).unwrap_or_default();
+    let sinks = start.local.metrics.as_ref().map(|metrics| metrics.sinks.clone()).unwrap_or_default();
     let (sinks_sender, sinks) = watch::channel(Arc::new(sinks));
-    let reloader = Reloader::new(config_sender, sinks_sender, start.own.clone());
-    let read_both = move || Readings { config: read(First::Key), own: read_own() };
+    let reloader = Reloader::new(config_sender, sinks_sender, start.local.clone());
+    let read_both = move || Readings { config: read(First::Key), local: read_local() };
     let end = async {
         tokio::select! {
             () = shutdown => {}
--- a/crates/wingfold-node/src/serve.rs
+++ b/crates/wingfold-node/src/serve.rs
@@ -26,8 +26,8 @@
 /// What a director starts with besides the platform's configuration.
 #[derive(Debug, Default)]
 pub struct Start {
-    /// Own settings.
-    pub own: LocalSettings,
+    /// Local settings.
+    pub local: LocalSettings,
     /// Where the slowest and the failed of each stage are kept, if they are.
     pub causes: Option<Causes>,
 }
@@ -42,10 +42,10 @@
 ) -> Result<(), RunError> {
     tokio::pin!(end);
     let mut first = Config::clone(&config.borrow());
-    reserve_resources(&mut first, &mut start.own)?;
+    reserve_resources(&mut first, &mut start.local)?;
     let clock = Clock::start();
     let metrics = Arc::new(Metrics::default());
-    let collectd_in = collectd_in(&first, &start.own);
+    let collectd_in = collectd_in(&first, &start.local);
     let sockets = tokio::select! {
         () = &mut end => return Ok(()),
         sockets = Sockets::bind(&first, collectd_in, &metrics) => sockets?,
--- a/crates/wingfold-node/src/startup.rs
+++ b/crates/wingfold-node/src/startup.rs
@@ -21,24 +21,24 @@
 
 /// Takes what the capture and the sinks need off the bounds: it comes out of the same limits, not on top of them. Where
 /// the descriptors do not suffice for both, the sinks are switched off.
-pub fn reserve_resources(config: &mut Config, own: &mut LocalSettings) -> Result<(), ConfigError> {
-    let bounds = config.bounds.less(own.reserved_memory_bytes(), own.file_descriptors())?;
+pub fn reserve_resources(config: &mut Config, local: &mut LocalSettings) -> Result<(), ConfigError> {
+    let bounds = config.bounds.less(local.reserved_memory_bytes(), local.file_descriptors())?;
     let suffice_without = config.bounds.max_connections >= config.bounds.max_clients;
     let suffice = bounds.max_connections >= bounds.max_clients;
-    if own.metrics.is_some() && suffice_without && !suffice {
+    if local.metrics.is_some() && suffice_without && !suffice {
         // Clients go first: the metrics are a help, and orders are the work.
         tracing::warn!(
             "key `limits.sockets`: too few for all that may join and for figures, which are not sent"
         );
-        own.metrics = None;
+        local.metrics = None;
     }
-    config.bounds = config.bounds.less(own.reserved_memory_bytes(), own.file_descriptors())?;
+    config.bounds = config.bounds.less(local.reserved_memory_bytes(), local.file_descriptors())?;
     Ok(())
 }
 
 /// Where collectd's packets are received; `None` where they are not, or where the platform's own load reports go before.
-pub fn collectd_in(config: &Config, own: &LocalSettings) -> Option<LoadReceiverSettings> {
-    let collectd_in = own.metrics.as_ref()?.load_receiver.clone()?;
+pub fn collectd_in(config: &Config, local: &LocalSettings) -> Option<LoadReceiverSettings> {
+    let collectd_in = local.metrics.as_ref()?.load_receiver.clone()?;
     if config.settings.load_report_source != LoadReportSource::Never {
         tracing::warn!("key `collectd_in`: not used, because the platform's load reports take precedence");
         return None;
--- a/crates/wingfold-settings/src/local.rs
+++ b/crates/wingfold-settings/src/local.rs
@@ -1,5 +1,5 @@
-//! wingfold's own settings: what the platform's configuration does not speak of. One HCL file (deploy/wingfold.hcl
-//! shows every key with its default and the reason for it); everything is off where nothing is said.
+//! Local settings of the program, beside those of the platform: one HCL file. deploy/wingfold.hcl shows every key with its
+//! default. Without a file everything is off.
 
 mod address;
 mod capture;
@@ -17,38 +17,41 @@
 pub use graphite::{GraphiteProtocol, GraphiteSettings, SinkAssignment};
 pub use log::{LogFormat, LogSettings};
 pub use metrics::{MetricsSettings, SinkSettings};
+pub use secret::SecretError;
 
 use self::capture::read_capture;
 use self::log::read_log;
 use self::metrics::read_metrics;
 use crate::hcl::{self, Diagnostics};
+use std::fmt;
 
-/// Descriptors of a capture: the segment, the catalogue, and one while a file is read or replaced.
+/// File descriptors of a capture: the segment, the catalogue, and one to read or replace a file.
 const CAPTURE_DESCRIPTORS: usize = 3;
 
-/// All of wingfold's own settings.
+/// All local settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalSettings {
-    /// The log.
+    /// The `log` block.
     pub log: LogSettings,
-    /// The capture; `None`: off.
+    /// The `capture` block; `None` if the capture is off.
     pub capture: Option<CaptureSettings>,
-    /// Figures; `None`: off.
+    /// The `figures` block and those of its sinks; `None` if metrics are off.
     pub metrics: Option<MetricsSettings>,
 }
 
 impl LocalSettings {
-    /// Reads a file's text; `file` is its name in faults.
+    /// Parses the text of a file; `file` is its name in diagnostics.
     pub fn parse(file: &str, text: &str) -> Result<LocalSettings, Diagnostics> {
         LocalSettings::parse_with(file, text, secret::read_secret_file)
     }
 
-    /// The same; `read_secret` reads the files of keys that it names.
-    pub fn parse_with(
+    /// Like [`LocalSettings::parse`]; `read_secret` reads the key files that the text names.
+    pub fn parse_with<E: fmt::Display>(
         file: &str,
         text: &str,
-        read_secret: impl Fn(&str) -> Result<String, String>,
+        read_secret: impl Fn(&str) -> Result<String, E>,
     ) -> Result<LocalSettings, Diagnostics> {
+        let read_secret = |path: &str| read_secret(path).map_err(|error| error.to_string());
         hcl::read(file, text, |top| LocalSettings {
             log: top.block("log").map(|block| read_log(&block)).unwrap_or_default(),
             capture: top.block("capture").and_then(|block| read_capture(&block)),
@@ -56,30 +59,31 @@
         })
     }
 
-    /// The keys that differ in `new` and take effect at a restart only.
+    /// Keys whose values differ in `new` and take effect only at a restart.
     pub fn changes_that_need_restart(&self, new: &LocalSettings) -> Vec<&'static str> {
-        let rest = |own: &LocalSettings| {
-            own.metrics.clone().map(|figures| MetricsSettings { sinks: SinkSettings::default(), ..figures })
+        let without_sinks = |settings: &LocalSettings| {
+            let metrics = settings.metrics.clone();
+            metrics.map(|metrics| MetricsSettings { sinks: SinkSettings::default(), ..metrics })
         };
         let differs = [
             ("log", self.log != new.log),
             ("capture", self.capture != new.capture),
-            ("figures", rest(self) != rest(new)),
+            ("figures", without_sinks(self) != without_sinks(new)),
         ];
         differs.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
     }
 
-    /// Bytes of memory that it takes away from the director's own.
+    /// Bytes of the director's memory that these settings reserve.
     pub fn reserved_memory_bytes(&self) -> usize {
         let capture = self.capture.as_ref().map_or(0, CaptureSettings::memory_bytes);
-        let sinks = self.metrics.as_ref().map_or(0, |figures| figures.sinks.memory_bytes());
+        let sinks = self.metrics.as_ref().map_or(0, |metrics| metrics.sinks.memory_bytes());
         capture + sinks
     }
 
-    /// Descriptors that it holds open.
+    /// File descriptors that these settings reserve.
     pub fn file_descriptors(&self) -> usize {
         let capture = if self.capture.is_some() { CAPTURE_DESCRIPTORS } else { 0 };
-        let figures = self.metrics.as_ref().map_or(0, MetricsSettings::file_descriptors);
-        capture + figures
+        let metrics = self.metrics.as_ref().map_or(0, MetricsSettings::file_descriptors);
+        capture + metrics
     }
 }
--- a/crates/wingfold-settings/src/local/address.rs
+++ b/crates/wingfold-settings/src/local/address.rs
@@ -1,8 +1,8 @@
-//! Addresses with a port.
+//! Addresses of the form `host:port`.
 
 use crate::hcl::Block;
 
-/// Checks that a text is an address as `host:port`; the host may be a name.
+/// Reports a text that is not an address of the form `host:port`; the host may be a name.
 pub(super) fn check_address(block: &Block, key: &'static str, text: &str) {
     let port = match text.rsplit_once(':') {
         Some((host, port)) if !host.is_empty() => port.parse::<u16>().ok(),
--- a/crates/wingfold-settings/src/local/capture.rs
+++ b/crates/wingfold-settings/src/local/capture.rs
@@ -6,43 +6,43 @@
 
 const MB: u64 = 1 << 20;
 const DAY: Duration = Duration::from_secs(86_400);
-/// Letters of a token at least: one that can be guessed keeps nobody out.
-const MIN_TOKEN_LETTERS: usize = 16;
+/// Characters of a token at least.
+const MIN_TOKEN_CHARS: usize = 16;
 
-/// Where a capture goes.
+/// Where a capture is written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CaptureTarget {
-    /// A folder; each director has one of its own below it.
+    /// A directory, with a subdirectory for each director.
     Directory(PathBuf),
-    /// A ring in memory of so many bytes.
+    /// A ring buffer in memory, of this many bytes.
     Memory(usize),
 }
 
 /// The `capture` block.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CaptureSettings {
-    /// Where it goes.
+    /// Where it is written.
     pub target: CaptureTarget,
-    /// A segment ends with so many bytes.
+    /// The size at which a segment ends, in bytes.
     pub segment_bytes: u64,
-    /// Or after this time.
+    /// The age at which a segment ends.
     pub segment_age: Duration,
-    /// Segments that are kept.
+    /// The largest number of segments that are kept.
     pub max_segments: usize,
-    /// Bytes of them that are kept.
+    /// The largest size of all segments that are kept, in bytes.
     pub max_bytes: u64,
-    /// Bytes that may wait for the writer.
+    /// Bytes that may be queued for the writer.
     pub queue_bytes: usize,
-    /// Calls are written after this time at the latest.
+    /// Time after which queued calls are written at the latest.
     pub flush_interval: Duration,
-    /// Where a ring is written to when somebody asks or an invariant fails.
+    /// Where the ring is written on request, or when an invariant is broken.
     pub dump_directory: Option<PathBuf>,
-    /// Who asks must know this.
+    /// The token of a request for a dump.
     pub dump_token: Option<String>,
 }
 
 impl CaptureSettings {
-    /// Bytes of memory that it takes.
+    /// Bytes of memory that the capture reserves.
     pub(super) fn memory_bytes(&self) -> usize {
         let ring = match self.target {
             CaptureTarget::Memory(bytes) => bytes,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Reads the block; `None`: the capture is off.
+/// Reads the block; `None` if the capture is off.
 pub(super) fn read_capture(block: &Block) -> Option<CaptureSettings> {
     let enabled = block.boolean("enabled").unwrap_or(false);
     let target = target(block, enabled);
@@ -97,7 +97,7 @@
     }
 }
 
-/// Only whole segments of a ring replay: a quarter each leaves three of them at any time.
+/// Limits segments of a ring to a quarter of it: only complete segments can be replayed.
 fn within_ring(segment_bytes: u64, target: &CaptureTarget) -> u64 {
     match target {
         CaptureTarget::Memory(ring) => segment_bytes.min(*ring as u64 / 4),
@@ -108,8 +108,8 @@
 fn check_dump(block: &Block, capture: &CaptureSettings) {
     let Some(token) = &capture.dump_token else { return };
     let letters = token.chars().count();
-    if letters < MIN_TOKEN_LETTERS {
-        let problem = format!("has {letters} letters; {MIN_TOKEN_LETTERS} at least keep strangers out");
+    if letters < MIN_TOKEN_CHARS {
+        let problem = format!("has {letters} letters; {MIN_TOKEN_CHARS} at least keep strangers out");
         block.report_key("dump_token", None, problem);
     }
     if capture.dump_directory.is_none() {
--- a/crates/wingfold-settings/src/local/collectd.rs
+++ b/crates/wingfold-settings/src/local/collectd.rs
@@ -1,4 +1,4 @@
-//! The `collectd` blocks, which receive figures, and the `collectd_in` block, which takes loads in.
+//! The `collectd` blocks, which are sinks, and the `collectd_in` block, the receiver of loads.
 
 use super::address::check_address;
 use super::secret::{read_users, SecretReader};
@@ -10,34 +10,34 @@
 use wingfold_metrics::collectd::{Credentials, MappedHost, PacketSecurity, Users, DEFAULT_PACKET_BYTES};
 use wingfold_metrics::SinkLimits;
 
-/// Stands in for an address that is missing or wrong, which is told.
+/// In place of an address that is missing or invalid, which is reported.
 const DEFAULT_LISTEN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 25826);
 
 /// A `collectd` block.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CollectdSettings {
-    /// Its name.
+    /// The name of the sink.
     pub name: String,
-    /// `host:port`.
+    /// The address of the receiver, as `host:port`.
     pub address: String,
-    /// Bytes of a packet.
+    /// The largest size of a packet, in bytes.
     pub max_packet_bytes: usize,
     /// How packets are secured.
     pub security: PacketSecurity,
-    /// Queue, times and pauses.
+    /// Queue bound, timeouts and backoff.
     pub limits: SinkLimits,
 }
 
 /// A `collectd_in` block.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadReceiverSettings {
-    /// Where packets arrive.
+    /// The address on which packets are received.
     pub listen: SocketAddr,
-    /// Packets must be signed or encrypted.
+    /// Whether packets must be signed or encrypted.
     pub requires_security: bool,
-    /// Who may send.
+    /// Users that may send packets.
     pub users: Users,
-    /// Machines of collectd, and the hosts they are.
+    /// Hosts by collectd's names of their machines.
     pub hosts: BTreeMap<String, MappedHost>,
 }
 
@@ -49,13 +49,13 @@
 ) -> CollectdSettings {
     let address = block.require("address", block.string("address"), "unset:1".into());
     check_address(block, "address", &address);
-    let secrecy = read_security(block, read_secret);
+    let security = read_security(block, read_secret);
     CollectdSettings {
         name: block.label.clone().unwrap_or_else(|| "collectd".into()),
         address,
         max_packet_bytes: block.integer("packet", 512..=65_000).unwrap_or(DEFAULT_PACKET_BYTES as u64)
             as usize,
-        security: secrecy,
+        security,
         limits: read_limits(block, interval),
     }
 }
@@ -69,7 +69,7 @@
             PacketSecurity::None
         }
         (_, Some(user), Some(file)) => {
-            let key = key_of(block, &user, &file, read_secret).unwrap_or_default();
+            let key = read_key(block, &user, &file, read_secret).unwrap_or_default();
             let credentials = Credentials { user, key };
             match security {
                 "sign" => PacketSecurity::Signed(credentials),
@@ -83,7 +83,7 @@
     }
 }
 
-fn key_of(block: &Block, user: &str, file: &str, read_secret: &SecretReader) -> Option<String> {
+fn read_key(block: &Block, user: &str, file: &str, read_secret: &SecretReader) -> Option<String> {
     let users = read_users(block, file, read_secret)?;
     let key = users.key(user).map(str::to_string);
     if key.is_none() {
@@ -92,37 +92,32 @@
     key
 }
 
-/// Reads the `collectd_in` block; `None`: it is off.
-pub(super) fn read_collectd_in(block: &Block, read_secret: &SecretReader) -> Option<LoadReceiverSettings> {
+/// Reads the `collectd_in` block; `None` if it is off.
+pub(super) fn read_load_receiver(block: &Block, read_secret: &SecretReader) -> Option<LoadReceiverSettings> {
     let enabled = block.boolean("enabled").unwrap_or(false);
-    let listen = listen(block);
-    let secured = block.keyword("security", &["none", "required"]) != Some("none");
+    let listen = read_listen(block);
+    let requires_security = block.keyword("security", &["none", "required"]) != Some("none");
     let users = block.string("keys").and_then(|file| read_users(block, &file, read_secret));
-    let map = mapped_hosts(block);
+    let hosts = read_hosts(block);
     if !enabled {
         return None;
     }
     if listen.is_none() {
         block.report_key("listen", None, "is missing");
     }
-    if secured && users.is_none() {
+    if requires_security && users.is_none() {
         block.report(
             "`security` is required: `keys` (a file of `user: key` lines) is needed, or `security = \"none\"`",
         );
     }
-    if map.is_empty() {
+    if hosts.is_empty() {
         block.report("maps no machine to a host: nothing it hears could be used");
     }
     let listen = listen.unwrap_or(DEFAULT_LISTEN);
-    Some(LoadReceiverSettings {
-        listen,
-        requires_security: secured,
-        users: users.unwrap_or_default(),
-        hosts: map,
-    })
+    Some(LoadReceiverSettings { listen, requires_security, users: users.unwrap_or_default(), hosts })
 }
 
-fn listen(block: &Block) -> Option<SocketAddr> {
+fn read_listen(block: &Block) -> Option<SocketAddr> {
     let text = block.string("listen")?;
     let address = text.parse().unwrap_or_else(|_| {
         let problem = format!("`{text}` is no address with a port, like 10.0.0.4:25826");
@@ -132,8 +127,8 @@
     Some(address)
 }
 
-fn mapped_hosts(block: &Block) -> BTreeMap<String, MappedHost> {
-    let mut map = BTreeMap::new();
+fn read_hosts(block: &Block) -> BTreeMap<String, MappedHost> {
+    let mut hosts = BTreeMap::new();
     for block in block.blocks("host") {
         let host = block.require("is", block.string("is"), String::new());
         let cores = block.require("cores", block.number("cores", 0.01..=4096.0), 1.0);
@@ -141,7 +136,7 @@
         if machine.is_empty() {
             block.report("needs collectd's name of the machine: host \"db1\" { .. }");
         }
-        map.insert(machine, MappedHost { host, cores });
+        hosts.insert(machine, MappedHost { host, cores });
     }
-    map
+    hosts
 }
--- a/crates/wingfold-settings/src/local/graphite.rs
+++ b/crates/wingfold-settings/src/local/graphite.rs
@@ -1,4 +1,4 @@
-//! The `graphite` blocks: receivers of figures.
+//! The `graphite` blocks: sinks of metrics.
 
 use super::address::check_address;
 use super::sink::read_limits;
@@ -8,8 +8,9 @@
 use wingfold_metrics::SinkLimits;
 
 const SETTLE_TIMES: RangeInclusive<Duration> = Duration::ZERO..=Duration::from_secs(3600);
+const DEFAULT_SETTLE_TIME: Duration = Duration::from_secs(60);
 
-/// How Graphite takes figures.
+/// The protocol of a sink.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GraphiteProtocol {
     /// Lines over TCP.
@@ -20,12 +21,12 @@
     Udp,
 }
 
-/// Who of several receivers gets what.
+/// Which of several addresses receive a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SinkAssignment {
-    /// All of them everything.
+    /// All of them.
     Replicate,
-    /// Each name one of them, by consistent hashing.
+    /// One of them, by consistent hashing of the metric's name.
     ConsistentHash,
 }
 
@@ -34,31 +35,31 @@
 pub struct GraphiteSettings {
     /// Its name.
     pub name: String,
-    /// Receivers, `host:port` each.
+    /// Addresses of the receivers, as `host:port`.
     pub addresses: Vec<String>,
-    /// How they take figures.
+    /// The protocol.
     pub protocol: GraphiteProtocol,
-    /// Who gets what.
+    /// Which addresses receive a metric.
     pub assignment: SinkAssignment,
-    /// Labels as tags.
+    /// Whether labels are written as tags.
     pub tags: bool,
-    /// What every path begins with.
+    /// The first parts of every path.
     pub prefix: String,
-    /// Queue, times and pauses.
+    /// Queue bound, timeouts and backoff of each address.
     pub limits: SinkLimits,
-    /// A receiver that was lost gets its names back after it was well for so long.
+    /// How long a failed receiver must be healthy before it gets its names back.
     pub settle_time: Duration,
 }
 
 /// Reads a block; every path begins with `prefix`.
 pub(super) fn read_graphite(block: &Block, prefix: &str, interval: Duration) -> GraphiteSettings {
-    let addresses = addresses(block);
+    let addresses = read_addresses(block);
     let protocol = match block.keyword("protocol", &["plain", "pickle", "udp"]) {
         Some("pickle") => GraphiteProtocol::Pickle,
         Some("udp") => GraphiteProtocol::Udp,
         _ => GraphiteProtocol::Plain,
     };
-    let deal = match block.keyword("deal", &["all", "hash"]) {
+    let assignment = match block.keyword("deal", &["all", "hash"]) {
         Some("hash") => SinkAssignment::ConsistentHash,
         _ => SinkAssignment::Replicate,
     };
@@ -66,15 +67,15 @@
         name: block.label.clone().unwrap_or_else(|| "graphite".into()),
         addresses,
         protocol,
-        assignment: deal,
+        assignment,
         tags: block.boolean("tags").unwrap_or(false),
         prefix: prefix.into(),
         limits: read_limits(block, interval),
-        settle_time: block.duration("settle", SETTLE_TIMES).unwrap_or(Duration::from_secs(60)),
+        settle_time: block.duration("settle", SETTLE_TIMES).unwrap_or(DEFAULT_SETTLE_TIME),
     }
 }
 
-fn addresses(block: &Block) -> Vec<String> {
+fn read_addresses(block: &Block) -> Vec<String> {
     let addresses = block.require("addresses", block.strings("addresses"), Vec::new());
     if addresses.is_empty() {
         block.report_key("addresses", None, "names at least one receiver");
--- a/crates/wingfold-settings/src/local/log.rs
+++ b/crates/wingfold-settings/src/local/log.rs
@@ -2,22 +2,22 @@
 
 use crate::hcl::Block;
 
-/// How lines of the log look.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 /// The `log` block.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// How lines look.
+    /// The format of the lines.
     pub format: LogFormat,
-    /// Lines of less weight are left out: error, warn, info, debug or trace.
+    /// The least severe level that is logged: error, warn, info, debug or trace.
     pub level: &'static str,
 }
 
@@ -29,10 +29,10 @@
 
 /// Reads the block.
 pub(super) fn read_log(block: &Block) -> LogSettings {
-    let form = match block.keyword("form", &["text", "json"]) {
+    let format = match block.keyword("form", &["text", "json"]) {
         Some("json") => LogFormat::Json,
         _ => LogFormat::Text,
     };
     let level = block.keyword("level", &["error", "warn", "info", "debug", "trace"]);
-    LogSettings { format: form, level: level.unwrap_or(LogSettings::default().level) }
+    LogSettings { format, level: level.unwrap_or(LogSettings::default().level) }
 }
--- a/crates/wingfold-settings/src/local/metrics.rs
+++ b/crates/wingfold-settings/src/local/metrics.rs
@@ -1,14 +1,17 @@
-//! The `figures` block, and all that figures go to and come from.
+//! The `figures` block, with the blocks of the sinks and of the load receiver.
 
-use super::collectd::{read_collectd, read_collectd_in, CollectdSettings, LoadReceiverSettings};
+use super::collectd::{read_collectd, read_load_receiver, CollectdSettings, LoadReceiverSettings};
 use super::graphite::{read_graphite, GraphiteSettings};
 use super::secret::SecretReader;
 use crate::hcl::Block;
+use std::ops::RangeInclusive;
 use std::time::Duration;
 
-const SECOND: Duration = Duration::from_secs(1);
+const DEFAULT_INTERVAL: Duration = Duration::from_secs(10);
+const INTERVALS: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(60);
+const DEFAULT_PREFIX: &str = "wingfold";
 
-/// All receivers: what a reload may change.
+/// All sinks; a reload may change them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SinkSettings {
     /// The `graphite` blocks.
@@ -17,21 +20,21 @@
     pub collectd: Vec<CollectdSettings>,
 }
 
-/// The `figures` block, and all that figures go to.
+/// The `figures` block, with all sinks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MetricsSettings {
-    /// Length of an interval.
+    /// The length of an interval: whole seconds.
     pub interval: Duration,
-    /// The slowest and the failed of each stage are kept.
+    /// Whether the slowest and the failed operations of each stage are kept.
     pub keep_causes: bool,
-    /// Receivers.
+    /// Where metrics are sent.
     pub sinks: SinkSettings,
-    /// Loads taken in.
+    /// The receiver of collectd's packets with loads of hosts; `None` if it is off.
     pub load_receiver: Option<LoadReceiverSettings>,
 }
 
 impl SinkSettings {
-    /// Bytes of memory that their queues may take.
+    /// Bytes of memory that the queues of all sinks may take.
     pub(super) fn memory_bytes(&self) -> usize {
         let graphite = self.graphite.iter().map(|sink| sink.limits.max_queued_bytes * sink.addresses.len());
         let collectd = self.collectd.iter().map(|sink| sink.limits.max_queued_bytes);
@@ -40,45 +43,44 @@
 }
 
 impl MetricsSettings {
-    /// Descriptors: a connection to each receiver, and the one after it while that is made.
+    /// File descriptors: for each Graphite address a connection and its successor, and the sockets of collectd.
     pub(super) fn file_descriptors(&self) -> usize {
         let graphite: usize = self.sinks.graphite.iter().map(|sink| sink.addresses.len()).sum();
         2 * graphite + self.sinks.collectd.len() + usize::from(self.load_receiver.is_some())
     }
 }
 
-/// Reads the block and those of receivers; `None`: figures are off.
+/// Reads the block, the sinks and the load receiver; `None` if metrics are off.
 pub(super) fn read_metrics(top: &Block, read_secret: &SecretReader) -> Option<MetricsSettings> {
     let block = top.block("figures");
     let block = block.as_ref();
     let enabled = block.is_some_and(|block| block.boolean("enabled") == Some(true));
-    let interval = interval(top, block);
-    let causes = block.and_then(|block| block.boolean("causes")).unwrap_or(false);
-    let prefix = prefix(block);
-    let graphite = top.blocks("graphite");
-    let graphite = graphite.iter().map(|block| read_graphite(block, &prefix, interval)).collect();
-    let collectd = top.blocks("collectd");
-    let collectd = collectd.iter().map(|block| read_collectd(block, interval, read_secret)).collect();
+    let interval = read_interval(top, block);
+    let keep_causes = block.and_then(|block| block.boolean("causes")).unwrap_or(false);
+    let prefix = read_prefix(block);
+    let graphite_blocks = top.blocks("graphite");
+    let graphite = graphite_blocks.iter().map(|block| read_graphite(block, &prefix, interval)).collect();
+    let collectd_blocks = top.blocks("collectd");
+    let collectd = collectd_blocks.iter().map(|block| read_collectd(block, interval, read_secret)).collect();
     let sinks = SinkSettings { graphite, collectd };
-    let intake = top.block("collectd_in").and_then(|block| read_collectd_in(&block, read_secret));
+    let load_receiver = top.block("collectd_in").and_then(|block| read_load_receiver(&block, read_secret));
     check_unique_names(top, &sinks);
-    enabled.then_some(MetricsSettings { interval, keep_causes: causes, sinks, load_receiver: intake })
+    enabled.then_some(MetricsSettings { interval, keep_causes, sinks, load_receiver })
 }
 
-fn interval(top: &Block, block: Option<&Block>) -> Duration {
-    let interval =
-        block.and_then(|block| block.duration("interval", SECOND..=60 * SECOND)).unwrap_or(10 * SECOND);
+fn read_interval(top: &Block, block: Option<&Block>) -> Duration {
+    let interval = block.and_then(|block| block.duration("interval", INTERVALS)).unwrap_or(DEFAULT_INTERVAL);
     if interval.subsec_nanos() != 0 {
         top.report("`figures.interval` is of whole seconds: receivers take no finer time");
     }
     interval
 }
 
-fn prefix(block: Option<&Block>) -> String {
-    let prefix = block.and_then(|block| block.string("prefix")).unwrap_or_else(|| "wingfold".into());
-    let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    let empty_label = !prefix.is_empty() && prefix.split('.').any(str::is_empty);
-    if let Some(block) = block.filter(|_| !prefix.chars().all(allowed) || empty_label) {
+fn read_prefix(block: Option<&Block>) -> String {
+    let prefix = block.and_then(|block| block.string("prefix")).unwrap_or_else(|| DEFAULT_PREFIX.into());
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    let has_empty_part = !prefix.is_empty() && prefix.split('.').any(str::is_empty);
+    if let Some(block) = block.filter(|_| !prefix.chars().all(is_allowed) || has_empty_part) {
         block.report_key(
             "prefix",
             None,
@@ -88,12 +90,12 @@
     prefix
 }
 
-/// No two receivers may have one name.
+/// Reports two sinks of the same name.
 fn check_unique_names(top: &Block, sinks: &SinkSettings) {
     let graphite = sinks.graphite.iter().map(|sink| &sink.name);
     let names: Vec<&String> = graphite.chain(sinks.collectd.iter().map(|sink| &sink.name)).collect();
-    let twice = |name: &&&String| names.iter().filter(|other| other == name).count() > 1;
-    if let Some(name) = names.iter().skip(1).find(twice) {
+    let is_duplicate = |name: &&&String| names.iter().filter(|other| other == name).count() > 1;
+    if let Some(name) = names.iter().skip(1).find(is_duplicate) {
         top.report(format!("two receivers are called `{name}`: figures tell them apart by that"));
     }
 }
--- a/crates/wingfold-settings/src/local/sink.rs
+++ b/crates/wingfold-settings/src/local/sink.rs
@@ -1,4 +1,4 @@
-//! Queue, times and pauses of a receiver of figures.
+//! Limits of a sink.
 
 use crate::hcl::Block;
 use std::ops::RangeInclusive;
@@ -6,10 +6,15 @@
 use wingfold_director::interface::Micros;
 use wingfold_metrics::SinkLimits;
 
-/// Times that a receiver's block may name.
+/// Timeouts and backoffs that a sink's block may have.
 const TIMES: RangeInclusive<Duration> = Duration::from_millis(100)..=Duration::from_secs(3600);
 
-/// Reads what all receivers have in common.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Sizes of a sink's queue.
+const QUEUES_KB: RangeInclusive<u64> = 16..=1 << 20;
+const DEFAULT_QUEUE_KB: u64 = 1024;
+
+/// Reads the keys that the blocks of all sinks have in common.
 pub(super) fn read_limits(block: &Block, interval: Duration) -> SinkLimits {
     let time = |name, default: Duration| {
         let time = block.duration(name, TIMES).unwrap_or(default);
@@ -17,9 +22,9 @@
     };
     let default = SinkLimits::default();
     SinkLimits {
-        max_queued_bytes: (block.integer("queue_kb", 16..=1 << 20).unwrap_or(1024) << 10) as usize,
-        connect_timeout: time("connect_timeout", Duration::from_secs(2)),
-        // What one interval takes longer than to be made piles up.
+        max_queued_bytes: (block.integer("queue_kb", QUEUES_KB).unwrap_or(DEFAULT_QUEUE_KB) << 10) as usize,
+        connect_timeout: time("connect_timeout", DEFAULT_CONNECT_TIMEOUT),
+        // Intervals that take longer than their length would pile up.
         write_timeout: time("write_timeout", interval),
         initial_backoff: time("retry_first", Duration::from_micros(default.initial_backoff.0)),
         max_backoff: time("retry_longest", Duration::from_micros(default.max_backoff.0)),
--- a/crates/wingfold-settings/src/local/tests.rs
+++ b/crates/wingfold-settings/src/local/tests.rs
@@ -27,7 +27,7 @@
     let text: String = text.lines().map(on).collect();
     let text = text.replace("enabled = false", "enabled = true").replace("  memory_mb", "  # memory_mb");
     let text = text.replace("security = \"none\"", "security = \"sign\"");
-    let own = LocalSettings::parse_with("on", &text, |_| Ok("wingfold: a key".into()))
+    let own = LocalSettings::parse_with("on", &text, |_| Ok::<_, SecretError>("wingfold: a key".into()))
         .unwrap_or_else(|faults| panic!("{faults}"));
     let figures = own.metrics.as_ref().unwrap();
     assert_eq!((figures.sinks.graphite.len(), figures.sinks.collectd.len()), (1, 1));
@@ -80,8 +80,7 @@
                 \"g.example:2003\"]\n  deal = \"hash\"\n  protocol = \"pickle\"\n  queue_kb = 512\n}\ncollectd \"all\" {\n  \
                 address = \"10.0.0.8:25826\"\n  security = \"encrypt\"\n  user = \"lines\"\n  keys = \"k\"\n}\ncollectd_in {\n  enabled = true\n  \
                 listen = \"10.0.0.4:25826\"\n  keys = \"k\"\n  host \"db1\" {\n    is = \"s-1\"\n    cores = 3\n  }\n}\n";
-    let secret =
-        |path: &str| if path == "k" { Ok("lines: a long key".to_string()) } else { Err("no".into()) };
+    let secret = |path: &str| if path == "k" { Ok("lines: a long key".to_string()) } else { Err("no") };
     let own = LocalSettings::parse_with("f", text, secret).unwrap();
     let figures = own.metrics.clone().unwrap();
     assert_eq!(figures.sinks.graphite[0].limits.write_timeout.0, 5_000_000, "an interval's length");
@@ -120,7 +119,7 @@
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
         secret::read_secret_file(path.to_str().unwrap())
     };
-    assert!(with(0o644).unwrap_err().contains("may be read by others (mode 644)"));
+    assert!(with(0o644).unwrap_err().to_string().contains("may be read by others (mode 644)"));
     assert!(with(0o640).is_err());
     assert_eq!(with(0o600).unwrap(), "u: a key\n");
     std::fs::remove_file(&path).unwrap();
