--- a/crates/wingfold-metrics/src/catalogue.rs
+++ b/crates/wingfold-metrics/src/catalogue.rs
@@ -29,6 +29,8 @@
 /// The catalogue's description of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MetricDescriptor {
+    /// The metric.
+    pub metric: Metric,
     /// The exported name, which never changes.
     pub name: &'static str,
     /// The unit of the values.
@@ -48,14 +50,15 @@
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum Metric { $(#[doc = $description] $id,)* }
 
-        /// All metrics with their descriptors, in the order of the catalogue.
-        pub const CATALOGUE: &[(Metric, MetricDescriptor)] = &[$((Metric::$id, MetricDescriptor {
+        /// Descriptors of all metrics, in the order of the catalogue.
+        pub const CATALOGUE: &[MetricDescriptor] = &[$(MetricDescriptor {
+            metric: Metric::$id,
             name: $name,
             unit: $unit,
             kind: MetricKind::$kind,
             labels: &[$($label),*],
             description: $description,
-        }),)*];
+        },)*];
     };
 }
 
@@ -116,7 +119,7 @@
 impl Metric {
     /// The metric's descriptor in the catalogue.
     pub fn descriptor(self) -> &'static MetricDescriptor {
-        &CATALOGUE[self as usize].1
+        &CATALOGUE[self as usize]
     }
 }
 
@@ -124,9 +127,10 @@
 pub fn markdown() -> String {
     let mut table =
         String::from("| name | labels | unit | kind | meaning |\n| --- | --- | --- | --- | --- |\n");
-    for (_, metric) in CATALOGUE {
-        let labels = if metric.labels.is_empty() { "-".into() } else { metric.labels.join(", ") };
-        let MetricDescriptor { name, unit, kind, description, .. } = metric;
+    for descriptor in CATALOGUE {
+        let labels = &descriptor.labels;
+        let labels = if labels.is_empty() { "-".into() } else { labels.join(", ") };
+        let MetricDescriptor { name, unit, kind, description, .. } = descriptor;
         let kind = kind.name();
         table.push_str(&format!("| `{name}` | {labels} | {unit} | {kind} | {description} |\n"));
     }
--- a/crates/wingfold-metrics/src/catalogue/tests.rs
+++ b/crates/wingfold-metrics/src/catalogue/tests.rs
@@ -5,10 +5,10 @@
 
 #[test]
 fn names_are_unique_plain_and_in_the_catalogues_order() {
-    let names: BTreeSet<&str> = CATALOGUE.iter().map(|(_, descriptor)| descriptor.name).collect();
+    let names: BTreeSet<&str> = CATALOGUE.iter().map(|descriptor| descriptor.name).collect();
     assert_eq!(names.len(), CATALOGUE.len());
-    for (at, (metric, descriptor)) in CATALOGUE.iter().enumerate() {
-        assert_eq!(*metric as usize, at);
+    for (at, descriptor) in CATALOGUE.iter().enumerate() {
+        assert_eq!(descriptor.metric as usize, at);
         assert!(
             descriptor.name.bytes().all(|b| b.is_ascii_lowercase() || b == b'.' || b == b'_'),
             "{}",
--- a/crates/wingfold-metrics/src/graphite.rs
+++ b/crates/wingfold-metrics/src/graphite.rs
@@ -40,24 +40,6 @@
 }
 
 impl Naming {
-    /// The paths and values of a sample: one of a counter or a gauge, five of a distribution.
-    pub fn paths(&self, sample: &Sample) -> Vec<(String, f64)> {
-        match sample.value {
-            Value::Count(count) => vec![(self.path(sample, ""), count as f64)],
-            Value::Gauge(value) => vec![(self.path(sample, ""), value)],
-            Value::Distribution(distribution) => {
-                let values = [
-                    ("count", distribution.count as f64),
-                    ("p50", distribution.p50),
-                    ("p90", distribution.p90),
-                    ("p99", distribution.p99),
-                    ("max", distribution.max),
-                ];
-                values.into_iter().map(|(name, value)| (self.path(sample, name), value)).collect()
-            }
-        }
-    }
-
     /// The path of a sample's value; `value_name` is empty if the sample has only one.
     fn path(&self, sample: &Sample, value_name: &str) -> String {
         let descriptor = sample.metric.descriptor();
@@ -98,15 +80,37 @@
     fn add_points(&self, ended_at: Timestamp, samples: &[Sample], points: &mut Vec<Point>) {
         let time = ended_at.0 / MICROS_PER_S;
         for sample in samples {
-            for (path, value) in self.paths(sample) {
-                if value.is_finite() {
-                    points.push(Point { path, value, time });
+            for named in named_values(sample) {
+                if named.value.is_finite() {
+                    let path = self.path(sample, named.name);
+                    points.push(Point { path, value: named.value, time });
                 }
             }
         }
     }
 }
 
+/// A value of a sample; the name is empty if the sample has only one.
+struct NamedValue {
+    name: &'static str,
+    value: f64,
+}
+
+/// The values of a sample: one of a counter or a gauge, five of a distribution.
+fn named_values(sample: &Sample) -> Vec<NamedValue> {
+    match sample.value {
+        Value::Count(count) => vec![NamedValue { name: "", value: count as f64 }],
+        Value::Gauge(value) => vec![NamedValue { name: "", value }],
+        Value::Distribution(distribution) => vec![
+            NamedValue { name: "count", value: distribution.count as f64 },
+            NamedValue { name: "p50", value: distribution.p50 },
+            NamedValue { name: "p90", value: distribution.p90 },
+            NamedValue { name: "p99", value: distribution.p99 },
+            NamedValue { name: "max", value: distribution.max },
+        ],
+    }
+}
+
 fn line(point: &Point) -> String {
     format!("{} {} {}\n", point.path, point.value, point.time)
 }
--- a/crates/wingfold-metrics/src/meter.rs
+++ b/crates/wingfold-metrics/src/meter.rs
@@ -38,6 +38,13 @@
     pub value: u64,
 }
 
+/// A metric with the values of its labels.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct SeriesKey {
+    metric: Metric,
+    labels: Vec<Arc<str>>,
+}
+
 /// All values of an interval that are counted outside of the meter.
 #[derive(Clone, Copy, Debug)]
 pub struct ExternalValues<'a> {
@@ -98,7 +105,7 @@
     /// In tenths of a millisecond.
     acknowledgement_delays: Histogram<u64>,
     /// External running totals at the end of the last interval.
-    previous_totals: BTreeMap<(Metric, Vec<Arc<str>>), u64>,
+    previous_totals: BTreeMap<SeriesKey, u64>,
 }
 
 fn new_histogram() -> Histogram<u64> {
--- a/crates/wingfold-metrics/src/meter/export.rs
+++ b/crates/wingfold-metrics/src/meter/export.rs
@@ -3,7 +3,7 @@
 use super::counts::{IntervalCounts, ServiceCounts, ServiceKey};
 use super::samples::SampleList;
 use super::zone::ZoneMeter;
-use super::{ExternalValue, ExternalValues, Meter};
+use super::{ExternalValue, ExternalValues, Meter, SeriesKey};
 use crate::catalogue::Metric;
 use crate::interval::{Correction, Distribution, Interval};
 use crate::source_monitor::SourceState;
@@ -141,7 +141,7 @@
     /// Adds the increase of each running total since the last interval.
     fn export_external_totals(&mut self, totals: &[ExternalValue], samples: &mut SampleList) {
         for total in totals {
-            let key = (total.metric, total.labels.clone());
+            let key = SeriesKey { metric: total.metric, labels: total.labels.clone() };
             let previous = self.previous_totals.insert(key, total.value).unwrap_or(0);
             let labels: Vec<&Arc<str>> = total.labels.iter().collect();
             samples.push_count(total.metric, &labels, total.value.saturating_sub(previous));
--- a/crates/wingfold/src/figures.rs
+++ b/crates/wingfold/src/figures.rs
@@ -55,7 +55,7 @@
                 Outcome::Good
             }
             Figures::List { markdown: false } => {
-                for (_, metric) in catalogue::CATALOGUE {
+                for metric in catalogue::CATALOGUE {
                     let labels = if metric.labels.is_empty() {
                         String::new()
                     } else {
