--- a/crates/wingfold-settings/src/local/tests.rs
+++ b/crates/wingfold-settings/src/local/tests.rs
@@ -1,4 +1,4 @@
-//! wingfold's own settings: defaults, faults, and what needs a restart.
+//! Local settings: defaults, diagnostics, and changes that need a restart.
 
 use super::*;
 use wingfold_metrics::collectd::{Credentials, MappedHost, PacketSecurity};
@@ -27,17 +27,17 @@
     let text: String = text.lines().map(on).collect();
     let text = text.replace("enabled = false", "enabled = true").replace("  memory_mb", "  # memory_mb");
     let text = text.replace("security = \"none\"", "security = \"sign\"");
-    let own = LocalSettings::parse_with("on", &text, |_| Ok::<_, SecretError>("wingfold: a key".into()))
-        .unwrap_or_else(|faults| panic!("{faults}"));
-    let figures = own.metrics.as_ref().unwrap();
-    assert_eq!((figures.sinks.graphite.len(), figures.sinks.collectd.len()), (1, 1));
+    let settings = LocalSettings::parse_with("on", &text, |_| Ok::<_, SecretError>("wingfold: a key".into()))
+        .unwrap_or_else(|diagnostics| panic!("{diagnostics}"));
+    let metrics = settings.metrics.as_ref().unwrap();
+    assert_eq!((metrics.sinks.graphite.len(), metrics.sinks.collectd.len()), (1, 1));
     assert_eq!(
-        figures.sinks.graphite[0].limits,
+        metrics.sinks.graphite[0].limits,
         SinkLimits::default(),
         "the defaults that are shown are the real ones"
     );
-    assert!(figures.load_receiver.is_some());
-    let capture = own.capture.unwrap();
+    assert!(metrics.load_receiver.is_some());
+    let capture = settings.capture.unwrap();
     assert_eq!(capture.target, CaptureTarget::Directory("/var/lib/wingfold/capture".into()));
     assert_eq!((capture.max_segments, capture.max_bytes, capture.queue_bytes), (144, 1 << 30, 4 << 20));
 }
@@ -46,7 +46,7 @@
 fn all_faults_are_told_at_once_with_their_places() {
     let text = "log {\n  form = \"xml\"\n  levle = \"info\"\n}\ncapture {\n  enabled = 1\n  keep = 1\n  flush = \"2h\"\n  \
                 segment_mb = 3.5\n}\ncaptrue {\n  x = 1\n}\n";
-    let faults = LocalSettings::parse("w.hcl", text).unwrap_err().to_string();
+    let diagnostics = LocalSettings::parse("w.hcl", text).unwrap_err().to_string();
     let expected = [
         "w.hcl:2:3: key `log.form`: one of \"text\", \"json\" is expected, `\"xml\"` was found",
         "w.hcl:3:3: key `log.levle`: is not known; did you mean `level`?",
@@ -57,21 +57,25 @@
         "w.hcl:9:3: key `capture.segment_mb`: a whole number from 1 to 256 is expected, `3.5` was found",
         "w.hcl:11:1: key `captrue`: is not known; did you mean `capture`?",
     ];
-    assert_eq!(faults.lines().collect::<Vec<_>>(), expected);
+    assert_eq!(diagnostics.lines().collect::<Vec<_>>(), expected);
 }
 
 #[test]
 fn what_contradicts_itself_is_told_by_its_block() {
-    let told =
+    let diagnostics_of =
         |body: &str| LocalSettings::parse("f", &format!("capture {{\n{body}\n}}\n")).unwrap_err().to_string();
-    assert!(told("enabled = true").contains("needs `directory`"));
-    assert!(told("directory = \"/d\"\nmemory_mb = 8").contains("exclude each other"));
-    assert!(told("dump_token = \"short\"\ndump_directory = \"/d\"").contains("16 at least"));
-    assert!(told("dump_token = \"0123456789abcdef\"").contains("key `capture.dump_directory`"));
-    assert!(told("keep = 5\nkeep = 6").starts_with("f:3:1: "), "a key that stands twice");
-    let whole = |text: &str| LocalSettings::parse("f", text).unwrap_err().to_string();
-    assert!(whole("capture {\n").starts_with("f:1:11: "), "cut short: {}", whole("capture {\n"));
-    assert_eq!(whole("log {}\nlog {}\n"), "f:2:1: key `log`: stands twice");
+    assert!(diagnostics_of("enabled = true").contains("needs `directory`"));
+    assert!(diagnostics_of("directory = \"/d\"\nmemory_mb = 8").contains("exclude each other"));
+    assert!(diagnostics_of("dump_token = \"short\"\ndump_directory = \"/d\"").contains("16 at least"));
+    assert!(diagnostics_of("dump_token = \"0123456789abcdef\"").contains("key `capture.dump_directory`"));
+    assert!(diagnostics_of("keep = 5\nkeep = 6").starts_with("f:3:1: "), "a key that stands twice");
+    let diagnostics_of_file = |text: &str| LocalSettings::parse("f", text).unwrap_err().to_string();
+    assert!(
+        diagnostics_of_file("capture {\n").starts_with("f:1:11: "),
+        "cut short: {}",
+        diagnostics_of_file("capture {\n")
+    );
+    assert_eq!(diagnostics_of_file("log {}\nlog {}\n"), "f:2:1: key `log`: stands twice");
 }
 
 #[test]
@@ -81,22 +85,26 @@
                 address = \"10.0.0.8:25826\"\n  security = \"encrypt\"\n  user = \"lines\"\n  keys = \"k\"\n}\ncollectd_in {\n  enabled = true\n  \
                 listen = \"10.0.0.4:25826\"\n  keys = \"k\"\n  host \"db1\" {\n    is = \"s-1\"\n    cores = 3\n  }\n}\n";
     let secret = |path: &str| if path == "k" { Ok("lines: a long key".to_string()) } else { Err("no") };
-    let own = LocalSettings::parse_with("f", text, secret).unwrap();
-    let figures = own.metrics.clone().unwrap();
-    assert_eq!(figures.sinks.graphite[0].limits.write_timeout.0, 5_000_000, "an interval's length");
+    let settings = LocalSettings::parse_with("f", text, secret).unwrap();
+    let metrics = settings.metrics.clone().unwrap();
+    assert_eq!(metrics.sinks.graphite[0].limits.write_timeout.0, 5_000_000, "an interval's length");
     assert_eq!(
-        figures.sinks.collectd[0].security,
+        metrics.sinks.collectd[0].security,
         PacketSecurity::Encrypted(Credentials { user: "lines".into(), key: "a long key".into() })
     );
     assert_eq!(
-        figures.load_receiver.as_ref().unwrap().hosts["db1"],
+        metrics.load_receiver.as_ref().unwrap().hosts["db1"],
         MappedHost { host: "s-1".into(), cores: 3.0 }
     );
-    assert_eq!((own.reserved_memory_bytes(), own.file_descriptors()), (2 << 20, 6));
+    assert_eq!((settings.reserved_memory_bytes(), settings.file_descriptors()), (2 << 20, 6));
     let other = LocalSettings::parse_with("f", &text.replace("10.0.0.8", "10.0.0.7"), secret).unwrap();
-    assert_eq!(own.changes_that_need_restart(&other), Vec::<&str>::new(), "receivers change while it runs");
+    assert_eq!(
+        settings.changes_that_need_restart(&other),
+        Vec::<&str>::new(),
+        "receivers change while it runs"
+    );
     let other = LocalSettings::parse_with("f", &text.replace("\"5s\"", "\"6s\""), secret).unwrap();
-    assert_eq!(own.changes_that_need_restart(&other), ["figures"]);
+    assert_eq!(settings.changes_that_need_restart(&other), ["figures"]);
     let wrong = |from: &str, to: &str| {
         LocalSettings::parse_with("f", &text.replace(from, to), secret).unwrap_err().to_string()
     };
@@ -128,8 +136,9 @@
 
 #[test]
 fn a_ring_counts_as_memory_and_holds_several_segments() {
-    let own = LocalSettings::parse("f", "capture {\n enabled = true\n memory_mb = 8\n queue_kb = 1024\n}\n")
-        .unwrap();
-    assert_eq!(own.reserved_memory_bytes(), 9 << 20);
-    assert_eq!(own.capture.unwrap().segment_bytes, 2 << 20);
+    let settings =
+        LocalSettings::parse("f", "capture {\n enabled = true\n memory_mb = 8\n queue_kb = 1024\n}\n")
+            .unwrap();
+    assert_eq!(settings.reserved_memory_bytes(), 9 << 20);
+    assert_eq!(settings.capture.unwrap().segment_bytes, 2 << 20);
 }
