--- a/crates/wingfold-archive/benches/cost.rs
+++ b/crates/wingfold-archive/benches/cost.rs
@@ -3,8 +3,10 @@
 
 use hdrhistogram::Histogram;
 use std::io;
+use std::path::Path;
 use std::time::{Duration, Instant};
-use wingfold_archive::{SegmentFolder, SegmentStore, WriterConfig, WriterQueue};
+use wingfold_archive::folder::{read_segment, segment_files};
+use wingfold_archive::{SegmentFolder, SegmentStore, WriterConfig, WriterHandle, WriterQueue};
 use wingfold_capture::model::SegmentMeta;
 use wingfold_capture::replay::{ReplayMode, Replayer};
 use wingfold_capture::segment_writer::DiskOperation;
@@ -12,8 +14,12 @@
 use wingfold_director::interface::*;
 use wingfold_director::Director;
 
+/// Bytes that may wait for the writer.
 const QUEUE_BYTES: usize = 8 << 20;
 
+/// Reports cover a second.
+const REPORT_PERIOD: Micros = Micros(1_000_000);
+
 struct Size {
     proxies: u32,
     hosts: u32,
@@ -95,36 +101,37 @@
         (self.state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    #[expect(clippy::too_many_lines, reason = "listed in ROADMAP.md")]
     fn next(&mut self) -> (Timestamp, Vec<Event>) {
-        let zone = |at: usize| ZoneId(format!("hall-{at}").into());
-        let host = |at: u32| HostId(format!("10.0.{}.{}:8443", at / 250, at % 250).into());
         let now = Timestamp(1_000_000 + self.call * 250_000);
         let call = self.call;
         self.call += 1;
         let mut events = vec![Event::TimerFired(0)];
         if call == 0 {
-            let entry = |at: u32| Endpoint {
-                host: host(at),
-                machine_type: "box".into(),
-                zone: zone(at as usize % self.size.zones),
-                readiness: Readiness::Ready,
-                weight: 1.0,
-                started_at: None,
-            };
-            events.push(Event::EndpointList {
-                kind: EndpointListKind::Cached,
-                endpoints: (0..self.size.hosts).map(entry).collect(),
-            });
-            let zones = self.size.zones;
-            events.extend((0..self.size.proxies).map(|at| Event::ProxyConnected {
-                proxy: ProxyId(at),
-                zone: zone(at as usize % zones),
-                requests_per_s: 4.0,
-            }));
+            self.add_beginning(&mut events);
             return (now, events);
         }
-        let over = Micros(1_000_000);
+        self.add_load_reports(call, &mut events);
+        self.add_usage(call, &mut events);
+        // A host drains or starts from time to time.
+        if call % 40 == 20 {
+            events.push(self.changed_host(call, now));
+        }
+        (now, events)
+    }
+
+    /// All hosts are listed, and all proxies connect.
+    fn add_beginning(&self, events: &mut Vec<Event>) {
+        let endpoints = (0..self.size.hosts).map(|at| self.endpoint(at, Readiness::Ready, None)).collect();
+        events.push(Event::EndpointList { kind: EndpointListKind::Cached, endpoints });
+        events.extend((0..self.size.proxies).map(|at| Event::ProxyConnected {
+            proxy: ProxyId(at),
+            zone: zone(at as usize % self.size.zones),
+            requests_per_s: 4.0,
+        }));
+    }
+
+    /// Every zone reports about a quarter of the hosts.
+    fn add_load_reports(&mut self, call: u64, events: &mut Vec<Event>) {
         for at in (0..self.size.hosts).filter(|at| u64::from(at % 4) == call % 4) {
             for from in 0..self.size.zones {
                 let slow = if (u64::from(at) * 7 + call / 60).is_multiple_of(29) { 6.0 } else { 1.0 };
@@ -135,40 +142,55 @@
                 events.push(Event::LoadReport {
                     zone: zone(from),
                     host: host(at),
-                    attempts: AttemptCounts { total, failed, period: over },
+                    attempts: AttemptCounts { total, failed, period: REPORT_PERIOD },
                     mean_latency: mean,
                     load,
                 });
             }
         }
+    }
+
+    /// A quarter of the proxies report their usage.
+    fn add_usage(&mut self, call: u64, events: &mut Vec<Event>) {
         for at in (0..self.size.proxies).filter(|at| u64::from(at % 4) == call % 4) {
             let total = 1 + (self.random() * 6.0) as u64;
             events.push(Event::Usage {
                 proxy: ProxyId(at),
                 class: ClassId(at as usize % 3),
-                requests: AttemptCounts { total, failed: 0, period: over },
+                requests: AttemptCounts { total, failed: 0, period: REPORT_PERIOD },
             });
         }
-        // A host drains or starts from time to time.
-        if call % 40 == 20 {
-            let at = (self.random() * f64::from(self.size.hosts)) as u32;
-            let readiness = if call % 80 == 20 { Readiness::Draining } else { Readiness::Ready };
-            let started = (readiness == Readiness::Ready).then_some(now);
-            let zone = zone(at as usize % self.size.zones);
-            let entry = Endpoint {
-                host: host(at),
-                machine_type: "box".into(),
-                zone,
-                readiness,
-                weight: 1.0,
-                started_at: started,
-            };
-            events.push(Event::EndpointList { kind: EndpointListKind::Changes, endpoints: vec![entry] });
+    }
+
+    fn changed_host(&mut self, call: u64, now: Timestamp) -> Event {
+        let at = (self.random() * f64::from(self.size.hosts)) as u32;
+        let readiness = if call % 80 == 20 { Readiness::Draining } else { Readiness::Ready };
+        let started_at = (readiness == Readiness::Ready).then_some(now);
+        let endpoints = vec![self.endpoint(at, readiness, started_at)];
+        Event::EndpointList { kind: EndpointListKind::Changes, endpoints }
+    }
+
+    fn endpoint(&self, at: u32, readiness: Readiness, started_at: Option<Timestamp>) -> Endpoint {
+        Endpoint {
+            host: host(at),
+            machine_type: "box".into(),
+            zone: zone(at as usize % self.size.zones),
+            readiness,
+            weight: 1.0,
+            started_at,
         }
-        (now, events)
     }
 }
 
+fn zone(at: usize) -> ZoneId {
+    ZoneId(format!("hall-{at}").into())
+}
+
+fn host(at: u32) -> HostId {
+    HostId(format!("10.0.{}.{}:8443", at / 250, at % 250).into())
+}
+
+/// What a run cost.
 struct Cost {
     calls: Histogram<u64>,
     mean_us: f64,
@@ -176,94 +198,147 @@
     recorder_share: f64,
     cpu_s: f64,
     events: u64,
-    bytes: u64,
-    checkpoint: (usize, Duration),
-    replay: f64,
+    capture_bytes: u64,
+    checkpoint: CheckpointCost,
+    /// How many times as fast as the run a replay is.
+    replay_speed: f64,
+}
+
+/// The size of a checkpoint, and the time that it takes to make.
+#[derive(Clone, Copy, Default)]
+struct CheckpointCost {
+    bytes: usize,
+    duration: Duration,
 }
 
 /// CPU time of the whole process, its writer's thread included, in seconds.
-fn cpu() -> f64 {
+fn cpu_s() -> f64 {
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks = |at: usize| fields.get(at).and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
     (ticks(11) + ticks(12)) / 100.0
 }
 
-#[expect(clippy::too_many_lines, reason = "listed in ROADMAP.md")]
-fn run(size: Size, seed: u64, calls: u64, how: CaptureMode) -> Cost {
-    let settings_of_size = settings(&size);
-    let folder = std::env::temp_dir().join(format!("wingfold-cost-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&folder);
-    let head = Head { settings: settings_of_size.clone(), seed, director: "n".into(), ..Head::default() };
-    let config = WriterConfig { head, limits: SegmentLimits::default(), queue_bytes: QUEUE_BYTES };
-    let disk: Option<Box<dyn SegmentStore>> = match how {
-        CaptureMode::Off => None,
-        CaptureMode::On => Some(Box::new(SegmentFolder::new(&folder, "n"))),
-        CaptureMode::Hanging => Some(Box::new(HangingStore)),
-    };
-    let started = disk.map(|disk| wingfold_archive::spawn(disk, config, |_| ()).expect("a thread starts"));
-    let (mut recorder, handle): (Option<Recorder<WriterQueue>>, _) = match started {
-        None => (None, None),
-        Some((queue, handle)) => (Some(Recorder::new(queue)), Some(handle)),
-    };
-    let mut day = GeneratedDay { size, state: seed, call: 0 };
-    let mut director = Director::new(settings_of_size, seed);
-    let mut histogram = Histogram::new_with_bounds(1, 60_000_000_000, 3).expect("these bounds are sound");
-    let (mut actions, mut total, mut recorder_time, mut events) =
-        (Vec::new(), Duration::ZERO, Duration::ZERO, 0);
-    let mut checkpoint = (0, Duration::ZERO);
-    let before = cpu();
-    for number in 0..calls {
-        let (now, day_events) = day.next();
-        events += day_events.len() as u64;
-        actions.clear();
+/// A director whose calls are measured, and recorded where capture is on.
+struct MeasuredDirector {
+    director: Director,
+    recorder: Option<Recorder<WriterQueue>>,
+    calls: Histogram<u64>,
+    total: Duration,
+    recorder_time: Duration,
+    events: u64,
+    actions: Vec<Action>,
+}
+
+impl MeasuredDirector {
+    fn new(settings: Settings, seed: u64, queue: Option<WriterQueue>) -> Self {
+        MeasuredDirector {
+            director: Director::new(settings, seed),
+            recorder: queue.map(Recorder::new),
+            calls: Histogram::new_with_bounds(1, 60_000_000_000, 3).expect("these bounds are sound"),
+            total: Duration::ZERO,
+            recorder_time: Duration::ZERO,
+            events: 0,
+            actions: Vec::new(),
+        }
+    }
+
+    fn call(&mut self, number: u64, now: Timestamp, events: &[Event]) {
+        self.events += events.len() as u64;
+        self.actions.clear();
         let started_at = Instant::now();
-        if let Some(recorder) = &mut recorder {
-            recorder.before_call(now, &director);
+        if let Some(recorder) = &mut self.recorder {
+            recorder.before_call(now, &self.director);
         }
-        let module = Instant::now();
-        director.handle(now, &day_events, &mut actions);
-        let module = module.elapsed();
-        if let Some(recorder) = &mut recorder {
-            recorder.after_call(now, &day_events, &actions, director.digest());
+        let handled_from = Instant::now();
+        self.director.handle(now, events, &mut self.actions);
+        let handled_in = handled_from.elapsed();
+        if let Some(recorder) = &mut self.recorder {
+            recorder.after_call(now, events, &self.actions, self.director.digest());
         }
         let elapsed = started_at.elapsed();
         // The first call fills every table, which is unusual.
         if number > 0 {
-            histogram.saturating_record(elapsed.as_nanos() as u64);
-            total += elapsed;
-            recorder_time += elapsed - module;
-        }
-        if number == calls / 2 && how == CaptureMode::Off {
-            let started_at = Instant::now();
-            checkpoint.0 = director.checkpoint().len();
-            checkpoint.1 = started_at.elapsed();
+            self.calls.saturating_record(elapsed.as_nanos() as u64);
+            self.total += elapsed;
+            self.recorder_time += elapsed - handled_in;
         }
     }
-    let cpu_s = cpu() - before;
-    let (mut bytes, mut replay) = (0, 0.0);
-    if let Some(handle) = handle.filter(|_| how == CaptureMode::On) {
-        handle.end(Duration::from_secs(60));
-        let mut replayer = Replayer::new(ReplayMode::Strict);
+
+    fn measure_checkpoint(&self) -> CheckpointCost {
         let started_at = Instant::now();
-        for path in
-            wingfold_archive::folder::segment_files(&folder.join("n")).expect("it was written").into_values()
-        {
-            let segment = wingfold_archive::folder::read_segment(&path).expect("it was written");
-            bytes += segment.len() as u64;
-            entries(&segment).for_each(|entry| drop(replayer.feed(entry).expect("it replays")));
+        let bytes = self.director.checkpoint().len();
+        CheckpointCost { bytes, duration: started_at.elapsed() }
+    }
+}
+
+/// Starts the writer of a capture; `None` where none is made.
+fn start_writer(
+    mode: CaptureMode,
+    folder: &Path,
+    settings: &Settings,
+    seed: u64,
+) -> Option<(WriterQueue, WriterHandle)> {
+    let head = Head { settings: settings.clone(), seed, director: "n".into(), ..Head::default() };
+    let config = WriterConfig { head, limits: SegmentLimits::default(), queue_bytes: QUEUE_BYTES };
+    let store: Box<dyn SegmentStore> = match mode {
+        CaptureMode::Off => return None,
+        CaptureMode::On => Box::new(SegmentFolder::new(folder, "n")),
+        CaptureMode::Hanging => Box::new(HangingStore),
+    };
+    Some(wingfold_archive::spawn(store, config, |_| ()).expect("a thread starts"))
+}
+
+/// Replays a capture; returns its bytes, and how many times as fast as the run the replay was.
+fn replay(capture: &Path, calls: u64) -> (u64, f64) {
+    let mut replayer = Replayer::new(ReplayMode::Strict);
+    let mut bytes = 0;
+    let started_at = Instant::now();
+    for path in segment_files(capture).expect("it was written").into_values() {
+        let segment = read_segment(&path).expect("it was written");
+        bytes += segment.len() as u64;
+        entries(&segment).for_each(|entry| drop(replayer.feed(entry).expect("it replays")));
+    }
+    let report = &replayer.report;
+    assert!(replayer.first_difference.is_none() && report.calls == calls, "{report:?}");
+    (bytes, report.duration_s / started_at.elapsed().as_secs_f64())
+}
+
+/// Plays a day of so many calls.
+fn run(size: Size, seed: u64, calls: u64, mode: CaptureMode) -> Cost {
+    let settings = settings(&size);
+    let folder = std::env::temp_dir().join(format!("wingfold-cost-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder);
+    let (queue, handle) = start_writer(mode, &folder, &settings, seed).unzip();
+    let mut day = GeneratedDay { size, state: seed, call: 0 };
+    let mut measured = MeasuredDirector::new(settings, seed, queue);
+    let mut checkpoint = CheckpointCost::default();
+    let cpu_before_s = cpu_s();
+    for number in 0..calls {
+        let (now, events) = day.next();
+        measured.call(number, now, &events);
+        if number == calls / 2 && mode == CaptureMode::Off {
+            checkpoint = measured.measure_checkpoint();
         }
-        assert!(
-            replayer.first_difference.is_none() && replayer.report.calls == calls,
-            "{:?}",
-            replayer.report
-        );
-        replay = replayer.report.duration_s / started_at.elapsed().as_secs_f64();
+    }
+    let cpu_s = cpu_s() - cpu_before_s;
+    let (mut capture_bytes, mut replay_speed) = (0, 0.0);
+    if let Some(handle) = handle.filter(|_| mode == CaptureMode::On) {
+        handle.end(Duration::from_secs(60));
+        (capture_bytes, replay_speed) = replay(&folder.join("n"), calls);
     }
     let _ = std::fs::remove_dir_all(&folder);
-    let mean_us = total.as_secs_f64() * 1e6 / (calls - 1) as f64;
-    let recorder_share = recorder_time.as_secs_f64() / total.as_secs_f64();
-    Cost { calls: histogram, mean_us, recorder_share, cpu_s, events, bytes, checkpoint, replay }
+    let total_s = measured.total.as_secs_f64();
+    Cost {
+        mean_us: total_s * 1e6 / (calls - 1) as f64,
+        recorder_share: measured.recorder_time.as_secs_f64() / total_s,
+        calls: measured.calls,
+        cpu_s,
+        events: measured.events,
+        capture_bytes,
+        checkpoint,
+        replay_speed,
+    }
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -271,59 +346,94 @@
     values[values.len() / 2]
 }
 
-#[expect(clippy::too_many_lines, reason = "listed in ROADMAP.md")]
+/// The same day without a capture, with one, and with a disk that hangs.
+struct Costs {
+    off: Cost,
+    on: Cost,
+    hanging: Cost,
+}
+
+impl Costs {
+    /// The order varies, so that a machine that becomes slower does not look like a cost.
+    fn measure(seed: u64, run: impl Fn(CaptureMode) -> Cost) -> Self {
+        if seed.is_multiple_of(2) {
+            let off = run(CaptureMode::Off);
+            let on = run(CaptureMode::On);
+            let hanging = run(CaptureMode::Hanging);
+            return Costs { off, on, hanging };
+        }
+        let hanging = run(CaptureMode::Hanging);
+        let on = run(CaptureMode::On);
+        let off = run(CaptureMode::Off);
+        Costs { off, on, hanging }
+    }
+
+    fn of(&self, mode: CaptureMode) -> &Cost {
+        match mode {
+            CaptureMode::Off => &self.off,
+            CaptureMode::On => &self.on,
+            CaptureMode::Hanging => &self.hanging,
+        }
+    }
+}
+
+/// The median over all rows of a value of one mode.
+fn median_of(rows: &[Costs], mode: CaptureMode, value: impl Fn(&Cost) -> f64) -> f64 {
+    median(rows.iter().map(|row| value(row.of(mode))).collect())
+}
+
+/// The median over all rows of the ratio of a value to that without a capture.
+fn median_ratio(rows: &[Costs], mode: CaptureMode, value: impl Fn(&Cost) -> f64) -> f64 {
+    median(rows.iter().map(|row| value(row.of(mode)) / value(&row.off)).collect())
+}
+
+fn print_calls(rows: &[Costs], mode: CaptureMode, name: &str) {
+    let of = |value: &dyn Fn(&Cost) -> f64| median_of(rows, mode, value);
+    let ratio = |value: &dyn Fn(&Cost) -> f64| median_ratio(rows, mode, value);
+    let quantile = |q: f64| move |cost: &Cost| cost.calls.value_at_quantile(q) as f64 / 1e3;
+    println!(
+        "  {name:<12} mean {:.1} us ({:.3}), p50 {:.1} us ({:.3}), p99 {:.1} us ({:.3}), max {:.0} us; the recorder itself {:.2} %; CPU of the process ({:.3})",
+        of(&|cost| cost.mean_us),
+        ratio(&|cost| cost.mean_us),
+        of(&quantile(0.5)),
+        ratio(&quantile(0.5)),
+        of(&quantile(0.99)),
+        ratio(&quantile(0.99)),
+        of(&|cost| cost.calls.max() as f64 / 1e3),
+        100.0 * of(&|cost| cost.recorder_share),
+        ratio(&|cost| cost.cpu_s.max(0.01)),
+    );
+}
+
+fn print_sizes(rows: &[Costs], calls: u64) {
+    let on = |value: &dyn Fn(&Cost) -> f64| median_of(rows, CaptureMode::On, value);
+    let off = |value: &dyn Fn(&Cost) -> f64| median_of(rows, CaptureMode::Off, value);
+    let day_s = calls as f64 / 4.0;
+    println!(
+        "  {:.1} bytes an event, {:.1} MB an hour; replay {:.0} times as fast; a checkpoint {:.0} KB in {:.2} ms\n",
+        on(&|cost| cost.capture_bytes as f64 / cost.events as f64),
+        on(&|cost| cost.capture_bytes as f64) / day_s * 3600.0 / 1e6,
+        on(&|cost| cost.replay_speed),
+        off(&|cost| cost.checkpoint.bytes as f64) / 1e3,
+        off(&|cost| cost.checkpoint.duration.as_secs_f64()) * 1e3,
+    );
+}
+
 fn main() {
-    let asked = std::env::args().filter_map(|argument| argument.parse::<u64>().ok()).next();
+    let requested_calls = std::env::args().filter_map(|argument| argument.parse::<u64>().ok()).next();
     for (proxies, hosts, zones, connection_idle_us, calls, seeds) in
         [(60, 30, 3, 0, 4000, 21), (635, 511, 4, 4_000_000, 160, 5)]
     {
-        let calls = asked.unwrap_or(calls);
+        let calls = requested_calls.unwrap_or(calls);
         println!("{proxies} proxies x {hosts} hosts, {calls} calls a run, seeds 1 to {seeds}");
-        let mut rows: Vec<[Cost; 3]> = Vec::new();
-        for seed in 1..=seeds {
-            let one = |how| run(Size { proxies, hosts, zones, connection_idle_us }, seed, calls, how);
-            // The order varies, so that a machine that becomes slower does not look like a cost.
-            let row = match seed % 2 {
-                0u64 => {
-                    let off = one(CaptureMode::Off);
-                    [off, one(CaptureMode::On), one(CaptureMode::Hanging)]
-                }
-                _ => {
-                    let (frozen, on) = (one(CaptureMode::Hanging), one(CaptureMode::On));
-                    [one(CaptureMode::Off), on, frozen]
-                }
-            };
-            rows.push(row);
-        }
-        for (at, name) in ["off", "on", "frozen disk"].iter().enumerate() {
-            let of = |value: &dyn Fn(&Cost) -> f64| median(rows.iter().map(|row| value(&row[at])).collect());
-            let ratio = |value: &dyn Fn(&Cost) -> f64| {
-                median(rows.iter().map(|row| value(&row[at]) / value(&row[0])).collect())
-            };
-            let quantile = |q: f64| move |cost: &Cost| cost.calls.value_at_quantile(q) as f64 / 1e3;
-            println!(
-                "  {name:<12} mean {:.1} us ({:.3}), p50 {:.1} us ({:.3}), p99 {:.1} us ({:.3}), max {:.0} us; the recorder itself {:.2} %; CPU of the process ({:.3})",
-                of(&|cost| cost.mean_us),
-                ratio(&|cost| cost.mean_us),
-                of(&quantile(0.5)),
-                ratio(&quantile(0.5)),
-                of(&quantile(0.99)),
-                ratio(&quantile(0.99)),
-                of(&|cost| cost.calls.max() as f64 / 1e3),
-                100.0 * of(&|cost| cost.recorder_share),
-                ratio(&|cost| cost.cpu_s.max(0.01)),
-            );
-        }
-        let on = |value: &dyn Fn(&Cost) -> f64| median(rows.iter().map(|row| value(&row[1])).collect());
-        let off = |value: &dyn Fn(&Cost) -> f64| median(rows.iter().map(|row| value(&row[0])).collect());
-        let secs = calls as f64 / 4.0;
-        println!(
-            "  {:.1} bytes an event, {:.1} MB an hour; replay {:.0} times as fast; a checkpoint {:.0} KB in {:.2} ms\n",
-            on(&|cost| cost.bytes as f64 / cost.events as f64),
-            on(&|cost| cost.bytes as f64) / secs * 3600.0 / 1e6,
-            on(&|cost| cost.replay),
-            off(&|cost| cost.checkpoint.0 as f64) / 1e3,
-            off(&|cost| cost.checkpoint.1.as_secs_f64()) * 1e3,
-        );
+        let measure = |seed| {
+            let size = || Size { proxies, hosts, zones, connection_idle_us };
+            Costs::measure(seed, |mode| run(size(), seed, calls, mode))
+        };
+        let rows: Vec<Costs> = (1..=seeds).map(measure).collect();
+        print_calls(&rows, CaptureMode::Off, "off");
+        print_calls(&rows, CaptureMode::On, "on");
+        print_calls(&rows, CaptureMode::Hanging, "frozen disk");
+        print_sizes(&rows, calls);
     }
 }
--- a/crates/wingfold-archive/tests/fault_injection.rs
+++ b/crates/wingfold-archive/tests/fault_injection.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 use wingfold_archive::{
-    synchronous, Archive, MemoryStore, SegmentFolder, SegmentStore, WriterConfig, WriterQueue,
+    synchronous, Archive, MemoryStore, SegmentFolder, SegmentStore, WriterConfig, WriterMetrics, WriterQueue,
 };
 use wingfold_capture::block::{BlockError, BlockKind};
 use wingfold_capture::model::{encode_actions, GapReason, SegmentMeta};
@@ -230,91 +230,144 @@
     }
 }
 
-#[test]
-#[expect(clippy::too_many_lines, reason = "listed in ROADMAP.md")]
-fn a_writer_that_hangs_under_635_proxies_blocks_nobody() {
-    let gate = Arc::new((Mutex::new(true), Condvar::new()));
-    let store = ScriptedStore::default();
-    let hanging_store = HangingStore { inner: store.clone(), gate: gate.clone() };
-    let settings = Settings { proxies: 635, ..scenario("rates-and-parts").settings };
-    let head = Head { settings: settings.clone(), seed: 3, ..Head::default() };
-    let queue = 3 << 20;
-    let config = WriterConfig { head: head.clone(), limits: SegmentLimits::default(), queue_bytes: queue };
-    let (recorder_queue, handle) = wingfold_archive::spawn(Box::new(hanging_store), config, |_| ()).unwrap();
-    let metrics = handle.metrics.clone();
-    let mut recorder = Recorder::new(recorder_queue);
-    let mut director = Director::new(settings.clone(), 3);
-    let mut unrecorded = Director::new(settings, 3);
-    let (mut longest, mut max_queued_bytes) = (Duration::ZERO, 0);
-    let mut call = |number: u64, events: &[Event], recorder: &mut Recorder<WriterQueue>| {
-        let (mut with, mut without) = (Vec::new(), Vec::new());
-        let now = Timestamp(number * 250_000);
-        let started = Instant::now();
-        recorder.before_call(now, &director);
-        let before = started.elapsed();
-        director.handle(now, events, &mut with);
-        let started = Instant::now();
-        recorder.after_call(now, events, &with, director.digest());
-        longest = longest.max(before + started.elapsed());
-        unrecorded.handle(now, events, &mut without);
-        assert_eq!(with, without, "call {number}");
-        max_queued_bytes =
-            max_queued_bytes.max(metrics.queued_bytes.load(std::sync::atomic::Ordering::Relaxed));
-    };
-    let entry = |at: u32| wingfold_director::interface::Endpoint {
-        host: HostId(format!("host-{at}").into()),
+/// Proxies of the director whose writer hangs.
+const PROXIES: u32 = 635;
+
+/// The seed of that director.
+const SEED: u64 = 3;
+
+/// Hosts of that director.
+const HOSTS: u32 = 120;
+
+/// Bytes that may wait for that writer.
+const QUEUE_BYTES: usize = 3 << 20;
+
+fn zone(number: u32) -> ZoneId {
+    ZoneId(["a", "b", "c"][number as usize % 3].into())
+}
+
+fn host(number: u32) -> HostId {
+    HostId(format!("host-{number}").into())
+}
+
+/// The list of all hosts.
+fn endpoint_list() -> Event {
+    let endpoint = |number: u32| wingfold_director::interface::Endpoint {
+        host: host(number),
         machine_type: "box".into(),
-        zone: ZoneId(["a", "b", "c"][at as usize % 3].into()),
+        zone: zone(number),
         readiness: Readiness::Ready,
         weight: 1.0,
         started_at: None,
     };
-    call(
-        1,
-        &[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: (0..120).map(entry).collect() }],
-        &mut recorder,
-    );
-    let connections = (0..635u32).map(|at| Event::ProxyConnected {
-        proxy: ProxyId(at),
-        zone: ZoneId(["a", "b", "c"][at as usize % 3].into()),
+    Event::EndpointList { kind: EndpointListKind::Cached, endpoints: (0..HOSTS).map(endpoint).collect() }
+}
+
+/// All proxies connect.
+fn connections() -> Vec<Event> {
+    let connected = |number: u32| Event::ProxyConnected {
+        proxy: ProxyId(number),
+        zone: zone(number),
         requests_per_s: 4.0,
-    });
-    call(2, &connections.collect::<Vec<_>>(), &mut recorder);
+    };
+    (0..PROXIES).map(connected).collect()
+}
+
+/// Twelve reports about each host; some hosts lose requests in half of the calls.
+fn load_reports(call: u64) -> Vec<Event> {
+    let report = |number: u32| {
+        let number = number % HOSTS;
+        let failed = u64::from(number.is_multiple_of(17) && call % 40 > 20) * 5;
+        Event::LoadReport {
+            zone: ZoneId("a".into()),
+            host: host(number),
+            attempts: AttemptCounts { total: 9, failed, period: Micros(1_000_000) },
+            mean_latency: Micros(90_000),
+            load: HostLoad::default(),
+        }
+    };
+    (0..HOSTS * 12).map(report).collect()
+}
+
+/// Two directors that handle the same calls; the calls of one are recorded.
+struct RecordedDirector {
+    recorder: Recorder<WriterQueue>,
+    metrics: Arc<WriterMetrics>,
+    director: Director,
+    unrecorded: Director,
+    /// The number of the last call.
+    number: u64,
+    longest_recording: Duration,
+    max_queued_bytes: usize,
+}
+
+impl RecordedDirector {
+    fn new(settings: Settings, queue: WriterQueue, metrics: Arc<WriterMetrics>) -> Self {
+        RecordedDirector {
+            recorder: Recorder::new(queue),
+            metrics,
+            director: Director::new(settings.clone(), SEED),
+            unrecorded: Director::new(settings, SEED),
+            number: 0,
+            longest_recording: Duration::ZERO,
+            max_queued_bytes: 0,
+        }
+    }
+
+    /// Lets both directors handle the events, and checks that they order the same actions.
+    fn call(&mut self, events: &[Event]) {
+        self.number += 1;
+        let (mut with, mut without) = (Vec::new(), Vec::new());
+        let now = Timestamp(self.number * 250_000);
+        let started = Instant::now();
+        self.recorder.before_call(now, &self.director);
+        let before = started.elapsed();
+        self.director.handle(now, events, &mut with);
+        let started = Instant::now();
+        self.recorder.after_call(now, events, &with, self.director.digest());
+        self.longest_recording = self.longest_recording.max(before + started.elapsed());
+        self.unrecorded.handle(now, events, &mut without);
+        assert_eq!(with, without, "call {}", self.number);
+        self.max_queued_bytes = self.max_queued_bytes.max(self.queued_bytes());
+    }
+
+    fn call_with_load_reports(&mut self) {
+        self.call(&load_reports(self.number + 1));
+    }
+
+    fn queued_bytes(&self) -> usize {
+        self.metrics.queued_bytes.load(std::sync::atomic::Ordering::Relaxed)
+    }
+}
+
+#[test]
+fn a_writer_that_hangs_under_635_proxies_blocks_nobody() {
+    let gate = Arc::new((Mutex::new(true), Condvar::new()));
+    let store = ScriptedStore::default();
+    let hanging_store = HangingStore { inner: store.clone(), gate: gate.clone() };
+    let settings = Settings { proxies: PROXIES, ..scenario("rates-and-parts").settings };
+    let head = Head { settings: settings.clone(), seed: SEED, ..Head::default() };
+    let config = WriterConfig { head, limits: SegmentLimits::default(), queue_bytes: QUEUE_BYTES };
+    let (queue, handle) = wingfold_archive::spawn(Box::new(hanging_store), config, |_| ()).unwrap();
+    let mut recorded = RecordedDirector::new(settings, queue, handle.metrics.clone());
+    recorded.call(&[endpoint_list()]);
+    recorded.call(&connections());
     until("the writer has begun", || !store.segments().is_empty());
     *gate.0.lock().unwrap() = false;
-    let mut number = 3;
-    let load_reports = |number: u64| {
-        let reports = (0..120u32 * 12).map(|at| {
-            let at = at % 120;
-            let dropped = u64::from(at.is_multiple_of(17) && number % 40 > 20) * 5;
-            let counts = AttemptCounts { total: 9, failed: dropped, period: Micros(1_000_000) };
-            Event::LoadReport {
-                zone: ZoneId("a".into()),
-                host: HostId(format!("host-{at}").into()),
-                attempts: counts,
-                mean_latency: Micros(90_000),
-                load: HostLoad::default(),
-            }
-        });
-        reports.collect::<Vec<_>>()
-    };
     // The writer hangs while the queue fills, and for 60 calls (15 s of the director's clock) after that.
-    while recorder.dropped_calls() < 60 {
-        call(number, &load_reports(number), &mut recorder);
-        number += 1;
-        assert!(number < 200_000, "the queue is bounded");
+    while recorded.recorder.dropped_calls() < 60 {
+        recorded.call_with_load_reports();
+        assert!(recorded.number < 200_000, "the queue is bounded");
     }
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
-    let first_after_hang = number;
-    until("it has caught up", || metrics.queued_bytes.load(std::sync::atomic::Ordering::Relaxed) == 0);
-    for _ in 0..40 {
-        call(number, &load_reports(number), &mut recorder);
-        number += 1;
-    }
+    let last_in_hang = recorded.number;
+    until("it has caught up", || recorded.queued_bytes() == 0);
+    (0..40).for_each(|_| recorded.call_with_load_reports());
     assert!(handle.end(Duration::from_secs(30)), "it ends well");
-    assert!(max_queued_bytes <= queue, "{max_queued_bytes} bytes were queued");
+    assert!(recorded.max_queued_bytes <= QUEUE_BYTES, "{} bytes were queued", recorded.max_queued_bytes);
     // Writing a checkpoint of this size takes milliseconds; waiting for the store would take seconds.
+    let longest = recorded.longest_recording;
     assert!(longest < Duration::from_secs(1), "{longest:?} in one call");
     let segments = store.segments();
     let replayer = replay(segments.iter().map(Vec::as_slice));
@@ -322,7 +375,7 @@
     assert_eq!(replayer.report.gaps.len(), 1, "{:?}", replayer.report.gaps);
     let gap = &replayer.report.gaps[0];
     assert_eq!(gap.reason, GapReason::QueueFull);
-    assert!(gap.to >= first_after_hang - 1 && replayer.report.calls == number - 1 - (gap.to + 1 - gap.from));
+    assert!(gap.to >= last_in_hang && replayer.report.calls == recorded.number - (gap.to + 1 - gap.from));
 }
 
 #[test]
