--- a/crates/wingfold-director/src/policy/outlier_detection.rs
+++ b/crates/wingfold-director/src/policy/outlier_detection.rs
@@ -135,7 +135,7 @@
         zone.baseline_loss = baseline_loss(zone.memo.rows.health());
         let suspects = zone.memo.rows.suspects(zone.attempts_seen.attempts, SILENT_ATTEMPTS);
         let unreachable_zones = self.unreachable_zones(name, zone, &suspects);
-        let due_at = self.next_health_check_at(zone, &suspects);
+        let due_at = self.next_detection_at(zone, &suspects);
         for change in self.health_transitions(zone, &suspects, &unreachable_zones) {
             self.apply_health_transition(name, zone, &change);
         }
@@ -297,7 +297,7 @@
 
     /// When outlier detection in a zone is due without new evidence: at the end of an ejection or probation,
     /// or at once where so many attempts failed that another zone may be unreachable, since reports age.
-    fn next_health_check_at(&self, zone: &Zone, suspects: &[usize]) -> Timestamp {
+    fn next_detection_at(&self, zone: &Zone, suspects: &[usize]) -> Timestamp {
         let rows = &zone.memo.rows;
         if rows.consecutive_failures_of(suspects) >= UNREACHABLE_ZONE_FAILURES {
             return self.now;
