--- a/crates/wingfold-emulator/src/scenario.rs
+++ b/crates/wingfold-emulator/src/scenario.rs
@@ -6,7 +6,7 @@
 pub use fault::{Fault, FaultKind, FaultTargets};
 
 use wingfold_director::interface::{Class, Micros, Settings};
-use wingfold_settings::hcl::Faults;
+use wingfold_settings::hcl::Diagnostics;
 
 /// A range from which values are drawn uniformly; both ends are included.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -89,7 +89,7 @@
 
 impl Scenario {
     /// Reads a scenario. The error names everything that is wrong with it; `file` is the name that it gives as the place.
-    pub fn read(file: &str, text: &str) -> Result<Scenario, Faults> {
+    pub fn read(file: &str, text: &str) -> Result<Scenario, Diagnostics> {
         reader::read(file, text)
     }
 }
--- a/crates/wingfold-emulator/src/scenario/reader/settings.rs
+++ b/crates/wingfold-emulator/src/scenario/reader/settings.rs
@@ -23,13 +23,13 @@
     let rules = OptionalBlock(top.block("rules"));
     Settings {
         director_index: 0,
-        directors: block.whole("directors", 1..=64).unwrap_or(2) as u32,
+        directors: block.integer("directors", 1..=64).unwrap_or(2) as u32,
         zones: zones.iter().map(|zone| zone_id(zone)).collect(),
-        proxies: block.whole("proxies", 1..=20_000).unwrap_or(12) as u32,
+        proxies: block.integer("proxies", 1..=20_000).unwrap_or(12) as u32,
         admission_mode: read_admission_mode(block),
-        local_first: block.flag("local_first").unwrap_or(false),
+        local_first: block.boolean("local_first").unwrap_or(false),
         classes: classes.iter().map(|load| load.class.clone()).collect(),
-        endpoint_list_on_request: block.flag("list_on_request").unwrap_or(false),
+        endpoint_list_on_request: block.boolean("list_on_request").unwrap_or(false),
         shards: 0,
         send_rate_lines_per_s: channel.number("lines_per_s", 10.0..=1e7, 2800.0),
         message_overhead_lines: channel.number("overhead", 0.0..=1000.0, 4.0),
@@ -51,13 +51,13 @@
         overload_factor: rules.number("overload_factor", 1.0..=100.0, 4.0),
         overload_duration: rules.duration("overload_for", 3000),
         poll_within: POLL_WITHIN,
-        removal_is_advisory: block.flag("gone_is_advice").unwrap_or(false),
+        removal_is_advisory: block.boolean("gone_is_advice").unwrap_or(false),
         connection_idle_timeout: duration_or(block, "conn_idle", 0),
     }
 }
 
 fn read_admission_mode(block: &Block) -> AdmissionMode {
-    match block.word("levels", &["share", "rate", "ignored"]) {
+    match block.keyword("levels", &["share", "rate", "ignored"]) {
         Some("rate") => AdmissionMode::Rate,
         Some("ignored") => AdmissionMode::Ignored,
         _ => AdmissionMode::Share,
@@ -65,7 +65,7 @@
 }
 
 fn read_load_report_source(block: &Block) -> LoadReportSource {
-    match block.flag("loads_told") {
+    match block.boolean("loads_told") {
         Some(false) => LoadReportSource::Never,
         _ => LoadReportSource::WithAttemptCounts,
     }
--- a/crates/wingfold-node/src/sink.rs
+++ b/crates/wingfold-node/src/sink.rs
@@ -18,9 +18,8 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 use wingfold_director::interface::Timestamp;
-use wingfold_figures::receiver::Receiver;
-use wingfold_figures::Interval;
-use wingfold_settings::own::Sinks;
+use wingfold_metrics::{Interval, Sink};
+use wingfold_settings::local::SinkSettings;
 
 /// Separates the random numbers of the sinks from others of the same seed.
 const SEED_SALT: u64 = 0xF16;
@@ -48,9 +47,9 @@
 }
 
 impl ReceiverHealth {
-    fn update(&self, core: &Receiver) {
-        let since_us = core.well_since().map_or(0, |since| since.0.max(1));
-        self.is_down.store(core.is_down(), Ordering::Relaxed);
+    fn update(&self, sink: &Sink) {
+        let since_us = sink.healthy_since().map_or(0, |since| since.0.max(1));
+        self.is_down.store(sink.is_down(), Ordering::Relaxed);
         self.healthy_since_us.store(since_us, Ordering::Relaxed);
     }
 
@@ -70,11 +69,7 @@
 #[derive(Clone, Debug)]
 enum Work {
     /// Bytes of an interval, for a connection.
-    Bytes {
-        /// The number of the interval.
-        interval: u64,
-        bytes: Arc<[u8]>,
-    },
+    Bytes(Arc<[u8]>),
     /// Datagrams of an interval.
     Datagrams(Arc<Vec<Vec<u8>>>),
 }
@@ -111,7 +106,7 @@
 
     /// Dispatches intervals until their channel is closed, by settings that may change meanwhile. The tasks of receivers end
     /// when they are taken out of the settings, or with the channel that this task gives them.
-    pub async fn run(mut self, mut settings: watch::Receiver<Arc<Sinks>>) {
+    pub async fn run(mut self, mut settings: watch::Receiver<Arc<SinkSettings>>) {
         let first = settings.borrow_and_update().clone();
         self.apply(&first);
         loop {
@@ -139,7 +134,7 @@
     }
 
     /// Changes the groups to what the settings say. A receiver that is in both goes on with all that waits for it.
-    fn apply(&mut self, new: &Sinks) {
+    fn apply(&mut self, new: &SinkSettings) {
         let mut old = std::mem::take(&mut self.groups);
         for graphite in &new.graphite {
             self.start_group(GroupSettings::graphite(graphite, &self.context), &mut old);
--- a/crates/wingfold-simhost/src/capture.rs
+++ b/crates/wingfold-simhost/src/capture.rs
@@ -5,7 +5,7 @@
 use wingfold_capture::{Head, Recorder, RecorderQueue, SegmentLimits};
 use wingfold_director::interface::{Action, Event, Settings, Timestamp};
 use wingfold_director::Director;
-use wingfold_settings::Names;
+use wingfold_settings::ReportNames;
 
 /// The capture of one instance; ends when it is dropped.
 pub struct Capture {
@@ -20,7 +20,7 @@
         now: Timestamp,
         seed: u64,
         settings: &Settings,
-        names: &Names,
+        names: &ReportNames,
     ) -> Option<Self> {
         let name = format!("instance-{number}");
         let head = Head {
--- a/crates/wingfold-simhost/src/instance.rs
+++ b/crates/wingfold-simhost/src/instance.rs
@@ -5,11 +5,11 @@
 use std::path::Path;
 use wingfold_director::interface::{Action, Event, Timestamp};
 use wingfold_director::Director;
-use wingfold_settings::Names;
+use wingfold_settings::ReportNames;
 
 /// One director and what is needed to read its messages.
 pub struct Instance {
-    names: Names,
+    names: ReportNames,
     director: Director,
     pending: Vec<Event>,
     capture: Option<Capture>,
@@ -18,8 +18,8 @@
 impl Instance {
     /// Starts an instance. If `capture_root` is given, its calls are captured below it.
     pub fn new(number: u64, now: Timestamp, launch: &Launch, capture_root: Option<&Path>) -> Self {
-        let names = launch.info.names();
-        let settings = launch.info.settings();
+        let names = launch.settings.report_names();
+        let settings = launch.settings.director_settings();
         let capture =
             capture_root.and_then(|root| Capture::start(root, number, now, launch.seed, &settings, &names));
         let director = Director::new(settings, launch.seed);
@@ -27,7 +27,7 @@
     }
 
     /// The names that its messages use.
-    pub fn names(&self) -> &Names {
+    pub fn names(&self) -> &ReportNames {
         &self.names
     }
 
--- a/crates/wingfold-simhost/src/main.rs
+++ b/crates/wingfold-simhost/src/main.rs
@@ -14,7 +14,7 @@
 /// Size of the input's and the output's buffer in bytes.
 const IO_BUFFER_BYTES: usize = 1 << 16;
 
-/// Names the directory for captures. It is a switch for whoever wants a simulated day to replay, not a setting of the
+/// ReportNames the directory for captures. It is a switch for whoever wants a simulated day to replay, not a setting of the
 /// director.
 const CAPTURE_VARIABLE: &str = "WINGFOLD_CAPTURE";
 
--- a/crates/wingfold-simhost/src/wire/actions.rs
+++ b/crates/wingfold-simhost/src/wire/actions.rs
@@ -88,7 +88,7 @@
     retry: Retry,
 ) -> fmt::Result {
     let table = table.map_or(ALL_PROXIES_TABLE, |table| table.0);
-    let retry = wingfold_settings::retry_number(retry);
+    let retry = wingfold_settings::retry_code(retry);
     write!(out, "allow\t{}\t{level}\t{table}\t{retry}", classes.0)
 }
 
--- a/crates/wingfold-simhost/src/wire/events.rs
+++ b/crates/wingfold-simhost/src/wire/events.rs
@@ -2,7 +2,7 @@
 
 use super::{Fields, OrderError, WireError};
 use wingfold_director::interface::{AttemptCounts, Event, HealthCheckOutcome, Micros};
-use wingfold_settings::Names;
+use wingfold_settings::ReportNames;
 
 /// The host answered the health check.
 const STATUS_OK: u32 = 1;
@@ -29,7 +29,7 @@
 }
 
 /// Reads any event of an instance that is neither its start, its end nor its endpoint list.
-pub fn read_event(fields: &mut Fields, names: &Names) -> Result<Event, WireError> {
+pub fn read_event(fields: &mut Fields, names: &ReportNames) -> Result<Event, WireError> {
     match fields.message() {
         "wakeup" => Ok(Event::TimerFired(fields.value("ctx")?)),
         "probe_result" => read_health_check(fields, names),
@@ -46,7 +46,7 @@
     }
 }
 
-fn read_health_check(fields: &mut Fields, names: &Names) -> Result<Event, WireError> {
+fn read_health_check(fields: &mut Fields, names: &ReportNames) -> Result<Event, WireError> {
     let outcome = match fields.value::<u32>("status")? {
         STATUS_OK => HealthCheckOutcome::Ok,
         STATUS_REJECTED => HealthCheckOutcome::Rejected,
@@ -72,7 +72,7 @@
     Ok(Event::ProxyConnected { proxy, zone, requests_per_s })
 }
 
-fn read_load_report(fields: &mut Fields, names: &Names) -> Result<Event, WireError> {
+fn read_load_report(fields: &mut Fields, names: &ReportNames) -> Result<Event, WireError> {
     let zone = fields.zone()?;
     let host = fields.host()?;
     let totals = Totals::read(fields)?;
@@ -82,7 +82,7 @@
     Ok(Event::LoadReport { zone, host, attempts, mean_latency, load })
 }
 
-fn read_usage(fields: &mut Fields, names: &Names) -> Result<Event, WireError> {
+fn read_usage(fields: &mut Fields, names: &ReportNames) -> Result<Event, WireError> {
     let proxy = fields.proxy()?;
     let class = fields.class(names)?;
     let totals = Totals::read(fields)?;
@@ -97,7 +97,7 @@
     Ok(Event::Acknowledged { proxy, barrier, elapsed })
 }
 
-fn read_shard_load(fields: &mut Fields, names: &Names) -> Result<Event, WireError> {
+fn read_shard_load(fields: &mut Fields, names: &ReportNames) -> Result<Event, WireError> {
     fields.shard()?;
     fields.class(names)?;
     Totals::read(fields)?;
--- a/crates/wingfold-simhost/src/wire/events/tests.rs
+++ b/crates/wingfold-simhost/src/wire/events/tests.rs
@@ -4,9 +4,9 @@
 
 #[test]
 fn every_event_is_read_into_its_own_terms() {
-    let names = Names {
+    let names = ReportNames {
         classes: vec!["score".into(), "verdict".into()],
-        fields: vec!["cpu_share".into(), "busy_reqs".into(), "svc_ms".into(), "pending".into()],
+        load_fields: vec!["cpu_share".into(), "busy_reqs".into(), "svc_ms".into(), "pending".into()],
     };
     let read = |line: &str| {
         let mut fields = Fields::new(line);
--- a/crates/wingfold-simhost/src/wire/fields.rs
+++ b/crates/wingfold-simhost/src/wire/fields.rs
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 use std::sync::Arc;
 use wingfold_director::interface::{ClassId, HostId, HostLoad, ProxyId, ZoneId};
-use wingfold_settings::Names;
+use wingfold_settings::ReportNames;
 
 /// Between two fields of a line.
 const FIELD_SEPARATOR: char = '\t';
@@ -159,7 +159,7 @@
     }
 
     /// The next field as a class that the settings name.
-    pub(super) fn class(&mut self, names: &Names) -> Result<ClassId, WireError> {
+    pub(super) fn class(&mut self, names: &ReportNames) -> Result<ClassId, WireError> {
         let field = "profile";
         let text = self.text(field)?;
         let position = names.classes.iter().position(|name| name == text);
@@ -168,7 +168,7 @@
 
     /// The next field as a host's load report, whose values the settings name; values beyond those are checked and
     /// ignored.
-    pub(super) fn load(&mut self, names: &Names) -> Result<HostLoad, WireError> {
+    pub(super) fn load(&mut self, names: &ReportNames) -> Result<HostLoad, WireError> {
         let field = "pressure";
         let text = self.text(field)?;
         let mut load = HostLoad::default();
@@ -180,8 +180,8 @@
                 ABSENT => None,
                 _ => Some(part.parse::<f64>().map_err(|_| self.invalid(field, text))?),
             };
-            if let Some(name) = names.fields.get(position) {
-                wingfold_settings::put_load(&mut load, name, value);
+            if let Some(name) = names.load_fields.get(position) {
+                wingfold_settings::set_load_field(&mut load, name, value);
             }
         }
         Ok(load)
--- a/crates/wingfold-simhost/src/wire/messages.rs
+++ b/crates/wingfold-simhost/src/wire/messages.rs
@@ -3,7 +3,7 @@
 
 use super::{Fields, OrderError, WireError};
 use wingfold_director::interface::{Endpoint, EndpointListKind, Readiness, Timestamp};
-use wingfold_settings::Info;
+use wingfold_settings::PlatformSettings;
 
 /// The name of the message that begins a batch.
 pub(super) const BATCH_START: &str = "batch";
@@ -18,7 +18,7 @@
     BatchStart,
     /// The last line of a batch.
     BatchEnd,
-    /// Names the instance to which the lines that follow belong.
+    /// ReportNames the instance to which the lines that follow belong.
     Instance,
     /// Starts an instance.
     Launch,
@@ -62,7 +62,7 @@
     /// The seed of its random numbers.
     pub seed: u64,
     /// The settings.
-    pub info: Info,
+    pub settings: PlatformSettings,
 }
 
 /// The first line of an endpoint list.
@@ -94,8 +94,9 @@
 pub fn read_launch(fields: &mut Fields) -> Result<Launch, WireError> {
     let seed = fields.value("random_seed")?;
     let text = fields.tail("info")?;
-    let info = wingfold_settings::read(text).map_err(|error| fields.invalid("info", &error.to_string()))?;
-    Ok(Launch { seed, info })
+    let settings =
+        wingfold_settings::parse_json(text).map_err(|error| fields.invalid("info", &error.to_string()))?;
+    Ok(Launch { seed, settings })
 }
 
 /// Reads the first line of an endpoint list.
--- a/crates/wingfold/src/capture.rs
+++ b/crates/wingfold/src/capture.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 use wingfold_archive::ArchiveError;
 use wingfold_capture::replay::ReplayError;
-use wingfold_settings::hcl::Faults;
+use wingfold_settings::hcl::Diagnostics;
 
 /// What can be done with a capture.
 #[derive(Debug, Subcommand)]
@@ -107,7 +107,7 @@
     CaseExists { path: PathBuf },
     /// The description of a case is wrong.
     #[error(transparent)]
-    Case(#[from] Faults),
+    Case(#[from] Diagnostics),
 }
 
 impl Capture {
--- a/crates/wingfold/src/emulate.rs
+++ b/crates/wingfold/src/emulate.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 use wingfold_emulator::experiment::Experiment;
 use wingfold_emulator::{report, RunResult, Scenario};
-use wingfold_settings::hcl::Faults;
+use wingfold_settings::hcl::Diagnostics;
 
 /// What can be done in the emulator.
 #[derive(Debug, Subcommand)]
@@ -53,7 +53,7 @@
     File(#[from] FileError),
     /// The scenario is wrong.
     #[error(transparent)]
-    Scenario(#[from] Faults),
+    Scenario(#[from] Diagnostics),
     /// The range of seeds is wrong.
     #[error(transparent)]
     Seeds(#[from] SeedsError),
--- a/crates/wingfold/src/metrics.rs
+++ b/crates/wingfold/src/metrics.rs
@@ -9,7 +9,7 @@
 use std::io::{self, IsTerminal, Write};
 use std::thread;
 use std::time::Duration;
-use wingfold_figures::catalogue::{self, Entry};
+use wingfold_metrics::catalogue::{self, MetricDescriptor};
 
 /// Between two views of a director.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
@@ -43,8 +43,8 @@
         match self {
             Metrics::List { markdown: true } => print!("{}", catalogue::markdown()),
             Metrics::List { markdown: false } => {
-                for (_, entry) in catalogue::CATALOGUE {
-                    println!("{}", entry_line(entry));
+                for (_, metric) in catalogue::CATALOGUE {
+                    println!("{}", metric_line(metric));
                 }
             }
             Metrics::Watch { address, times } => return watch(&address, times),
@@ -53,10 +53,10 @@
     }
 }
 
-fn entry_line(entry: &Entry) -> String {
+fn metric_line(metric: &MetricDescriptor) -> String {
     let labels =
-        if entry.labels.is_empty() { String::new() } else { format!(" by {}", entry.labels.join(", ")) };
-    format!("{:<22} {} in {}{labels}: {}", entry.name, entry.kind.name(), entry.unit, entry.about)
+        if metric.labels.is_empty() { String::new() } else { format!(" by {}", metric.labels.join(", ")) };
+    format!("{:<22} {} in {}{labels}: {}", metric.name, metric.kind.name(), metric.unit, metric.description)
 }
 
 /// Shows a director's metrics `times` times; else for good on a terminal, and once elsewhere.
--- a/crates/wingfold/src/serve.rs
+++ b/crates/wingfold/src/serve.rs
@@ -4,7 +4,7 @@
 use clap::Args;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use wingfold_settings::own::{Form, Own};
+use wingfold_settings::local::{LocalSettings, LogFormat};
 
 /// Serve as a director.
 #[derive(Args, Debug, Default)]
@@ -24,7 +24,7 @@
     /// Serves until it is asked to end.
     pub fn run(self) -> ExitCode {
         match settings::load(self.own.as_deref()) {
-            Ok(own) => self.serve(own),
+            Ok(local) => self.serve(local),
             Err(error) => {
                 eprintln!("{error}");
                 ExitCode::FAILURE
@@ -32,18 +32,18 @@
         }
     }
 
-    fn serve(self, mut own: Own) -> ExitCode {
+    fn serve(self, mut local: LocalSettings) -> ExitCode {
         if self.log_json {
-            own.log.form = Form::Json;
+            local.log.format = LogFormat::Json;
         }
-        let log_form = own.log.form;
+        let log_format = local.log.format;
         let file = self.own;
         let reload = move || {
-            let mut own = settings::load(file.as_deref()).map_err(|error| error.to_string())?;
-            // The form of the log is that of the start.
-            own.log.form = log_form;
-            Ok(own)
+            let mut reloaded = settings::load(file.as_deref()).map_err(|error| error.to_string())?;
+            // The format of the log is that of the start.
+            reloaded.log.format = log_format;
+            Ok(reloaded)
         };
-        wingfold_node::main(self.config, own, reload)
+        wingfold_node::main(self.config, local, reload)
     }
 }
--- a/crates/wingfold/src/settings.rs
+++ b/crates/wingfold/src/settings.rs
@@ -5,8 +5,8 @@
 use clap::Subcommand;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
-use wingfold_settings::hcl::Faults;
-use wingfold_settings::own::Own;
+use wingfold_settings::hcl::Diagnostics;
+use wingfold_settings::local::LocalSettings;
 
 /// Names the file of own settings where the command line names none.
 const FILE_VARIABLE: &str = "WINGFOLD_OWN";
@@ -29,7 +29,7 @@
     File(#[from] FileError),
     /// The file is read, and wrong.
     #[error(transparent)]
-    Invalid(#[from] Faults),
+    Invalid(#[from] Diagnostics),
 }
 
 impl Settings {
@@ -48,13 +48,13 @@
 }
 
 /// Reads own settings: from `file`, or else from the file that `WINGFOLD_OWN` names, or else the defaults.
-pub fn load(file: Option<&Path>) -> Result<Own, SettingsError> {
+pub fn load(file: Option<&Path>) -> Result<LocalSettings, SettingsError> {
     let file = file.map(Path::to_path_buf).or_else(file_of_environment);
     let Some(file) = file else {
-        return Ok(Own::default());
+        return Ok(LocalSettings::default());
     };
     let text = read_text(&file)?;
-    Ok(Own::read(&file.display().to_string(), &text)?)
+    Ok(LocalSettings::parse(&file.display().to_string(), &text)?)
 }
 
 fn file_of_environment() -> Option<PathBuf> {
--- a/crates/wingfold/tests/metrics.rs
+++ b/crates/wingfold/tests/metrics.rs
@@ -3,7 +3,10 @@
 mod common;
 
 use common::messages::{entries, load_report, usage_report, DRAINING, READY};
-use common::{three_host_deployment, unique_loopback_ip, wait_until, wingfold, Director, DirectorSetup};
+use common::{
+    three_host_deployment, unique_loopback_ip, wait_until, wingfold, Client, Director, DirectorSetup,
+    Discovery,
+};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
@@ -11,7 +14,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use wingfold_figures::collectd::{self, Secrecy, TypedValue};
+use wingfold_metrics::collectd::{self, Credentials, PacketSecurity, TypedValue, ValueList};
 use wingfold_test_support::receivers::{self, DatagramReceiver, GraphiteReceiver, ReceiverBehaviour, Sample};
 
 /// A folder of this test's own, gone when it ends.
@@ -52,7 +55,7 @@
 }
 
 /// So many proxies that have joined and heard their first orders: all join before the first one is heard.
-fn joined(director: &Director, count: u32) -> Vec<common::Client> {
+fn joined(director: &Director, count: u32) -> Vec<Client> {
     let mut proxies: Vec<_> = (0..count).map(|id| director.connect_proxy(id, "a")).collect();
     proxies.iter_mut().for_each(|proxy| drop(proxy.receive_update()));
     proxies
@@ -128,6 +131,19 @@
     setup.config["limits"] = json!({"memory_mb": memory_mb, "sockets": 1024});
 }
 
+/// Checks that drains, and the end of one, reach all proxies as ever.
+fn assert_changes_reach_all(discovery: &Discovery, proxies: &mut [Client]) {
+    for (host, state) in [("s-2", DRAINING), ("s-2", READY), ("s-3", DRAINING)] {
+        let begun = Instant::now();
+        discovery.set_host_state(host, state);
+        for proxy in &mut *proxies {
+            let orders = proxy.receive_update();
+            assert!(!orders.is_empty());
+        }
+        assert!(begun.elapsed() < Duration::from_secs(10), "{:?}", begun.elapsed());
+    }
+}
+
 #[test]
 fn receivers_of_all_faulty_behaviours_at_once_hold_up_no_table() {
     let place = Place::new("manners");
@@ -151,16 +167,7 @@
     wait_until("the frozen one is cut off, and not only once", || {
         well.series("wingfold.n0.sink.cuts.bad-0").values().sum::<f64>() >= 2.0
     });
-    // Drains reach all proxies meanwhile as ever.
-    for (host, state) in [("s-2", DRAINING), ("s-2", READY), ("s-3", DRAINING)] {
-        let begun = Instant::now();
-        discovery.set_host_state(host, state);
-        for proxy in &mut proxies {
-            let orders = proxy.receive_update();
-            assert!(!orders.is_empty());
-        }
-        assert!(begun.elapsed() < Duration::from_secs(10), "{:?}", begun.elapsed());
-    }
+    assert_changes_reach_all(&discovery, &mut proxies);
     let sum = |name: &str| well.series(name).values().sum::<f64>();
     wait_until("the slow one is cut off", || sum("wingfold.n0.sink.cuts.bad-1") >= 1.0);
     wait_until("the refusing one loses whole intervals", || {
@@ -283,6 +290,10 @@
     }
 }
 
+fn credentials(user: &str, key: &str) -> Credentials {
+    Credentials { user: user.into(), key: key.into() }
+}
+
 #[test]
 fn packets_of_collectd_hold_every_metric_and_are_signed() {
     let place = Place::new("collectd");
@@ -306,20 +317,19 @@
     let lists = || {
         let bodies = packets.datagrams().into_iter().map(|packet| {
             assert!(packet.len() <= 600 && packet[..4] == [2, 0, 0, 41] && packet[36..41] == *b"lines");
-            collectd::read(&packet[41..]).unwrap()
+            collectd::decode_packet(&packet[41..]).unwrap()
         });
-        bodies.flatten().collect::<Vec<collectd::List>>()
-    };
-    let tries = |list: &collectd::List| {
-        list.kind_instance == "tries.total" && list.values == [TypedValue::Absolute(9)]
+        bodies.flatten().collect::<Vec<ValueList>>()
     };
+    let tries =
+        |list: &ValueList| list.type_instance == "tries.total" && list.values == [TypedValue::Absolute(9)];
     wait_until("the tries arrive", || lists().iter().any(tries));
     let list = lists().into_iter().find(tries).unwrap();
     assert_eq!(
-        (&*list.host, &*list.plugin, &*list.plugin_instance, &*list.kind),
+        (&*list.host, &*list.plugin, &*list.plugin_instance, &*list.type_name),
         ("n0", "wingfold", "a", "wingfold_count")
     );
-    assert!(lists().iter().any(|list| list.kind == "wingfold_spread" && list.values.len() == 5));
+    assert!(lists().iter().any(|list| list.type_name == "wingfold_spread" && list.values.len() == 5));
     drop(director);
     // Keys that others may read start nothing.
     modes(0o644);
@@ -339,18 +349,18 @@
 }
 
 /// A packet of collectd with the load of a machine, as of now.
-fn load_packet(host: &str, load: f64, secrecy: &Secrecy, random: &mut ChaCha8Rng) -> Vec<u8> {
+fn load_packet(host: &str, load: f64, security: &PacketSecurity, random: &mut ChaCha8Rng) -> Vec<u8> {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
-    let list = collectd::List {
+    let list = ValueList {
         host: host.into(),
         plugin: "load".into(),
-        kind: "load".into(),
+        type_name: "load".into(),
         time: collectd::high_resolution(now.as_micros() as u64),
         interval: 10 << 30,
         values: vec![TypedValue::Gauge(load), TypedValue::Gauge(0.0), TypedValue::Gauge(0.0)],
-        ..collectd::List::default()
+        ..ValueList::default()
     };
-    collectd::packets(&[list], 1452, secrecy, random).remove(0)
+    collectd::encode_packets(&[list], 1452, security, random).remove(0)
 }
 
 #[test]
@@ -364,18 +374,19 @@
     std::fs::set_permissions(&keys, std::os::unix::fs::PermissionsExt::from_mode(0o600)).unwrap();
     let own = settings_with_collectd_input(&place, listen, &keys);
     let mut director = start(&setup, &place, &own);
-    let secrecy = Secrecy::Encrypted("lines".into(), "a key of some length".into());
+    let security = PacketSecurity::Encrypted(credentials("lines", "a key of some length"));
     let mut random = ChaCha8Rng::from_seed([7; 32]);
-    let mut packet = |host: &str, load: f64, secrecy: &Secrecy| load_packet(host, load, secrecy, &mut random);
-    let first = packet("db1", 3.0, &secrecy);
+    let mut packet =
+        |host: &str, load: f64, security: &PacketSecurity| load_packet(host, load, security, &mut random);
+    let first = packet("db1", 3.0, &security);
     receivers::send_datagram(listen, &first);
     wait_until("it is taken", || director.metric("collectd_in_total") == 1);
     for (bytes, reason) in [
         (first.clone(), "replayed"),
-        (packet("db1", 1.0, &Secrecy::Plain), "open"),
-        (packet("db1", 1.0, &Secrecy::Signed("nobody".into(), "x".into())), "user"),
-        (packet("db1", 1.0, &Secrecy::Signed("lines".into(), "another key".into())), "key"),
-        (packet("other", 1.0, &secrecy), "host"),
+        (packet("db1", 1.0, &PacketSecurity::None), "open"),
+        (packet("db1", 1.0, &PacketSecurity::Signed(credentials("nobody", "x"))), "user"),
+        (packet("db1", 1.0, &PacketSecurity::Signed(credentials("lines", "another key"))), "key"),
+        (packet("other", 1.0, &security), "host"),
         (vec![0, 6, 0], "form"),
     ] {
         receivers::send_datagram(listen, &bytes);
@@ -383,7 +394,7 @@
         wait_until(&name, || director.metric(&name) == 1);
     }
     // A machine that is mapped to a host which discovery never listed goes no further than the door.
-    receivers::send_datagram(listen, &packet("db9", 1.0, &secrecy));
+    receivers::send_datagram(listen, &packet("db9", 1.0, &security));
     wait_until("it is dropped by its name", || director.metric("messages_invalid_name_total") == 1);
     director.send_signal("TERM");
     director.wait_for_exit();
