--- a/crates/wingfold-simhost/src/wire/actions/tests.rs
+++ b/crates/wingfold-simhost/src/wire/actions/tests.rs
@@ -13,7 +13,6 @@
 #[test]
 fn every_action_is_written_as_the_protocol_has_it() {
     let host = || HostId(Arc::from("10.144.17.242:7044"));
-    let mask = ClassMask(2);
     let cases = [
         (Action::WatchEndpoints(true), "listen\t1\n"),
         (Action::WatchEndpoints(false), "listen\t0\n"),
@@ -36,6 +35,18 @@
             "bind\t41\t117\t0\n",
         ),
         (Action::SetEjected { host: host(), ejected: true }, "hold_back\t1\t10.144.17.242:7044\n"),
+        (Action::Barrier { all_proxies: false, number: 12 }, "ask_receipt\t0\t12\n"),
+        (Action::Notice(Notice::Recorded("two\tservers\nknown".into())), "debug\ttwo servers known\n"),
+    ];
+    for (action, line) in cases {
+        assert_eq!(written(action), line);
+    }
+}
+
+#[test]
+fn every_admission_is_written_as_the_protocol_has_it() {
+    let mask = ClassMask(2);
+    let cases = [
         (
             Action::SetAdmission {
                 table: Some(TableId(117)),
@@ -57,8 +68,6 @@
             Action::SetAdmission { table: None, classes: mask, level: 1.0, retry: Retry::Twice },
             "allow\t2\t1\t65535\t3\n",
         ),
-        (Action::Barrier { all_proxies: false, number: 12 }, "ask_receipt\t0\t12\n"),
-        (Action::Notice(Notice::Recorded("two\tservers\nknown".into())), "debug\ttwo servers known\n"),
     ];
     for (action, line) in cases {
         assert_eq!(written(action), line);
--- a/crates/wingfold/src/metrics.rs
+++ b/crates/wingfold/src/metrics.rs
@@ -43,7 +43,7 @@
         match self {
             Metrics::List { markdown: true } => print!("{}", catalogue::markdown()),
             Metrics::List { markdown: false } => {
-                for (_, metric) in catalogue::CATALOGUE {
+                for metric in catalogue::CATALOGUE {
                     println!("{}", metric_line(metric));
                 }
             }
