--- a/crates/wingfold-simhost/src/instance.rs
+++ b/crates/wingfold-simhost/src/instance.rs
@@ -18,8 +18,8 @@
 impl Instance {
     /// Starts an instance. If `capture_root` is given, its calls are captured below it.
     pub fn new(number: u64, now: Timestamp, launch: &Launch, capture_root: Option<&Path>) -> Self {
-        let names = launch.info.report_names();
-        let settings = launch.info.director_settings();
+        let names = launch.settings.report_names();
+        let settings = launch.settings.director_settings();
         let capture =
             capture_root.and_then(|root| Capture::start(root, number, now, launch.seed, &settings, &names));
         let director = Director::new(settings, launch.seed);
--- a/crates/wingfold-simhost/src/wire/messages.rs
+++ b/crates/wingfold-simhost/src/wire/messages.rs
@@ -62,7 +62,7 @@
     /// The seed of its random numbers.
     pub seed: u64,
     /// The settings.
-    pub info: PlatformSettings,
+    pub settings: PlatformSettings,
 }
 
 /// The first line of an endpoint list.
@@ -94,9 +94,9 @@
 pub fn read_launch(fields: &mut Fields) -> Result<Launch, WireError> {
     let seed = fields.value("random_seed")?;
     let text = fields.tail("info")?;
-    let info =
+    let settings =
         wingfold_settings::parse_json(text).map_err(|error| fields.invalid("info", &error.to_string()))?;
-    Ok(Launch { seed, info })
+    Ok(Launch { seed, settings })
 }
 
 /// Reads the first line of an endpoint list.
