--- a/crates/wingfold-director/src/inspect.rs
+++ b/crates/wingfold-director/src/inspect.rs
@@ -1,4 +1,4 @@
-//! Read-only views of a director's state, for `wingfold why`, metrics and checks. Nothing here decides or
+//! Read-only views of a director's state, for `wingfold explain`, metrics and checks. Nothing here decides or
 //! changes anything; derived values come from the functions that decide.
 //!
 //! Views are printed as JSON: their fields keep the names that they had there first.
@@ -121,7 +121,7 @@
     pub admission_levels: Vec<f64>,
 }
 
-/// A table as it was last ordered.
+/// A table as it was last sent.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TableView {
     /// Its number.
--- a/crates/wingfold-director/src/interface/action.rs
+++ b/crates/wingfold-director/src/interface/action.rs
@@ -1,4 +1,4 @@
-//! The actions that a director orders.
+//! The actions that a director takes.
 use super::{ClassMask, HostId, Notice, ProxyId, TableId, Timestamp};
 use serde::{Deserialize, Serialize};
 
--- a/crates/wingfold-director/src/interface/event.rs
+++ b/crates/wingfold-director/src/interface/event.rs
@@ -77,7 +77,7 @@
         proxy: ProxyId,
         /// The number of the barrier.
         barrier: u64,
-        /// Time from the order to its effect.
+        /// Time from the barrier's decision until it was applied.
         elapsed: Micros,
     },
     /// Anything about shards of keys, which are not supported.
--- a/crates/wingfold-director/src/interface/mod.rs
+++ b/crates/wingfold-director/src/interface/mod.rs
@@ -1,4 +1,4 @@
-//! The director's interface: the events that it handles, the actions that it orders, and the types that both
+//! The director's interface: the events that it handles, the actions that it takes, and the types that both
 //! are made of. Nothing is decided here.
 
 mod action;
--- a/crates/wingfold-director/src/interface/notice.rs
+++ b/crates/wingfold-director/src/interface/notice.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
 pub enum Notice {
-    /// The settings ask for shards of keys: the director gives no orders.
+    /// The settings ask for shards of keys: the director takes no actions.
     ShardsUnsupported,
     /// A call for the endpoint list failed.
     EndpointListFailed {
--- a/crates/wingfold-node/src/discovery.rs
+++ b/crates/wingfold-node/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The client of discovery: watches the endpoint list, fetches it when the decision module orders so, and delivers the
+//! The client of discovery: watches the endpoint list, fetches it when the decision module asks for it, and delivers the
 //! responses to the engine. A failed call is reported to the decision module, which decides when to retry.
 //!
 //! Where the settings say that changes are pushed, the module fetches the complete list once and waits for what comes.
@@ -25,7 +25,7 @@
 use tokio::task::yield_now;
 use wingfold_director::interface::{EndpointListKind, Event};
 
-/// What the decision module orders.
+/// Commands of the decision module.
 #[derive(Debug)]
 pub enum DiscoveryCommand {
     /// Watch the endpoint list, or stop.
--- a/crates/wingfold-node/src/ops.rs
+++ b/crates/wingfold-node/src/ops.rs
@@ -54,7 +54,7 @@
     ([(header::CONTENT_TYPE, "text/plain; version=0.0.4")], metrics.text())
 }
 
-/// The last interval and the causes, for `wingfold figures watch`.
+/// The last interval and the causes, for `wingfold metrics watch`.
 async fn get_interval(State(last_interval): State<LastInterval>) -> impl IntoResponse {
     let text = serde_json::to_string(&last_interval.page()).unwrap_or_default();
     ([(header::CONTENT_TYPE, "application/json")], text)
--- a/crates/wingfold-node/src/parts.rs
+++ b/crates/wingfold-node/src/parts.rs
@@ -100,7 +100,7 @@
     }
 }
 
-/// Where the engine passes on what the decision module orders, and what records its calls.
+/// Where the engine passes on the decision module's actions, and what records its calls.
 struct EngineOutputs {
     commands: UnboundedSender<DiscoveryCommand>,
     peers: Option<Arc<PeerSocket>>,
--- a/crates/wingfold-node/src/reload.rs
+++ b/crates/wingfold-node/src/reload.rs
@@ -1,6 +1,6 @@
 //! Reloads at SIGHUP: reads the configuration again and hands it to its owners once it is checked. One that is wrong changes
 //! nothing: the old one stays in force. Files are read on a blocking thread: one that hangs (a pipe without a writer, a
-//! disk that is gone) holds up neither orders nor the end.
+//! disk that is gone) holds up neither decisions nor the shutdown.
 
 use crate::config::{Config, ConfigError};
 use crate::{log, or_never};
--- a/crates/wingfold-node/src/reporting.rs
+++ b/crates/wingfold-node/src/reporting.rs
@@ -23,7 +23,7 @@
 /// Largest write delay told apart, in tenths of a millisecond: an hour.
 const MAX_WRITE_DELAY: u64 = 36_000_000;
 
-/// Delays between an order and its last written byte, recorded by the writers of the streams, in tenths of a millisecond.
+/// Delays between a decision and the last written byte of its update, recorded by the writers of the streams, in tenths of a millisecond.
 #[derive(Clone, Debug)]
 pub struct WriteDelays(Arc<Mutex<Histogram<u64>>>);
 
@@ -35,9 +35,9 @@
 }
 
 impl WriteDelays {
-    /// Records that an order given at `ordered_at` has been written.
-    pub fn record(&self, ordered_at: Instant) {
-        let delay = ordered_at.elapsed().as_micros() / 100;
+    /// Records that an update decided at `decided_at` has been written.
+    pub fn record(&self, decided_at: Instant) {
+        let delay = decided_at.elapsed().as_micros() / 100;
         let mut histogram = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         histogram.saturating_record((delay as u64).max(1));
     }
--- a/crates/wingfold-node/src/run.rs
+++ b/crates/wingfold-node/src/run.rs
@@ -50,7 +50,7 @@
 
 /// Serves as a director until SIGTERM or an interrupt. `read` reads the configuration, now and at each SIGHUP; its argument
 /// says whether variables or the file's keys take precedence. `read_local` reads the local settings at each SIGHUP. Both
-/// are called on blocking threads: a file that hangs holds up neither orders nor the end.
+/// are called on blocking threads: a file that hangs holds up neither decisions nor the shutdown.
 pub async fn run(
     start: Start,
     read: impl Fn(First) -> Result<Config, ConfigError> + Clone + Send + 'static,
--- a/crates/wingfold-node/src/startup.rs
+++ b/crates/wingfold-node/src/startup.rs
@@ -26,7 +26,7 @@
     let suffice_without = config.bounds.max_connections >= config.bounds.max_clients;
     let suffice = bounds.max_connections >= bounds.max_clients;
     if local.metrics.is_some() && suffice_without && !suffice {
-        // Clients go first: the metrics are a help, and orders are the work.
+        // Clients go first: a director serves without metrics, and not without clients.
         tracing::warn!(
             "key `limits.sockets`: too few for all that may join and for figures, which are not sent"
         );
--- a/deploy/wingfold.hcl
+++ b/deploy/wingfold.hcl
@@ -1,6 +1,6 @@
 # wingfold's own settings: what the platform's configuration (GW_CONFIG) does not speak of. This file shows every key
 # with its default; everything is off. Name it by `wingfold serve --own deploy/wingfold.hcl` or by WINGFOLD_OWN.
-# `wingfold own check FILE` tells all that is wrong with a file at once.
+# `wingfold settings check FILE` tells all that is wrong with a file at once.
 
 log {
   form  = "text" # "json": one object a line, for machines
@@ -48,7 +48,7 @@
   # What every path of Graphite begins with; the director's name follows.
   # prefix = "wingfold"
 
-  # Keep the slowest and the failed of each stage, for `wingfold figures watch`. It costs some microseconds a call.
+  # Keep the slowest and the failed of each stage, for `wingfold metrics watch`. It costs some microseconds a call.
   # causes = false
 }
 
