--- a/crates/wingfold-settings/src/hcl.rs
+++ b/crates/wingfold-settings/src/hcl.rs
@@ -6,7 +6,7 @@
 pub use self::diagnostic::{Diagnostic, Diagnostics};
 
 use self::diagnostic::SourceFile;
-use hcl_edit::expr::{Expression, ObjectKey};
+use hcl_edit::expr::Expression;
 use hcl_edit::structure::{self, Body, Structure};
 use hcl_edit::Span;
 use std::cell::RefCell;
@@ -234,20 +234,6 @@
         })
     }
 
-    /// An object with numbers as values, such as `{ a = 1, b = 2 }`.
-    pub fn number_map(&self, name: &'static str) -> Option<BTreeMap<String, f64>> {
-        self.take_attribute(name, "an object of numbers", |value| {
-            let entries = value.as_object()?.iter().map(|(key, value)| {
-                let key = match key {
-                    ObjectKey::Ident(ident) => ident.as_str().to_string(),
-                    ObjectKey::Expression(key) => key.as_str()?.to_string(),
-                };
-                Some((key, value.expr().as_number()?.as_f64()?))
-            });
-            entries.collect()
-        })
-    }
-
     /// Returns the value of a required key. If it is missing, that is reported, and `fallback` returned.
     pub fn require<T>(&self, name: &'static str, value: Option<T>, fallback: T) -> T {
         if value.is_none() && !self.source.has_diagnostic(&self.key_path(name)) {
--- a/crates/wingfold-test-support/src/scripted_server.rs
+++ b/crates/wingfold-test-support/src/scripted_server.rs
@@ -6,7 +6,7 @@
 use crate::TEST_TIMEOUT;
 use std::io::{BufReader, Write};
 use std::net::{IpAddr, Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
+use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -52,15 +52,6 @@
     pub fn next_request(&self) -> PendingRequest {
         self.requests.recv_timeout(TEST_TIMEOUT).expect("a request arrives")
     }
-
-    /// Returns the next request if it arrives within this time.
-    pub fn next_request_within(&self, time: Duration) -> Option<PendingRequest> {
-        match self.requests.recv_timeout(time) {
-            Ok(request) => Some(request),
-            Err(RecvTimeoutError::Timeout) => None,
-            Err(RecvTimeoutError::Disconnected) => panic!("the server is gone"),
-        }
-    }
 }
 
 /// Passes on the requests of one connection until it ends.
