--- a/crates/wingfold-node/src/engine.rs
+++ b/crates/wingfold-node/src/engine.rs
@@ -1,7 +1,8 @@
-//! The one task that owns the decision module.
+//! The engine: the only task that owns the decision module.
 //!
-//! Each turn of its loop receives what the other tasks have read, translates it into events ([`inbound`]), adds the
-//! timers that are due ([`timers`]), calls the decision module once and carries out its actions ([`actions`]).
+//! Each iteration of its loop receives inbound events from the other tasks, translates them into events of
+//! the decision module ([`inbound`]), adds an event for each timer that is due ([`timers`]), calls the
+//! decision module once and carries out the actions that the call returns ([`actions`]).
 
 mod actions;
 mod inbound;
@@ -11,7 +12,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use send_queue::SendQueueAccount;
+pub use send_queue::SendQueueEstimate;
 pub use timers::Timers;
 
 use crate::clock::Clock;
@@ -40,42 +41,42 @@
 pub struct Engine {
     /// The decision module.
     pub director: Director,
-    /// The clock that timestamps its calls.
+    /// The clock that timestamps the calls of the decision module.
     pub clock: Clock,
-    /// Translates table actions into updates for each stream.
+    /// Translates table actions into one update for each stream.
     pub tables: Tables,
-    /// Takes requests for the endpoint list.
-    pub discovery: UnboundedSender<DiscoveryCommand>,
+    /// Sends commands to the client of discovery.
+    pub discovery_commands: UnboundedSender<DiscoveryCommand>,
     /// Sends health checks.
     pub health_checker: HealthChecker,
-    /// Sends datagrams to other directors, where the settings allow it.
+    /// Sends datagrams to other directors, where the settings allow them.
     pub peer_sender: Option<Arc<PeerSocket>>,
-    /// The known hosts and where they answer health checks.
+    /// The known hosts, with the addresses at which they answer health checks.
     pub addresses: EndpointAddresses,
     /// Number of hosts that may be known at once.
     pub max_hosts: usize,
     /// Limits the log lines about rejected hosts.
     pub rejected_hosts_log: RateLimitedLog,
-    /// Accounts for what waits to be sent.
-    pub send_queue: SendQueueAccount,
+    /// Estimates the lines that wait to be sent, to check them against the limit of the settings.
+    pub send_queue: SendQueueEstimate,
     /// Counters of the director.
     pub metrics: Arc<Metrics>,
     /// The streams of connected proxies.
     pub connections: BTreeMap<ProxyId, ConnectionSender>,
-    /// The timers that the decision module has set.
+    /// The timers that the decision module has set and that have not fired yet.
     pub timers: Timers,
-    /// Calls of the decision module so far. Log lines of a decision carry the number of its call, as captures do.
+    /// Number of calls of the decision module so far. Log lines and captures identify a call by its number.
     pub calls: u64,
     /// Records each call, where that is configured.
     pub recorder: Option<Recorder<WriterQueue>>,
-    /// Writes out what a capture in memory holds.
+    /// Writes the calls that a capture in memory holds to a file.
     pub capture_dumper: Option<CaptureDumper>,
-    /// Counts for metrics receivers, where they are configured.
+    /// Collects the figures for metrics receivers, where those are configured.
     pub metrics_reporter: Option<MetricsReporter>,
 }
 
 impl Engine {
-    /// Runs the loop. It ends once every [`InboundSender`](crate::inbox::InboundSender) is dropped, or when its task is
+    /// Runs the loop until every [`InboundSender`](crate::inbox::InboundSender) is dropped or the task is
     /// aborted.
     pub async fn run(mut self, mut inbox: InboundReceiver) {
         let mut inbound = Vec::new();
--- a/crates/wingfold-node/src/engine/actions.rs
+++ b/crates/wingfold-node/src/engine/actions.rs
@@ -10,33 +10,33 @@
 use wingfold_director::interface::{Action, Event, Timestamp};
 use wingfold_metrics::meter::CallCounts;
 
-/// Parts that the protocol allows in one message.
+/// Limit of the protocol on the parts of one message.
 const MAX_PARTS_PER_MESSAGE: usize = 64;
 
-/// What one decision sends.
+/// Totals of the updates that one decision sends.
 #[derive(Clone, Copy, Debug)]
 struct SendTotals {
     messages: usize,
     lines: usize,
-    /// Lines that wait in the send queue, these included.
+    /// Estimated lines in the send queue, including the lines of this decision.
     queued_lines: f64,
 }
 
 impl Engine {
-    /// Calls the decision module once with `events` and carries out its actions. Both buffers are empty afterwards.
+    /// Calls the decision module once with `events` and carries out its actions. Empties both buffers.
     pub(super) fn decide(&mut self, now: Timestamp, events: &mut Vec<Event>, actions: &mut Vec<Action>) {
         let started_at = Instant::now();
-        let invariants_broken = self.metrics.invariants_broken_total.get();
+        let broken_before = self.metrics.invariants_broken_total.get();
         self.calls += 1;
         let updates = self.call_director(now, events, actions);
-        let totals = self.account_for_updates(now, &updates);
+        let totals = self.add_to_send_queue(now, &updates);
         self.send_updates(updates, started_at);
         for action in actions.drain(..) {
             self.carry_out(action);
         }
         self.metrics.hosts_known.set(self.addresses.len() as u64);
         self.record_decision(now, started_at, totals);
-        if self.metrics.invariants_broken_total.get() > invariants_broken {
+        if self.metrics.invariants_broken_total.get() > broken_before {
             self.dump_capture();
         }
     }
@@ -65,8 +65,8 @@
         self.tables.apply(actions)
     }
 
-    /// Adds the updates to the send queue's account, and checks its limit.
-    fn account_for_updates(&mut self, now: Timestamp, updates: &[ProxyUpdate]) -> SendTotals {
+    /// Adds the updates to the estimate of the send queue, and checks the estimate against its limit.
+    fn add_to_send_queue(&mut self, now: Timestamp, updates: &[ProxyUpdate]) -> SendTotals {
         let messages = updates.len();
         let lines = updates.iter().map(ProxyUpdate::queue_lines).sum();
         let queued_lines = self.send_queue.enqueue(now, messages, lines);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Encodes one update and queues it on the stream of its proxy.
+    /// Encodes one update and queues it on the stream of its proxy. Closes the stream of a slow reader.
     fn send_update(&self, update: ProxyUpdate, decided_at: Instant) {
         let Some(connection) = self.connections.get(&update.proxy) else { return };
         let parts = update.parts.len();
@@ -114,7 +114,7 @@
         self.metrics.lines_out_total.add(lines as u64);
     }
 
-    /// Checks what would make a proxy reset its stream: invalid numbers and unknown hosts.
+    /// Checks a part for faults that would make a proxy reset its stream: invalid numbers and unknown hosts.
     fn check_part(&self, part: &ProxyUpdatePart) {
         let valid_weights = part.entries.iter().all(|entry| is_valid_number(entry.weight));
         let valid_level = part.admission.is_none_or(|admission| is_valid_number(admission.level));
@@ -129,12 +129,14 @@
         invariant!(self.metrics, all_listed, "an update names a host that discovery has never listed");
     }
 
-    /// Carries out one action; those on tables were sent as updates before.
+    /// Carries out one action. Table actions need nothing more: they have been sent as updates already.
     fn carry_out(&mut self, action: Action) {
         match action {
-            // Discovery's task ends only with the director.
-            Action::WatchEndpoints(watch) => drop(self.discovery.send(DiscoveryCommand::SetWatching(watch))),
-            Action::FetchEndpoints => drop(self.discovery.send(DiscoveryCommand::Fetch)),
+            // Sending fails only once the discovery task has ended, and that ends only with the director.
+            Action::WatchEndpoints(watch) => {
+                drop(self.discovery_commands.send(DiscoveryCommand::SetWatching(watch)))
+            }
+            Action::FetchEndpoints => drop(self.discovery_commands.send(DiscoveryCommand::Fetch)),
             Action::SetTimer { at, token } => self.timers.set(at, token),
             Action::CheckHealth(host) => {
                 let target = self.addresses.get(&host.0).cloned();
@@ -149,7 +151,8 @@
                 self.addresses.remove(&host.0);
                 self.tables.evict_host(&host);
             }
-            // A notice quotes names from outside.
+            // A notice may quote names from outside the process: `plain` limits the length of the text and
+            // replaces control characters.
             Action::Notice(notice) => {
                 tracing::info!(call = self.calls, "{}", log::plain(&notice.to_string()))
             }
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Counts a decision and its duration, and passes them to the metrics receivers.
+    /// Counts a decision and its duration, and passes its figures to the metrics reporter.
     fn record_decision(&mut self, now: Timestamp, started_at: Instant, totals: SendTotals) {
         let duration_us = started_at.elapsed().as_micros() as u64;
         self.metrics.answers_total.increment();
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Writes out the calls that led to a broken invariant.
+    /// Writes the captured calls that led to a broken invariant to a file.
     fn dump_capture(&self) {
         if let Some(capture_dumper) = &self.capture_dumper {
             capture_dumper.dump_after_invariant();
--- a/crates/wingfold-node/src/engine/inbound.rs
+++ b/crates/wingfold-node/src/engine/inbound.rs
@@ -1,4 +1,4 @@
-//! Translates inbound events into events for the decision module, and drops those that are outdated or invalid.
+//! Translates inbound events into events for the decision module. Outdated and invalid events are dropped.
 
 use super::Engine;
 use crate::inbox::InboundEvent;
@@ -9,7 +9,7 @@
 use wingfold_director::interface::{EndpointListKind, Event, HostId, ProxyId, ZoneId};
 
 impl Engine {
-    /// Translates all that was received in one turn.
+    /// Translates the inbound events that one iteration of the loop has received.
     pub(super) fn apply_inbound_events(&mut self, inbound: &mut Vec<InboundEvent>, events: &mut Vec<Event>) {
         let _stage = stage!("take in", call = self.calls + 1).entered();
         for event in inbound.drain(..) {
@@ -65,7 +65,8 @@
         events.push(Event::ProxyConnected { proxy, zone, requests_per_s });
     }
 
-    /// Ends the stream of a proxy. Nothing remains to be done for a connection that a later one has replaced.
+    /// Records that a connection has ended. A connection that a later one of its proxy has replaced is
+    /// ignored: its end was recorded when it was replaced.
     fn disconnect_proxy(&mut self, proxy: ProxyId, connection_id: u64, events: &mut Vec<Event>) {
         let current = self.connections.get(&proxy);
         if current.is_some_and(|current| current.connection_id == connection_id) {
@@ -80,7 +81,7 @@
         events.push(Event::ProxyDisconnected(proxy));
     }
 
-    /// Learns the hosts of an endpoint list, and passes on those that there is room for.
+    /// Records the hosts of an endpoint list, and passes on the entries of those within the host limit.
     fn apply_endpoint_list(
         &mut self,
         kind: EndpointListKind,
@@ -111,13 +112,13 @@
         }
     }
 
-    /// Whether a host still is the process that a health check was sent to. The load of one that was replaced says
-    /// nothing about its successor of the same name.
+    /// Whether the process that a health check was sent to still runs as this host. The load of a process
+    /// that was replaced says nothing about the process that now has the host's name.
     fn is_current_incarnation(&self, host: &HostId, incarnation: u64) -> bool {
         self.addresses.get(&host.0).is_some_and(|target| target.incarnation == incarnation)
     }
 
-    /// Passes a required event on. Acknowledgements are checked here, where the pending barriers are known.
+    /// Passes a required event on. An acknowledgement is dropped as invalid unless its barrier is pending.
     fn apply_required(&mut self, event: Event, events: &mut Vec<Event>) {
         if let Event::Acknowledged { proxy, barrier, .. } = event {
             if !self.tables.acknowledge(proxy, barrier) {
@@ -128,7 +129,7 @@
         events.push(event);
     }
 
-    /// Passes a report on. Its host is checked here, where the listed hosts are known.
+    /// Passes a report on. A report about a host that is not known is dropped as invalid.
     fn apply_report(&mut self, event: Event, events: &mut Vec<Event>) {
         if let Event::LoadReport { host, .. } | Event::HealthChecked { host, .. } = &event {
             if self.addresses.get(&host.0).is_none() {
--- a/crates/wingfold-node/src/engine/tests.rs
+++ b/crates/wingfold-node/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! The engine over a long day, on a clock of the test's own.
+//! Runs the steps of the engine's loop on simulated time.
 
 use super::*;
 use crate::inbox::InboundEvent;
@@ -7,10 +7,10 @@
 use wingfold_director::interface::{EndpointListKind, Timestamp, ZoneId};
 use wingfold_test_support as support;
 
-/// An engine with the settings of the tests' deployment; nothing receives what it sends.
+/// An engine with the settings of the test deployment. Nothing receives what the engine sends.
 fn engine() -> Engine {
-    let nowhere = "127.0.0.1:1".parse().unwrap();
-    let mut text = support::director_config(nowhere, nowhere, json!(null));
+    let unused_address = "127.0.0.1:1".parse().unwrap();
+    let mut text = support::director_config(unused_address, unused_address, json!(null));
     text["settings"]["report"]["how"] = json!("silent");
     let config = Config::read(&text.to_string(), First::Key, |_| None).unwrap();
     let metrics = Arc::new(Metrics::default());
@@ -20,12 +20,12 @@
         health_checker: health_check::HealthChecker::new(&config.bounds, inbox, metrics.clone()),
         director: Director::new(config.settings, config.seed),
         clock: Clock::start(),
-        discovery: tokio::sync::mpsc::unbounded_channel().0,
+        discovery_commands: tokio::sync::mpsc::unbounded_channel().0,
         peer_sender: None,
         addresses: EndpointAddresses::default(),
         max_hosts: config.bounds.max_hosts,
         rejected_hosts_log: RateLimitedLog::default(),
-        send_queue: SendQueueAccount::new(1e6, 4.0, 1e6),
+        send_queue: SendQueueEstimate::new(1e6, 4.0, 1e6),
         metrics,
         connections: BTreeMap::new(),
         timers: Timers::default(),
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn thousands_of_hosts_and_streams_that_come_and_go_leave_no_records() {
+async fn records_stay_bounded_as_hosts_and_streams_are_replaced() {
     let mut engine = engine();
     let mut events = Vec::new();
     let mut actions = Vec::new();
@@ -50,7 +50,7 @@
     let mut writers = BTreeMap::new();
     let mut peaks = [0; 4];
     for second in 0..3000u32 {
-        // Each second one host is removed and another one added, and the next proxy opens a new stream.
+        // Each second adds a host, removes the host added 6 s before, and opens a stream of one of 8 proxies.
         let mut servers = vec![entry(second, "active")];
         servers.extend(second.checked_sub(6).map(|old| entry(old, "left")));
         let list = json!({"version": second, "full": false, "servers": servers}).to_string();
@@ -73,9 +73,9 @@
             engine.fire_due_timers(now, &mut events);
             engine.decide(now, &mut events, &mut actions);
         }
-        let now =
+        let sizes =
             [engine.addresses.len(), engine.tables.records(), engine.connections.len(), engine.timers.len()];
-        (0..4).filter(|_| second > 200).for_each(|at| peaks[at] = peaks[at].max(now[at]));
+        (0..4).filter(|_| second > 200).for_each(|index| peaks[index] = peaks[index].max(sizes[index]));
     }
     let [addresses, tables, connections, timers] = peaks;
     assert!((6..=80).contains(&addresses), "{addresses} addresses");
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn a_timer_that_fires_a_second_late_counts_as_a_stall_and_a_shorter_delay_does_not() {
+async fn a_timer_at_least_one_second_late_counts_as_a_stall() {
     let mut engine = engine();
     let mut events = Vec::new();
     let start = engine.clock.now().0;
--- a/crates/wingfold-node/src/engine/timers.rs
+++ b/crates/wingfold-node/src/engine/timers.rs
@@ -9,19 +9,19 @@
 /// A timer that fires this late shows that the process was stopped or got no processor time.
 const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// A timer that is set; they fire by time, then by token.
+/// A pending timer. Timers fire in the order of their due times, then of their tokens.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Timer {
     due_at: Timestamp,
     token: u64,
 }
 
-/// The timers that are set.
+/// The pending timers.
 #[derive(Debug, Default)]
 pub struct Timers(BinaryHeap<Reverse<Timer>>);
 
 impl Timers {
-    /// Sets a timer; `token` names it when it fires.
+    /// Sets a timer; the event of its firing carries `token`.
     pub fn set(&mut self, due_at: Timestamp, token: u64) {
         self.0.push(Reverse(Timer { due_at, token }));
     }
@@ -39,7 +39,7 @@
         self.0.pop().map(|Reverse(timer)| timer.token)
     }
 
-    /// Number of timers that are set.
+    /// Number of pending timers.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.0.len()
@@ -47,22 +47,23 @@
 }
 
 impl Engine {
-    /// Removes the timers that are due and adds their events.
+    /// Removes the timers that are due and adds an event for each.
     pub(super) fn fire_due_timers(&mut self, now: Timestamp, events: &mut Vec<Event>) {
         if let Some(due_at) = self.timers.next_due() {
-            self.record_lateness(Duration::from_micros(now.0.saturating_sub(due_at.0)));
+            self.record_delay(Duration::from_micros(now.0.saturating_sub(due_at.0)));
         }
         while let Some(token) = self.timers.pop_due(now) {
             events.push(Event::TimerFired(token));
         }
     }
 
-    /// Records how late the next timer is, and logs it if the process must have stalled.
-    fn record_lateness(&self, late: Duration) {
-        self.metrics.timer_late_us_most.raise_to(late.as_micros() as u64);
-        if late >= STALL_THRESHOLD {
+    /// Records the delay of the earliest timer, which is 0 if the timer is not due yet, and logs a delay of
+    /// [`STALL_THRESHOLD`] or more as a stall.
+    fn record_delay(&self, delay: Duration) {
+        self.metrics.timer_late_us_most.raise_to(delay.as_micros() as u64);
+        if delay >= STALL_THRESHOLD {
             self.metrics.standstills_total.increment();
-            tracing::warn!(late_ms = late.as_millis() as u64, "process stalled");
+            tracing::warn!(late_ms = delay.as_millis() as u64, "process stalled");
         }
     }
 }
--- a/crates/wingfold-node/src/inbox.rs
+++ b/crates/wingfold-node/src/inbox.rs
@@ -1,7 +1,8 @@
-//! The queue between the tasks that read sockets and the one task that owns the decision module.
+//! The queue between the tasks that read sockets and the engine, the only task that owns the decision module.
 //!
-//! Sending never waits. Load and usage reports beyond a bound are dropped and counted; every other event always has
-//! room, because its number is bounded by its source (one connection, one call of discovery, one health check).
+//! Sending never waits. Load and usage reports beyond a bound are dropped and counted. An event of any other
+//! kind always has room, because its source (a connection, a call of discovery, a health check) bounds how
+//! many there are.
 
 use crate::list::EndpointListResponse;
 use crate::metrics::Metrics;
@@ -22,9 +23,9 @@
         proxy: ProxyId,
         /// Its zone.
         zone: ZoneId,
-        /// Its usual load, roughly.
+        /// The requests that it usually receives in a second, approximately.
         requests_per_s: f64,
-        /// Sends to the stream.
+        /// Queues messages on the stream.
         connection: ConnectionSender,
     },
     /// A proxy's stream has ended.
@@ -34,9 +35,9 @@
         /// The connection that ended; the proxy may have opened another one since.
         connection_id: u64,
     },
-    /// Discovery or the configuration has given endpoints.
+    /// An endpoint list of discovery or of the configuration.
     EndpointList {
-        /// Whether the list is complete, holds changes, or was remembered.
+        /// Whether the list is complete, holds only changes, or was cached before a restart.
         kind: EndpointListKind,
         /// The endpoints.
         list: EndpointListResponse,
@@ -105,12 +106,14 @@
 }
 
 impl InboundReceiver {
-    /// Waits for at least one event and moves all that are queued to `into`; returns false once every sender is dropped.
+    /// Waits for at least one event and moves all queued events to `events`; returns false once every sender
+    /// is dropped.
     ///
-    /// `into` must be empty, since every report in it is counted as received. Cancel safe: nothing is removed from the queue before this is ready.
-    pub async fn receive_all(&mut self, into: &mut Vec<InboundEvent>) -> bool {
-        let received = self.events.recv_many(into, usize::MAX).await;
-        let reports = into.iter().filter(|event| event.is_report()).count();
+    /// `events` must be empty, since every report in it is counted as received. The future is cancel safe: no
+    /// event is removed from the queue before it is ready.
+    pub async fn receive_all(&mut self, events: &mut Vec<InboundEvent>) -> bool {
+        let received = self.events.recv_many(events, usize::MAX).await;
+        let reports = events.iter().filter(|event| event.is_report()).count();
         self.queued_reports.fetch_sub(reports, Ordering::Relaxed);
         received > 0
     }
--- a/crates/wingfold-node/src/inbox/tests.rs
+++ b/crates/wingfold-node/src/inbox/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[tokio::test]
-async fn reports_are_bounded_and_nothing_else_is_lost() {
+async fn reports_over_the_limit_are_dropped_and_other_events_kept() {
     let metrics = Arc::new(Metrics::default());
     let (sender, mut receiver) = channel(3, metrics.clone());
     for _ in 0..10 {
@@ -16,5 +16,5 @@
     sender.send(InboundEvent::Report(Event::Shard));
     events.clear();
     assert!(receiver.receive_all(&mut events).await);
-    assert_eq!(events.len(), 1, "room again once received");
+    assert_eq!(events.len(), 1, "a received report makes room for another one");
 }
--- a/crates/wingfold-node/src/outbox.rs
+++ b/crates/wingfold-node/src/outbox.rs
@@ -1,5 +1,5 @@
-//! The send queue of one connection: bounded by what its reader may leave unread, and drained by a writer that runs
-//! beside the reader of the same connection.
+//! The send queue of one connection. It is bounded by the bytes that the client may leave unread, and drained
+//! by a writer that runs concurrently with the reading of the client's messages, in the same task.
 
 use crate::frame;
 use crate::reporting::WriteDelays;
@@ -13,21 +13,21 @@
 use tokio::sync::Notify;
 use tokio_util::codec::FramedWrite;
 
-/// Frames that are written before the connection is flushed.
-const FRAMES_PER_FLUSH: usize = 64;
+/// Limit on the frames that are written before the connection is flushed.
+const MAX_FRAMES_PER_FLUSH: usize = 64;
 
 /// One queued frame.
 #[derive(Debug)]
 struct QueuedFrame {
     bytes: Bytes,
-    /// When the message was decided; only its last frame carries it.
+    /// When the message was decided; set only on the last frame of a message whose delay is recorded.
     decided_at: Option<Instant>,
 }
 
 /// Queues messages for one connection, and closes it.
 #[derive(Clone, Debug)]
 pub struct ConnectionSender {
-    /// Distinguishes the connections of one client; one accepted later has a higher number.
+    /// Distinguishes the connections of one client; a connection accepted later has a higher number.
     pub connection_id: u64,
     frames: UnboundedSender<QueuedFrame>,
     queued_bytes: Arc<AtomicUsize>,
@@ -36,7 +36,7 @@
     is_closed: Arc<AtomicBool>,
 }
 
-/// Writes what a [`ConnectionSender`] queues. It is run by the task of its connection and ends with it.
+/// Writes the frames that [`ConnectionSender`]s queue. The task of the connection runs and drops the writer.
 #[derive(Debug)]
 pub struct ConnectionWriter {
     frames: UnboundedReceiver<QueuedFrame>,
@@ -44,14 +44,14 @@
     delays: Option<WriteDelays>,
 }
 
-/// The reader of a connection leaves too much unread.
+/// A message was not queued, because the client at the other end has left too many bytes unread.
 #[derive(Debug, PartialEq)]
 pub struct SlowReader;
 
 /// Creates the send queue of a connection.
 ///
-/// At most `max_queued_bytes` wait in it, or one message if that alone is longer. `delays` records the time from a
-/// decision to its last written byte.
+/// At most `max_queued_bytes` wait in it, or a single message of more bytes. `delays` records the time from a
+/// decision until the last byte of its message is written.
 pub fn channel(
     connection_id: u64,
     max_queued_bytes: usize,
@@ -77,13 +77,13 @@
         self.enqueue(frames, None)
     }
 
-    /// Like [`send`](Self::send), for a message whose delay from `decided_at` on is recorded.
+    /// Like [`send`](Self::send), but records the delay from `decided_at` until the message is written.
     pub fn send_decision(&self, frames: Vec<Bytes>, decided_at: Instant) -> Result<(), SlowReader> {
         self.enqueue(frames, Some(decided_at))
     }
 
     fn enqueue(&self, frames: Vec<Bytes>, decided_at: Option<Instant>) -> Result<(), SlowReader> {
-        // A message was lost before the close, and the ones after it must not be read without it.
+        // The close may follow a message that was not queued. Later messages must not be read without it.
         if self.is_closed.load(Ordering::Relaxed) {
             return Ok(());
         }
@@ -93,10 +93,10 @@
             return Err(SlowReader);
         }
         self.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
-        let last = frames.len().saturating_sub(1);
+        let last_index = frames.len().saturating_sub(1);
         for (index, bytes) in frames.into_iter().enumerate() {
-            let decided_at = if index == last { decided_at } else { None };
-            // A writer that is gone has ended its connection, which its reader reports.
+            let decided_at = if index == last_index { decided_at } else { None };
+            // Sending fails only once the writer is dropped; the task of the connection then reports its end.
             let _ = self.frames.send(QueuedFrame { bytes, decided_at });
         }
         Ok(())
@@ -115,12 +115,13 @@
 }
 
 impl ConnectionWriter {
-    /// Writes until every sender is dropped or the connection fails. What has queued up is flushed at once.
+    /// Writes until every sender is dropped or the connection fails. Up to [`MAX_FRAMES_PER_FLUSH`] frames
+    /// that wait in the queue are written together and then flushed.
     pub async fn write_to(mut self, connection: impl AsyncWrite + Unpin) -> std::io::Result<()> {
         let mut writer = FramedWrite::new(connection, frame::codec());
         let mut frames = Vec::new();
         let mut decisions = Vec::new();
-        while self.frames.recv_many(&mut frames, FRAMES_PER_FLUSH).await > 0 {
+        while self.frames.recv_many(&mut frames, MAX_FRAMES_PER_FLUSH).await > 0 {
             for QueuedFrame { bytes, decided_at } in frames.drain(..) {
                 decisions.extend(decided_at);
                 let length = bytes.len() + frame::LENGTH_BYTES;
--- a/crates/wingfold-node/src/parts.rs
+++ b/crates/wingfold-node/src/parts.rs
@@ -5,7 +5,7 @@
 use crate::collectd::CollectdReceiver;
 use crate::config::{Bounds, Config};
 use crate::discovery::{DiscoveryClient, DiscoveryCommand};
-use crate::engine::{Engine, SendQueueAccount, Timers};
+use crate::engine::{Engine, SendQueueEstimate, Timers};
 use crate::error::RunError;
 use crate::health_check::HealthChecker;
 use crate::inbox::{self, InboundReceiver, InboundSender};
@@ -122,13 +122,13 @@
         tables: Tables::new(&config.names.classes),
         director,
         clock,
-        discovery: outputs.commands,
+        discovery_commands: outputs.commands,
         health_checker: HealthChecker::new(&config.bounds, inbox.clone(), metrics.clone()),
         peer_sender: outputs.peers,
         addresses: EndpointAddresses::default(),
         max_hosts: config.bounds.max_hosts,
         rejected_hosts_log: log::RateLimitedLog::default(),
-        send_queue: send_queue_account(&config.settings),
+        send_queue: send_queue_estimate(&config.settings),
         metrics: metrics.clone(),
         connections: BTreeMap::new(),
         timers: Timers::default(),
@@ -170,8 +170,8 @@
     }
 }
 
-fn send_queue_account(settings: &Settings) -> SendQueueAccount {
-    SendQueueAccount::new(
+fn send_queue_estimate(settings: &Settings) -> SendQueueEstimate {
+    SendQueueEstimate::new(
         settings.send_rate_lines_per_s,
         settings.message_overhead_lines,
         settings.max_queued_lines,
--- a/crates/wingfold-node/src/tables.rs
+++ b/crates/wingfold-node/src/tables.rs
@@ -1,9 +1,9 @@
-//! Translates table actions of the decision module into one update for each proxy that they concern. Pure: no input, no
-//! output, no time.
+//! Translates table actions of the decision module into one update for each proxy that they concern. The code
+//! here does no I/O and reads no clock.
 //!
-//! The decision module acts on tables that proxies are assigned to; a proxy's stream knows only the tables of its own
-//! proxy, class by class. This module keeps what each table holds, which proxies are assigned to it and what each
-//! stream was sent, and sends only what differs.
+//! The decision module changes tables and assigns the classes of proxies to them. The messages of a stream
+//! name no tables, only the classes of its proxy. This module therefore keeps the contents of each table, the
+//! assignments and the state that each stream was sent, and builds updates that hold only the differences.
 
 mod batch;
 mod update_parts;
@@ -26,17 +26,17 @@
 /// Admission levels by class.
 type AdmissionLevels = BTreeMap<ClassIndex, AdmissionLevel>;
 
-/// A table of the decision module.
+/// The contents of a table of the decision module.
 #[derive(Clone, Debug, Default)]
 struct Table {
     entries: Weights,
     admission: AdmissionLevels,
 }
 
-/// What a proxy's stream was sent.
+/// The state that a proxy's stream was sent.
 #[derive(Debug)]
 struct StreamState {
-    /// The table of each class; `None` while the proxy still has the one that it brought along.
+    /// The table assigned to each class; `None` while the proxy still uses the table it had on connecting.
     assigned: Vec<Option<TableId>>,
     /// The admission level of each class as last sent.
     admission: Vec<Option<AdmissionLevel>>,
@@ -44,7 +44,8 @@
     ejected: BTreeSet<HostId>,
     /// Hosts sent as restored and not ejected since.
     restored: BTreeSet<HostId>,
-    /// Barriers not acknowledged yet, in the order of their sending: their numbers start anew at times.
+    /// Barriers not acknowledged yet, in the order of sending. That order is not the order of their numbers,
+    /// because the numbering starts again at times.
     pending_barriers: VecDeque<u64>,
 }
 
@@ -65,50 +66,50 @@
     }
 }
 
-/// What one batch of actions sends to one proxy.
+/// The message that one batch of actions sends to one proxy.
 #[derive(Debug, PartialEq)]
 pub struct ProxyUpdate {
     /// The proxy.
     pub proxy: ProxyId,
-    /// The parts of the message; all but the last say that more follow.
+    /// The parts of the message; all but the last are marked as having more parts after them.
     pub parts: Vec<ProxyUpdatePart>,
 }
 
 impl ProxyUpdate {
-    /// Lines that the message counts for in the send queue, without its overhead.
+    /// Lines that the message counts for in the send queue, without the overhead of each message.
     pub fn queue_lines(&self) -> usize {
         self.parts.iter().map(ProxyUpdatePart::queue_lines).sum()
     }
 }
 
-/// All tables, and what each stream was sent of them.
+/// All tables, and the state that each stream was sent.
 #[derive(Debug, Default)]
 pub struct Tables {
     classes: Vec<Arc<str>>,
     tables: BTreeMap<TableId, Table>,
-    /// Admission levels that hold for every proxy.
+    /// Admission levels for all proxies.
     global_admission: AdmissionLevels,
     /// Hosts that are ejected now.
     ejected: BTreeSet<HostId>,
     streams: BTreeMap<ProxyId, StreamState>,
-    /// Hosts that a proxy was ever sent as ejected. It keeps them across its streams, so each new stream must be sent
-    /// which of them are restored.
+    /// Hosts that each proxy was ever sent as ejected. A proxy keeps its ejected hosts across streams, so
+    /// each new stream must be sent those of them that have been restored.
     ever_ejected: BTreeMap<ProxyId, BTreeSet<HostId>>,
 }
 
 impl Tables {
-    /// Creates the state for these classes, without any table.
+    /// Creates the state for these classes, without any tables and streams.
     pub fn new(classes: &[String]) -> Self {
         let classes = classes.iter().map(|class| Arc::from(class.as_str())).collect();
         Tables { classes, ..Tables::default() }
     }
 
-    /// A proxy has opened a stream: nothing sent earlier is known to have reached it.
+    /// Adds a proxy's new stream, with nothing sent: earlier messages may not have reached the proxy.
     pub fn proxy_connected(&mut self, proxy: ProxyId) {
         self.streams.insert(proxy, StreamState::new(self.classes.len()));
     }
 
-    /// A proxy's stream has ended, and its assignments with it.
+    /// Removes a proxy's stream that has ended, with its assignments.
     pub fn proxy_disconnected(&mut self, proxy: ProxyId) {
         self.streams.remove(&proxy);
     }
@@ -122,7 +123,7 @@
         entries + streams + ever_ejected + self.ejected.len()
     }
 
-    /// Drops what is kept of a host that the decision module has evicted.
+    /// Drops the ejection records of a host that the decision module has evicted. No table holds such a host.
     pub fn evict_host(&mut self, host: &HostId) {
         self.ejected.remove(host);
         for stream in self.streams.values_mut() {
@@ -135,7 +136,8 @@
         });
     }
 
-    /// Removes an acknowledged barrier of a proxy and those sent before it; returns whether the barrier was pending.
+    /// Removes an acknowledged barrier of a proxy and the barriers sent before it; returns whether the barrier
+    /// was pending.
     pub fn acknowledge(&mut self, proxy: ProxyId, barrier: u64) -> bool {
         let Some(stream) = self.streams.get_mut(&proxy) else { return false };
         let pending = &mut stream.pending_barriers;
@@ -144,15 +146,15 @@
         true
     }
 
-    /// Applies the table actions of one batch in their order, and returns what to send, ordered by proxy. Other
-    /// actions are skipped.
+    /// Applies the table actions of one batch in their order, and returns the updates to send, ordered by
+    /// proxy. Other actions are skipped.
     pub fn apply(&mut self, actions: &[Action]) -> Vec<ProxyUpdate> {
         let batch = self.apply_to_tables(actions);
         if batch == BatchChanges::default() {
             return Vec::new();
         }
         let changed_entries = self.changed_entries(&batch);
-        // The streams are taken out while the tables are read, and put back below.
+        // `update_parts` borrows `self` and changes a stream: the streams are moved out until the loop ends.
         let mut streams = std::mem::take(&mut self.streams);
         let mut updates = Vec::new();
         for (proxy, stream) in &mut streams {
--- a/crates/wingfold-node/src/tables/batch.rs
+++ b/crates/wingfold-node/src/tables/batch.rs
@@ -5,12 +5,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wingfold_director::interface::{Action, ClassMask, HostId, ProxyId, TableId};
 
-/// What one batch did to a table.
+/// The change of a table by one batch.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct TableChange {
     /// The entries before the batch.
     entries_before: Weights,
-    /// The table was cleared, so it is sent as complete.
+    /// Whether the table was cleared, in which case all of it is sent, marked as complete.
     pub(super) cleared: bool,
 }
 
@@ -24,26 +24,26 @@
 /// A barrier that proxies acknowledge.
 #[derive(Debug, PartialEq)]
 pub(super) struct Barrier {
-    /// It goes to every proxy, and not only to those that are sent something anyway.
+    /// Whether every proxy is sent the barrier, or only the proxies for which the batch has an update anyway.
     pub(super) all_proxies: bool,
     pub(super) number: u64,
 }
 
-/// What one batch changed, as far as it cannot be seen from the tables.
+/// The changes of one batch that cannot be read from the tables once the batch is applied.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct BatchChanges {
     pub(super) tables: BTreeMap<TableId, TableChange>,
     pub(super) assigned: BTreeSet<AssignedClass>,
     /// Tables whose admission levels were set.
     pub(super) tables_with_admission: BTreeSet<TableId>,
-    /// Admission levels were set for all proxies.
+    /// Whether admission levels were set for all proxies.
     pub(super) global_admission_set: bool,
     /// Hosts that were ejected or restored.
     pub(super) ejection_set: BTreeSet<HostId>,
     pub(super) barriers: Vec<Barrier>,
 }
 
-/// The entries that a batch changed, for each table where there are any.
+/// The changed entries of each table in which a batch has changed any.
 pub(super) type ChangedEntries = BTreeMap<TableId, Vec<TableEntry>>;
 
 impl Tables {
@@ -77,7 +77,7 @@
         batch
     }
 
-    /// Sets the weight of an entry; one that is not above 0 removes the entry.
+    /// Sets the weight of an entry; a weight that is not above 0 removes the entry.
     fn set_entry(&mut self, table: TableId, host: &HostId, weight: f64, batch: &mut BatchChanges) {
         let (table, _) = self.table_to_change(table, batch);
         if weight > 0.0 {
@@ -131,19 +131,20 @@
         levels.extend(classes.into_iter().map(|class| (class, admission)));
     }
 
-    /// A table that is about to change, and the record of its changes in this batch.
+    /// Returns a table to change, and the record of its change in this batch. The first call in a batch
+    /// copies the entries of the table into that record.
     fn table_to_change<'a>(
         &'a mut self,
         id: TableId,
         batch: &'a mut BatchChanges,
     ) -> (&'a mut Table, &'a mut TableChange) {
         let table = self.tables.entry(id).or_default();
-        let unchanged = || TableChange { entries_before: table.entries.clone(), cleared: false };
-        let change = batch.tables.entry(id).or_insert_with(unchanged);
+        let no_change_yet = || TableChange { entries_before: table.entries.clone(), cleared: false };
+        let change = batch.tables.entry(id).or_insert_with(no_change_yet);
         (table, change)
     }
 
-    /// The entries that a batch changed.
+    /// The entries that a batch changed, by table.
     pub(super) fn changed_entries(&self, batch: &BatchChanges) -> ChangedEntries {
         let tables = batch.tables.iter();
         let entries = tables.map(|(id, change)| (*id, entries_to_send(&self.tables[id].entries, change)));
@@ -151,7 +152,8 @@
     }
 }
 
-/// What turns the entries before the batch into those of now: removals first, then weights, both by host.
+/// The entries that turn the table as it was before the batch into the table as it is now: removals first,
+/// then new weights, both ordered by host.
 fn entries_to_send(now: &Weights, change: &TableChange) -> Vec<TableEntry> {
     let before = &change.entries_before;
     let removed = before.keys().filter(|host| !now.contains_key(host));
--- a/crates/wingfold-node/src/tables/tests.rs
+++ b/crates/wingfold-node/src/tables/tests.rs
@@ -1,4 +1,4 @@
-//! Plays messages into a small model proxy, and compares what it then holds with the tables.
+//! Applies updates to a model of a proxy, and compares the state of the model with the tables.
 
 use super::*;
 use crate::frame;
@@ -6,9 +6,9 @@
 use wingfold_director::interface::Retry;
 use wingfold_settings::retry_code;
 
-/// A proxy as the protocol describes it.
+/// The state of a proxy that applies updates as the protocol describes.
 #[derive(Clone, Debug, Default)]
-struct Model {
+struct ModelProxy {
     tables: Vec<BTreeMap<Arc<str>, f64>>,
     admission: Vec<Option<AdmissionLevel>>,
     ejected: BTreeSet<Arc<str>>,
@@ -16,21 +16,21 @@
     messages: usize,
 }
 
-impl Model {
-    /// A proxy that brings along a standing table of one host.
+impl ModelProxy {
+    /// A proxy that has a table of one host when it connects.
     fn new(classes: usize) -> Self {
-        let standing = BTreeMap::from([(Arc::from("standing"), 1.0)]);
-        Model { tables: vec![standing; classes], admission: vec![None; classes], ..Model::default() }
+        let initial = BTreeMap::from([(Arc::from("initial"), 1.0)]);
+        ModelProxy { tables: vec![initial; classes], admission: vec![None; classes], ..ModelProxy::default() }
     }
 
     fn apply(&mut self, names: &[Arc<str>], update: &ProxyUpdate) {
         self.messages += 1;
         assert!(!update.parts.is_empty() && update.parts.len() <= 64);
-        for (at, part) in update.parts.iter().enumerate() {
+        for (index, part) in update.parts.iter().enumerate() {
             assert_eq!(
                 part.has_more_parts,
-                at + 1 < update.parts.len(),
-                "all parts but the last say that more follow"
+                index + 1 < update.parts.len(),
+                "all parts but the last are marked as having more parts after them"
             );
             assert!(encode(&Outbound::ProxyUpdatePart(part.clone())).len() <= frame::MAX_FRAME_BYTES);
             let position = |name| names.iter().position(|n| n == name).expect("a class of the settings");
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_assignment_is_one_message_of_the_complete_table_with_its_admission_levels() {
+fn an_assignment_sends_the_complete_table_with_its_levels() {
     let mut tables = two_classes(&[7, 8]);
     let setup = [entry(1, "h1", 1.0), entry(1, "h2", 0.5), set_admission(Some(1), 0, 9.0, Retry::OnProof)];
     assert_eq!(tables.apply(&setup), [], "no proxy is assigned to the table yet");
@@ -101,9 +101,9 @@
             && part.classes.is_empty()
             && part.admission == Some(AdmissionLevel { level: 9.0, retry: Retry::OnProof })
     );
-    // Levels that differ by class go as parts of their own.
-    let two = [set_admission(Some(1), 1, 2.0, Retry::OnProof), assign(8, 1, 0)];
-    let updates = tables.apply(&two);
+    // Levels that differ by class are sent in parts of their own.
+    let level_and_assignment = [set_admission(Some(1), 1, 2.0, Retry::OnProof), assign(8, 1, 0)];
+    let updates = tables.apply(&level_and_assignment);
     assert_eq!(
         updates
             .iter()
@@ -120,10 +120,10 @@
 }
 
 #[test]
-fn only_differences_go_to_proxies_assigned_to_the_table() {
+fn changed_entries_are_sent_only_to_assigned_proxies() {
     let mut tables = two_classes(&[1, 2, 3]);
-    let start = [entry(1, "h1", 1.0), entry(2, "h1", 1.0), assign(1, 1, 0), assign(2, 2, 0), assign(3, 1, 0)];
-    tables.apply(&start);
+    let setup = [entry(1, "h1", 1.0), entry(2, "h1", 1.0), assign(1, 1, 0), assign(2, 2, 0), assign(3, 1, 0)];
+    tables.apply(&setup);
     let change = [entry(1, "h2", 0.5), entry(1, "h1", 0.0), entry(1, "h3", 2.0), entry(1, "h3", 0.0)];
     let updates = tables.apply(&change);
     assert_eq!(updates.iter().map(|update| update.proxy.0).collect::<Vec<_>>(), [1, 3]);
@@ -136,15 +136,15 @@
 }
 
 #[test]
-fn a_cleared_table_is_sent_complete_with_the_global_admission_level() {
+fn a_cleared_table_is_sent_complete_with_the_global_level() {
     let mut tables = two_classes(&[1]);
-    let start = [
+    let setup = [
         entry(1, "h1", 1.0),
         set_admission(Some(1), 1, 5.0, Retry::Once),
         assign(1, 1, 0),
         set_admission(None, 3, 8.0, Retry::Never),
     ];
-    tables.apply(&start);
+    tables.apply(&setup);
     let cleared = [Action::ClearTable(TableId(1)), entry(1, "h2", 1.0)];
     let update = only(tables.apply(&cleared));
     assert_eq!(update.parts.len(), 1);
@@ -152,12 +152,12 @@
     assert_eq!(
         update.parts[0].admission,
         Some(AdmissionLevel { level: 8.0, retry: Retry::Never }),
-        "the table's own is reset"
+        "clearing a table resets its own level"
     );
 }
 
 #[test]
-fn the_lower_admission_level_holds_with_the_retry_policy_of_the_table() {
+fn the_lower_level_applies_with_the_retry_policy_of_the_table() {
     let mut tables = two_classes(&[1, 2]);
     tables.apply(&[entry(1, "h1", 1.0), set_admission(Some(1), 1, 5.0, Retry::OnProof), assign(1, 1, 0)]);
     let updates = tables.apply(&[set_admission(None, 1, 3.0, Retry::Twice)]);
@@ -166,14 +166,14 @@
     assert_eq!(
         of(&updates[1]),
         (2, Some(AdmissionLevel { level: 3.0, retry: Retry::Twice })),
-        "a proxy that is assigned to no table yet"
+        "the proxy is not assigned to a table yet"
     );
     let update = only(tables.apply(&[set_admission(Some(1), 1, 1.0, Retry::OnProof)]));
     assert_eq!(of(&update), (1, Some(AdmissionLevel { level: 1.0, retry: Retry::OnProof })));
 }
 
 #[test]
-fn ejected_hosts_stay_so_across_streams_until_they_are_restored() {
+fn a_new_stream_is_sent_hosts_restored_since_an_earlier_one() {
     let mut tables = two_classes(&[1]);
     tables.apply(&[entry(1, "h1", 1.0), entry(1, "h2", 1.0), assign(1, 1, 0)]);
     let update = only(tables.apply(&[Action::SetEjected { host: host("h1"), ejected: true }]));
@@ -181,21 +181,25 @@
     assert_eq!(
         tables.apply(&[Action::SetEjected { host: host("elsewhere"), ejected: true }]),
         [],
-        "in none of its tables"
+        "the host is in none of the proxy's tables"
     );
     tables.proxy_disconnected(ProxyId(1));
     assert_eq!(
         tables.apply(&[Action::SetEjected { host: host("h1"), ejected: false }]),
         [],
-        "no stream to send it to"
+        "the proxy has no stream"
     );
     tables.proxy_connected(ProxyId(1));
     let update = only(tables.apply(&[assign(1, 1, 0)]));
-    assert_eq!(update.parts[0].restored, [Arc::from("h1")], "the proxy kept it across its streams");
+    assert_eq!(
+        update.parts[0].restored,
+        [Arc::from("h1")],
+        "the proxy has kept the host as ejected across streams"
+    );
 }
 
 #[test]
-fn a_barrier_is_added_to_the_messages_or_goes_to_all_proxies() {
+fn a_barrier_is_added_to_an_update_or_sent_to_all_proxies() {
     let mut tables = two_classes(&[1, 2]);
     let first = [entry(1, "h1", 1.0), assign(1, 1, 0), Action::Barrier { all_proxies: false, number: 4 }];
     let update = only(tables.apply(&first));
@@ -210,17 +214,20 @@
 }
 
 #[test]
-fn a_barrier_is_acknowledged_once_and_ends_with_its_stream() {
+fn a_barrier_is_acknowledged_once_and_only_on_its_own_stream() {
     let mut tables = two_classes(&[1, 2]);
     tables.apply(&[entry(1, "h1", 1.0), assign(1, 1, 0), assign(2, 1, 0)]);
     tables.apply(&[Action::Barrier { all_proxies: true, number: 5 }]);
     tables.apply(&[Action::Barrier { all_proxies: true, number: 7 }]);
-    assert!(!tables.acknowledge(ProxyId(1), 6) && !tables.acknowledge(ProxyId(3), 7), "never set");
-    assert!(tables.acknowledge(ProxyId(1), 7), "the ones before it are acknowledged with it");
+    assert!(
+        !tables.acknowledge(ProxyId(1), 6) && !tables.acknowledge(ProxyId(3), 7),
+        "no such barrier was sent to the proxy"
+    );
+    assert!(tables.acknowledge(ProxyId(1), 7), "also acknowledges the barriers sent before");
     assert!(!tables.acknowledge(ProxyId(1), 7) && !tables.acknowledge(ProxyId(1), 5), "acknowledged before");
     tables.proxy_disconnected(ProxyId(2));
     tables.proxy_connected(ProxyId(2));
-    assert!(!tables.acknowledge(ProxyId(2), 5), "sent on the stream before");
+    assert!(!tables.acknowledge(ProxyId(2), 5), "barrier 5 was sent on an earlier stream");
 }
 
 #[test]
@@ -231,36 +238,36 @@
     tables.apply(&[entry(1, "h3", 1.0)]);
     tables.apply(&[Action::SetEjected { host: host("h3"), ejected: true }]);
     tables.apply(&[entry(1, "h3", 0.0)]);
-    assert!(tables.records() > before, "it is ejected");
+    assert!(tables.records() > before, "the ejection of h3 is recorded");
     tables.evict_host(&host("h3"));
     assert_eq!(tables.records(), before);
 }
 
 #[test]
-fn a_table_too_long_for_one_frame_goes_in_parts_of_one_message() {
+fn a_table_too_long_for_one_frame_is_split_into_parts() {
     let mut tables = two_classes(&[1]);
-    let long = |at: usize| entry(1, &format!("{at:0>200}"), 1.0 / 3.0);
-    tables.apply(&(0..20_000).map(long).collect::<Vec<_>>());
+    let long_entry = |index: usize| entry(1, &format!("{index:0>200}"), 1.0 / 3.0);
+    tables.apply(&(0..20_000).map(long_entry).collect::<Vec<_>>());
     let update = only(tables.apply(&[assign(1, 1, 0)]));
     assert!(update.parts.len() > 4);
-    let mut model = Model::new(2);
+    let mut model = ModelProxy::new(2);
     model.apply(&tables.classes, &update);
     assert_eq!((model.tables[0].len(), model.tables[1].len()), (20_000, 20_000));
     assert_eq!(update.queue_lines(), 20_001);
 }
 
-/// A plain generator of numbers: the same sequences on every run.
-struct Numbers(u64);
+/// A deterministic pseudo-random number generator: a seed gives the same sequence on every run.
+struct RandomNumbers(u64);
 
-impl Numbers {
-    fn below(&mut self, most: u64) -> u64 {
+impl RandomNumbers {
+    fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % most
+        (self.0 >> 33) % bound
     }
 }
 
-/// One batch of a few random actions; assignments name connected proxies or not.
-fn random(numbers: &mut Numbers) -> Vec<Action> {
+/// One batch of a few random actions; assignments may name proxies that are not connected.
+fn random_actions(numbers: &mut RandomNumbers) -> Vec<Action> {
     let mut actions = Vec::new();
     for _ in 0..1 + numbers.below(6) {
         let table = numbers.below(3) as u32;
@@ -283,13 +290,13 @@
 }
 
 #[test]
-fn each_proxy_holds_what_its_tables_hold_after_random_actions() {
+fn proxies_match_their_assigned_tables_after_random_actions() {
     let names = ["x".to_string(), "y".into(), "z".into()];
     let mut messages = 0;
     for seed in 0..300 {
-        let mut numbers = Numbers(seed);
+        let mut numbers = RandomNumbers(seed);
         let mut tables = Tables::new(&names);
-        let mut proxies = vec![Model::new(3); 4];
+        let mut proxies = vec![ModelProxy::new(3); 4];
         for step in 0..80 {
             let proxy = numbers.below(4) as u32;
             match numbers.below(10) {
@@ -299,13 +306,13 @@
                 }
                 _ => {}
             }
-            let actions = random(&mut numbers);
+            let actions = random_actions(&mut numbers);
             let updates = tables.apply(&actions);
             let mut recipients: Vec<u32> = updates.iter().map(|update| update.proxy.0).collect();
             recipients.dedup();
-            assert_eq!(recipients.len(), updates.len(), "one message for each proxy");
+            assert_eq!(recipients.len(), updates.len(), "at most one update for each proxy");
             for update in &updates {
-                assert!(tables.streams.contains_key(&update.proxy), "only to connected proxies");
+                assert!(tables.streams.contains_key(&update.proxy), "updates go only to connected proxies");
                 proxies[update.proxy.0 as usize].apply(&tables.classes, update);
             }
             for (id, stream) in &tables.streams {
@@ -331,5 +338,5 @@
         }
         messages += proxies.iter().map(|p| p.messages).sum::<usize>();
     }
-    assert!(messages > 10_000, "only {messages} messages were played");
+    assert!(messages > 10_000, "only {messages} messages were applied");
 }
--- a/crates/wingfold-node/src/tables/update_parts.rs
+++ b/crates/wingfold-node/src/tables/update_parts.rs
@@ -1,4 +1,5 @@
-//! Builds the parts of one proxy's update: tables first, then admission levels, ejected and restored hosts, barriers.
+//! Builds the parts of one proxy's update: tables first, then admission levels, ejected and restored hosts,
+//! and barriers.
 
 use super::batch::ChangedEntries;
 use super::{AssignedClass, BatchChanges, ClassIndex, StreamState, Tables};
@@ -7,14 +8,14 @@
 use std::sync::Arc;
 use wingfold_director::interface::{HostId, ProxyId, TableId};
 
-/// Bytes of entries in one part, well under the longest frame.
+/// Limit on the bytes of the entries in one part, well under the longest frame.
 const MAX_ENTRY_BYTES_PER_PART: usize = 1 << 19;
-/// Bytes of an encoded entry besides its host's name, at most.
+/// The most bytes that an encoded entry takes besides the name of its host.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
-/// Barriers that one stream may leave unacknowledged: far more than are in flight at once.
+/// Limit on the unacknowledged barriers of one stream: far more than are in flight at once.
 const MAX_PENDING_BARRIERS: usize = 1024;
 
-/// A table to send, and whether all of it or only its changes. Updates are sent in this order.
+/// A table to send, complete or as changes. Updates hold their tables in the order of this type.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct TableToSend {
     table: TableId,
@@ -38,7 +39,7 @@
     ) -> Vec<ProxyUpdatePart> {
         let tables_to_send = tables_to_send(proxy, stream, batch, changed_entries);
         let mut parts = Vec::new();
-        if tables_to_send.is_empty() && !self.concerns(stream, batch) {
+        if tables_to_send.is_empty() && !self.has_other_changes(stream, batch) {
             return parts;
         }
         for (to_send, classes) in tables_to_send {
@@ -53,8 +54,8 @@
         parts
     }
 
-    /// Whether a batch concerns a stream by anything but the entries of its tables.
-    fn concerns(&self, stream: &StreamState, batch: &BatchChanges) -> bool {
+    /// Whether a batch has changes for a stream other than assignments and entries of its tables.
+    fn has_other_changes(&self, stream: &StreamState, batch: &BatchChanges) -> bool {
         let has_new_admission = |id: &TableId| batch.tables_with_admission.contains(id);
         batch.global_admission_set
             || stream.assigned.iter().flatten().any(has_new_admission)
@@ -62,7 +63,7 @@
             || batch.barriers.iter().any(|barrier| barrier.all_proxies)
     }
 
-    /// Adds a table, split into parts that fit in a frame each.
+    /// Adds a table, or its changed entries, split into parts that each fit in a frame.
     fn push_table(
         &self,
         to_send: TableToSend,
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Splits entries into parts; only the first one is marked as complete.
+    /// Splits entries into parts. If they are a complete table, only the first part is marked as complete:
+    /// the proxy adds the entries of the other parts to it.
     fn table_parts(
         &self,
         classes: &[ClassIndex],
@@ -114,7 +116,7 @@
         entries.map(|(host, weight)| TableEntry { host: host.0.clone(), weight: *weight }).collect()
     }
 
-    /// Names of classes as a part has them: none stands for all.
+    /// The names of classes as a part lists them; an empty list stands for all classes.
     fn class_names(&self, classes: &[ClassIndex]) -> Vec<Arc<str>> {
         if classes.len() == self.classes.len() {
             return Vec::new();
@@ -122,21 +124,22 @@
         classes.iter().map(|class| self.classes[*class].clone()).collect()
     }
 
-    /// The admission level of a class at a proxy: the lower one of its table's and the global one, with the retry
-    /// policy of the table where it has one.
+    /// The admission level of a class at a proxy: the lower of the level of its table and the global level,
+    /// with the retry policy of the table. Where only one of the two levels is set, it applies with its own
+    /// retry policy.
     pub(super) fn admission(&self, stream: &StreamState, class: ClassIndex) -> Option<AdmissionLevel> {
         let table = stream.assigned[class].and_then(|id| self.tables.get(&id));
-        let of_table = table.and_then(|table| table.admission.get(&class));
-        match (of_table, self.global_admission.get(&class)) {
-            (Some(of_table), Some(global)) => {
-                Some(AdmissionLevel { level: of_table.level.min(global.level), retry: of_table.retry })
+        let table_level = table.and_then(|table| table.admission.get(&class));
+        match (table_level, self.global_admission.get(&class)) {
+            (Some(table_level), Some(global)) => {
+                Some(AdmissionLevel { level: table_level.level.min(global.level), retry: table_level.retry })
             }
-            (of_table, global) => of_table.or(global).copied(),
+            (table_level, global) => table_level.or(global).copied(),
         }
     }
 
-    /// Adds the admission levels that the stream was not sent, to the last table part of the same classes that has none
-    /// or as parts of their own.
+    /// Adds the admission levels that the stream was not sent. Each goes into the last part that names the
+    /// same classes and has no level yet; where there is no such part, into a part of its own.
     fn push_admission(&self, stream: &mut StreamState, parts: &mut Vec<ProxyUpdatePart>) {
         for ClassesWithAdmission { admission, classes } in self.admission_to_send(stream) {
             let classes = self.class_names(&classes);
@@ -151,8 +154,8 @@
         }
     }
 
-    /// The admission levels that the stream was not sent, grouped in the order of their first classes. They count as
-    /// sent from now on.
+    /// The admission levels that the stream was not sent, each with its classes, in the order of their first
+    /// classes. Records the levels as sent.
     fn admission_to_send(&self, stream: &mut StreamState) -> Vec<ClassesWithAdmission> {
         let mut groups: Vec<ClassesWithAdmission> = Vec::new();
         for class in 0..self.classes.len() {
@@ -169,7 +172,8 @@
         groups
     }
 
-    /// Adds the ejected and restored hosts that the stream was not sent, to the last part if there is one.
+    /// Adds the ejected and restored hosts that the stream was not sent to the last part, or to a new part if
+    /// there is none.
     fn push_ejections(&self, proxy: ProxyId, stream: &mut StreamState, parts: &mut Vec<ProxyUpdatePart>) {
         let ejected = self.ejections_to_send(stream);
         let restored = self.restorations_to_send(proxy, stream);
@@ -190,21 +194,22 @@
         parts.push(part);
     }
 
-    /// Ejected hosts that the proxy may use and was not sent on this stream.
+    /// Ejected hosts that the proxy may use and that the stream was not sent as ejected.
     fn ejections_to_send(&self, stream: &StreamState) -> Vec<HostId> {
         let unsent = self.ejected.iter().filter(|host| !stream.ejected.contains(*host));
         unsent.filter(|host| self.may_use(stream, host)).cloned().collect()
     }
 
-    /// Hosts that the proxy was ever sent as ejected, that are not ejected any more, and whose restoration was not sent
-    /// on this stream.
+    /// Hosts that the proxy was ever sent as ejected, that are not ejected any more, and whose restoration
+    /// was not sent on this stream.
     fn restorations_to_send(&self, proxy: ProxyId, stream: &StreamState) -> Vec<HostId> {
         let Some(ever_ejected) = self.ever_ejected.get(&proxy) else { return Vec::new() };
         let restored = ever_ejected.iter().filter(|host| !self.ejected.contains(*host));
         restored.filter(|host| !stream.restored.contains(*host)).cloned().collect()
     }
 
-    /// Whether a stream's proxy may have a host in a table. Of a table that it brought along nothing is known.
+    /// Whether a proxy may have a host in one of its tables. The contents of a table that the proxy had when
+    /// it connected are unknown, so such a table may hold any host.
     fn may_use(&self, stream: &StreamState, host: &HostId) -> bool {
         stream.assigned.iter().any(|table| match table {
             Some(id) => self.tables.get(id).is_some_and(|table| table.entries.contains_key(host)),
@@ -232,9 +237,9 @@
     tables
 }
 
-/// Adds a barrier to the last part if that has none, or as a part of its own.
+/// Adds a barrier to the last part, or as a part of its own if the last part has a barrier already.
 fn push_barrier(number: u64, stream: &mut StreamState, parts: &mut Vec<ProxyUpdatePart>) {
-    // The oldest barrier of a proxy that acknowledges none is dropped.
+    // Bounds the list for a proxy that acknowledges no barriers.
     if stream.pending_barriers.len() >= MAX_PENDING_BARRIERS {
         stream.pending_barriers.pop_front();
     }
@@ -245,7 +250,7 @@
     }
 }
 
-/// Marks all parts but the last as continued.
+/// Marks all parts but the last as having more parts after them.
 fn mark_continued_parts(parts: &mut [ProxyUpdatePart]) {
     if let Some((_, continued)) = parts.split_last_mut() {
         for part in continued {
