--- a/crates/wingfold-node/src/discovery.rs
+++ b/crates/wingfold-node/src/discovery.rs
@@ -38,7 +38,7 @@
 /// Pause before the next call of a watch whose last call was answered early and without changes. It prevents
 /// a tight loop of calls to a discovery that does not wait. The protocol allows 200 ms between a response and
 /// the next call.
-const EARLY_ANSWER_PAUSE: Duration = Duration::from_millis(100);
+const EARLY_RESPONSE_PAUSE: Duration = Duration::from_millis(100);
 
 /// Outcome of the delivery of a call's result.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -140,7 +140,7 @@
         let replaced = match command {
             DiscoveryCommand::SetWatching(false) => self.watch_call.take(),
             DiscoveryCommand::SetWatching(true) => {
-                // The first call has no wait, so missing changes arrive at once. Later calls wait for
+                // The first call has no wait: missing changes arrive at once. Later calls wait for new
                 // changes.
                 let call = self.start_watch_call(Duration::ZERO, Duration::ZERO);
                 self.deliver_unchanged = true;
@@ -182,7 +182,7 @@
             return;
         }
         let needs_pause = delivery == Delivery::Unchanged && call.was_answered_early();
-        let pause = if needs_pause { EARLY_ANSWER_PAUSE } else { Duration::ZERO };
+        let pause = if needs_pause { EARLY_RESPONSE_PAUSE } else { Duration::ZERO };
         self.watch_call = Some(self.start_watch_call(pause, self.bounds.watch_wait));
         // This response includes all changes that the responses to abandoned calls could still bring.
         self.abandoned.clear();
@@ -292,7 +292,8 @@
         self.inbox.send(InboundEvent::EndpointList { kind: EndpointListKind::Changes, list: response });
     }
 
-    /// Delivers a response that passed all checks, and records its version.
+    /// Delivers a response that passed all checks, and records its version. Changes older than the cached
+    /// list are dropped.
     fn deliver_accepted(&mut self, response: EndpointListResponse, deliver_unchanged: bool) -> Delivery {
         let cached_version = self.cached.version;
         // The response to another call was newer, so the cached list holds these changes already.
--- a/crates/wingfold-node/src/discovery/call.rs
+++ b/crates/wingfold-node/src/discovery/call.rs
@@ -101,7 +101,7 @@
     pub fn new(request: CallRequest, http: HttpClient, address: SocketAddr, response_time: Duration) -> Call {
         let response_begun = Arc::new(AtomicBool::new(false));
         let timeout = request.wait + response_time;
-        let response = fetch_list(request, http, address.to_string(), timeout, response_begun.clone());
+        let response = request_list(request, http, address.to_string(), timeout, response_begun.clone());
         Call {
             response: Box::pin(response),
             after: request.after,
@@ -133,7 +133,7 @@
 }
 
 /// Pauses, sends the request, reads the response, and records a failure in the span of the stage.
-async fn fetch_list(
+async fn request_list(
     request: CallRequest,
     http: HttpClient,
     address: String,
--- a/crates/wingfold-node/src/inbox.rs
+++ b/crates/wingfold-node/src/inbox.rs
@@ -1,8 +1,8 @@
 //! The queue between the tasks that read sockets and the engine, the only task that owns the decision module.
 //!
-//! Sending never waits. Load and usage reports beyond a bound are dropped and counted. An event of any other
-//! kind always has room, because its source (a connection, a call of discovery, a health check) bounds how
-//! many there are.
+//! Sending never waits. Reports ([`InboundEvent::Report`]) beyond a bound are dropped and counted. An event
+//! of any other kind always has room, because its source (a connection, a call of discovery, a health check)
+//! bounds how many there are.
 
 use crate::list::EndpointListResponse;
 use crate::metrics::Metrics;
@@ -55,7 +55,7 @@
     },
     /// An event for the decision module that must not be lost.
     Required(Event),
-    /// A load or usage report; it may be dropped under overload.
+    /// A load report, a usage report or a load from collectd. It may be dropped under overload.
     Report(Event),
 }
 
--- a/crates/wingfold-node/src/list.rs
+++ b/crates/wingfold-node/src/list.rs
@@ -58,7 +58,7 @@
     endpoints: Vec<&'a RawValue>,
 }
 
-/// The field of an entry that names its host.
+/// Reads only the host's name from an entry, since the other fields may be unreadable.
 #[derive(Deserialize)]
 struct HostOnly {
     #[serde(rename = "id", deserialize_with = "read_name")]
@@ -95,8 +95,8 @@
     Removed,
 }
 
-/// Limit on the bytes of a name. Names of hosts and zones and addresses are far shorter. Each name is stored
-/// and written often.
+/// Limit on the bytes of a name. Host names, zone names and addresses are far shorter. Each is stored and
+/// written often.
 const MAX_NAME_BYTES: usize = 255;
 /// Limit on a weight. Sums of thousands of weights within it keep their precision.
 const MAX_WEIGHT: f64 = 1e9;
--- a/crates/wingfold-node/src/list/addresses.rs
+++ b/crates/wingfold-node/src/list/addresses.rs
@@ -11,7 +11,7 @@
     last_incarnation: u64,
 }
 
-/// Where a host answers health checks.
+/// The address at which a host answers health checks, and the incarnation that answers there.
 #[derive(Clone, Debug)]
 pub struct HealthCheckTarget {
     /// The host's address.
@@ -65,7 +65,7 @@
         self.hosts.len()
     }
 
-    /// Where a host answers health checks; `None` for a host that is not known.
+    /// The health check target of a host; `None` for a host that is not known.
     pub fn get(&self, host: &str) -> Option<&HealthCheckTarget> {
         self.hosts.get(host)
     }
--- a/crates/wingfold-node/src/outbox/tests.rs
+++ b/crates/wingfold-node/src/outbox/tests.rs
@@ -2,7 +2,7 @@
 use tokio::io::AsyncReadExt;
 
 #[tokio::test]
-async fn send_fails_while_queued_bytes_would_exceed_the_limit() {
+async fn send_fails_if_queued_bytes_would_exceed_the_limit() {
     let (sender, writer) = channel(1, 100, None);
     let frame = || vec![Bytes::from(vec![b'x'; 46])];
     assert_eq!(sender.send(frame()), Ok(()));
--- a/crates/wingfold-node/src/tables.rs
+++ b/crates/wingfold-node/src/tables.rs
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 struct StreamState {
     /// The table assigned to each class; `None` while the proxy still uses the table it had on connecting.
-    assigned: Vec<Option<TableId>>,
+    assigned_tables: Vec<Option<TableId>>,
     /// The admission level of each class as last sent.
     admission: Vec<Option<AdmissionLevel>>,
     /// Hosts sent as ejected and not restored since.
@@ -52,7 +52,7 @@
 impl StreamState {
     fn new(classes: usize) -> Self {
         StreamState {
-            assigned: vec![None; classes],
+            assigned_tables: vec![None; classes],
             admission: vec![None; classes],
             ejected: BTreeSet::new(),
             restored: BTreeSet::new(),
@@ -76,7 +76,7 @@
 }
 
 impl ProxyUpdate {
-    /// Lines that the message counts for in the send queue, without the overhead of each message.
+    /// Lines that the message counts for in the send queue, without the overhead of the message.
     pub fn queue_lines(&self) -> usize {
         self.parts.iter().map(ProxyUpdatePart::queue_lines).sum()
     }
--- a/crates/wingfold-node/src/tables/batch.rs
+++ b/crates/wingfold-node/src/tables/batch.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wingfold_director::interface::{Action, ClassMask, HostId, ProxyId, TableId};
 
-/// The change of a table by one batch.
+/// How one batch has changed a table.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct TableChange {
     /// The entries before the batch.
@@ -33,13 +33,13 @@
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct BatchChanges {
     pub(super) tables: BTreeMap<TableId, TableChange>,
-    pub(super) assigned: BTreeSet<AssignedClass>,
+    pub(super) assigned_classes: BTreeSet<AssignedClass>,
     /// Tables whose admission levels were set.
     pub(super) tables_with_admission: BTreeSet<TableId>,
     /// Whether admission levels were set for all proxies.
     pub(super) global_admission_set: bool,
     /// Hosts that were ejected or restored.
-    pub(super) ejection_set: BTreeSet<HostId>,
+    pub(super) ejected_or_restored: BTreeSet<HostId>,
     pub(super) barriers: Vec<Barrier>,
 }
 
@@ -98,8 +98,8 @@
         let classes = self.selected_classes(mask);
         let Some(stream) = self.streams.get_mut(&proxy) else { return };
         for class in classes {
-            stream.assigned[class] = Some(table);
-            batch.assigned.insert(AssignedClass { proxy, class });
+            stream.assigned_tables[class] = Some(table);
+            batch.assigned_classes.insert(AssignedClass { proxy, class });
         }
     }
 
@@ -109,7 +109,7 @@
         } else {
             self.ejected.remove(host);
         }
-        batch.ejection_set.insert(host.clone());
+        batch.ejected_or_restored.insert(host.clone());
     }
 
     /// Sets the admission level of classes, for one table or for all proxies.
@@ -154,11 +154,11 @@
 
 /// The entries that turn the table as it was before the batch into the table as it is now: removals first,
 /// then new weights, both ordered by host.
-fn entries_to_send(now: &Weights, change: &TableChange) -> Vec<TableEntry> {
+fn entries_to_send(current: &Weights, change: &TableChange) -> Vec<TableEntry> {
     let before = &change.entries_before;
-    let removed = before.keys().filter(|host| !now.contains_key(host));
+    let removed = before.keys().filter(|host| !current.contains_key(host));
     let removed = removed.map(|host| TableEntry { host: host.0.clone(), weight: 0.0 });
-    let set = now.iter().filter(|(host, weight)| before.get(host) != Some(weight));
+    let set = current.iter().filter(|(host, weight)| before.get(host) != Some(weight));
     let set = set.map(|(host, weight)| TableEntry { host: host.0.clone(), weight: *weight });
     removed.chain(set).collect()
 }
--- a/crates/wingfold-node/src/tables/tests.rs
+++ b/crates/wingfold-node/src/tables/tests.rs
@@ -83,7 +83,7 @@
     tables
 }
 
-fn only(mut updates: Vec<ProxyUpdate>) -> ProxyUpdate {
+fn single_update(mut updates: Vec<ProxyUpdate>) -> ProxyUpdate {
     assert_eq!(updates.len(), 1, "{updates:?}");
     updates.remove(0)
 }
@@ -93,7 +93,7 @@
     let mut tables = two_classes(&[7, 8]);
     let setup = [entry(1, "h1", 1.0), entry(1, "h2", 0.5), set_admission(Some(1), 0, 9.0, Retry::OnProof)];
     assert_eq!(tables.apply(&setup), [], "no proxy is assigned to the table yet");
-    let update = only(tables.apply(&[assign(7, 1, 0)]));
+    let update = single_update(tables.apply(&[assign(7, 1, 0)]));
     assert_eq!((update.proxy, update.parts.len(), update.queue_lines()), (ProxyId(7), 1, 4));
     let part = &update.parts[0];
     assert!(
@@ -146,7 +146,7 @@
     ];
     tables.apply(&setup);
     let cleared = [Action::ClearTable(TableId(1)), entry(1, "h2", 1.0)];
-    let update = only(tables.apply(&cleared));
+    let update = single_update(tables.apply(&cleared));
     assert_eq!(update.parts.len(), 1);
     assert!(update.parts[0].complete && update.parts[0].entries.len() == 1);
     assert_eq!(
@@ -161,22 +161,25 @@
     let mut tables = two_classes(&[1, 2]);
     tables.apply(&[entry(1, "h1", 1.0), set_admission(Some(1), 1, 5.0, Retry::OnProof), assign(1, 1, 0)]);
     let updates = tables.apply(&[set_admission(None, 1, 3.0, Retry::Twice)]);
-    let of = |update: &ProxyUpdate| (update.proxy.0, update.parts[0].admission);
-    assert_eq!(of(&updates[0]), (1, Some(AdmissionLevel { level: 3.0, retry: Retry::OnProof })));
+    let proxy_and_admission = |update: &ProxyUpdate| (update.proxy.0, update.parts[0].admission);
     assert_eq!(
-        of(&updates[1]),
+        proxy_and_admission(&updates[0]),
+        (1, Some(AdmissionLevel { level: 3.0, retry: Retry::OnProof }))
+    );
+    assert_eq!(
+        proxy_and_admission(&updates[1]),
         (2, Some(AdmissionLevel { level: 3.0, retry: Retry::Twice })),
         "the proxy is not assigned to a table yet"
     );
-    let update = only(tables.apply(&[set_admission(Some(1), 1, 1.0, Retry::OnProof)]));
-    assert_eq!(of(&update), (1, Some(AdmissionLevel { level: 1.0, retry: Retry::OnProof })));
+    let update = single_update(tables.apply(&[set_admission(Some(1), 1, 1.0, Retry::OnProof)]));
+    assert_eq!(proxy_and_admission(&update), (1, Some(AdmissionLevel { level: 1.0, retry: Retry::OnProof })));
 }
 
 #[test]
 fn a_new_stream_is_sent_hosts_restored_since_an_earlier_one() {
     let mut tables = two_classes(&[1]);
     tables.apply(&[entry(1, "h1", 1.0), entry(1, "h2", 1.0), assign(1, 1, 0)]);
-    let update = only(tables.apply(&[Action::SetEjected { host: host("h1"), ejected: true }]));
+    let update = single_update(tables.apply(&[Action::SetEjected { host: host("h1"), ejected: true }]));
     assert_eq!((update.parts[0].ejected.clone(), update.queue_lines()), (vec![Arc::from("h1")], 1));
     assert_eq!(
         tables.apply(&[Action::SetEjected { host: host("elsewhere"), ejected: true }]),
@@ -190,7 +193,7 @@
         "the proxy has no stream"
     );
     tables.proxy_connected(ProxyId(1));
-    let update = only(tables.apply(&[assign(1, 1, 0)]));
+    let update = single_update(tables.apply(&[assign(1, 1, 0)]));
     assert_eq!(
         update.parts[0].restored,
         [Arc::from("h1")],
@@ -202,7 +205,7 @@
 fn a_barrier_is_added_to_an_update_or_sent_to_all_proxies() {
     let mut tables = two_classes(&[1, 2]);
     let first = [entry(1, "h1", 1.0), assign(1, 1, 0), Action::Barrier { all_proxies: false, number: 4 }];
-    let update = only(tables.apply(&first));
+    let update = single_update(tables.apply(&first));
     assert_eq!((update.parts[0].barrier, update.queue_lines()), (Some(4), 3));
     let updates = tables.apply(&[
         Action::Barrier { all_proxies: true, number: 5 },
@@ -248,7 +251,7 @@
     let mut tables = two_classes(&[1]);
     let long_entry = |index: usize| entry(1, &format!("{index:0>200}"), 1.0 / 3.0);
     tables.apply(&(0..20_000).map(long_entry).collect::<Vec<_>>());
-    let update = only(tables.apply(&[assign(1, 1, 0)]));
+    let update = single_update(tables.apply(&[assign(1, 1, 0)]));
     assert!(update.parts.len() > 4);
     let mut model = ModelProxy::new(2);
     model.apply(&tables.classes, &update);
@@ -317,7 +320,7 @@
             }
             for (id, stream) in &tables.streams {
                 let model = &proxies[id.0 as usize];
-                for (class, assigned) in stream.assigned.iter().enumerate() {
+                for (class, assigned) in stream.assigned_tables.iter().enumerate() {
                     let Some(table) = assigned else { continue };
                     let table = tables.tables.get(table).cloned().unwrap_or_default();
                     let entries =
--- a/crates/wingfold-node/src/tables/update_parts.rs
+++ b/crates/wingfold-node/src/tables/update_parts.rs
@@ -58,8 +58,8 @@
     fn has_other_changes(&self, stream: &StreamState, batch: &BatchChanges) -> bool {
         let has_new_admission = |id: &TableId| batch.tables_with_admission.contains(id);
         batch.global_admission_set
-            || stream.assigned.iter().flatten().any(has_new_admission)
-            || batch.ejection_set.iter().any(|host| self.may_use(stream, host))
+            || stream.assigned_tables.iter().flatten().any(has_new_admission)
+            || batch.ejected_or_restored.iter().any(|host| self.may_use(stream, host))
             || batch.barriers.iter().any(|barrier| barrier.all_proxies)
     }
 
@@ -128,7 +128,7 @@
     /// with the retry policy of the table. Where only one of the two levels is set, it applies with its own
     /// retry policy.
     pub(super) fn admission(&self, stream: &StreamState, class: ClassIndex) -> Option<AdmissionLevel> {
-        let table = stream.assigned[class].and_then(|id| self.tables.get(&id));
+        let table = stream.assigned_tables[class].and_then(|id| self.tables.get(&id));
         let table_level = table.and_then(|table| table.admission.get(&class));
         match (table_level, self.global_admission.get(&class)) {
             (Some(table_level), Some(global)) => {
@@ -211,7 +211,7 @@
     /// Whether a proxy may have a host in one of its tables. The contents of a table that the proxy had when
     /// it connected are unknown, so such a table may hold any host.
     fn may_use(&self, stream: &StreamState, host: &HostId) -> bool {
-        stream.assigned.iter().any(|table| match table {
+        stream.assigned_tables.iter().any(|table| match table {
             Some(id) => self.tables.get(id).is_some_and(|table| table.entries.contains_key(host)),
             None => true,
         })
@@ -226,10 +226,10 @@
     changed_entries: &ChangedEntries,
 ) -> BTreeMap<TableToSend, Vec<ClassIndex>> {
     let mut tables: BTreeMap<TableToSend, Vec<ClassIndex>> = BTreeMap::new();
-    for (class, assigned) in stream.assigned.iter().enumerate() {
+    for (class, assigned) in stream.assigned_tables.iter().enumerate() {
         let Some(table) = *assigned else { continue };
         let was_cleared = batch.tables.get(&table).is_some_and(|change| change.cleared);
-        let complete = was_cleared || batch.assigned.contains(&AssignedClass { proxy, class });
+        let complete = was_cleared || batch.assigned_classes.contains(&AssignedClass { proxy, class });
         if complete || changed_entries.contains_key(&table) {
             tables.entry(TableToSend { table, complete }).or_default().push(class);
         }
