--- a/crates/wingfold-director/src/director.rs
+++ b/crates/wingfold-director/src/director.rs
@@ -145,7 +145,7 @@
         match event {
             Event::EndpointList { kind, endpoints } => self.apply_endpoint_list(*kind, endpoints),
             Event::EndpointListFailed => self.back_off_endpoint_list(),
-            Event::DiscoveryMoved => self.follow_discovery(),
+            Event::DiscoveryMoved => self.restart_endpoint_list_poll(),
             Event::ProxyConnected { proxy, zone, requests_per_s } => {
                 self.connect_proxy(*proxy, zone, *requests_per_s)
             }
--- a/crates/wingfold-director/src/policy/admission.rs
+++ b/crates/wingfold-director/src/policy/admission.rs
@@ -1,57 +1,60 @@
-//! Admission: how much of the work is admitted, and the quota of each class.
+//! Admission control: the ratio of the offered load that is admitted, and the quota of each class.
 use crate::director::Director;
 use crate::interface::{AdmissionMode, ClassId, Notice, ZoneId};
 use crate::rate_limit::equal_rate_limit;
 use crate::state::{AdmissionSample, ByZone, HealthState, Zone};
 
-/// Interval of updates, in seconds.
+/// Interval of admission updates, in seconds.
 pub(crate) const ADMISSION_INTERVAL_S: f64 = 1.0;
-/// Utilization that admission aims at.
+/// Utilization of the hosts that admission control aims at.
 const TARGET_UTILIZATION: f64 = 0.65;
 /// Utilization from which hosts count as saturated.
 pub(crate) const SATURATED_UTILIZATION: f64 = 0.92;
-/// Wait of an answer at the target utilization, as a ratio of the tightest latency objective.
-const TARGET_WAIT_RATIO: f64 = 0.2;
-/// Median loss that counts as hidden load at most, as a ratio.
+/// Queueing delay at the target utilization, as a ratio of the tightest latency objective.
+const TARGET_QUEUEING_DELAY_RATIO: f64 = 0.2;
+/// Largest median loss ratio that is added to the offered load of saturated hosts.
 const MAX_HIDDEN_LOAD_RATIO: f64 = 0.5;
-/// Ratio of the requests of a class that is always admitted.
+/// Ratio of the requests of each class that is always admitted.
 const MIN_CLASS_QUOTA: f64 = 0.05;
-/// Ratio of all work that is always admitted: queues that still drain must not read as ever more load.
+/// Lower bound of the admission ratio. Hosts that still drain their queues report a high utilization, which
+/// would otherwise be taken for an ever rising load.
 const MIN_ADMISSION_RATIO: f64 = 0.3;
-/// Ratio of the work from which all of it is admitted.
+/// Computed admission ratio from which all load is admitted.
 const FULL_ADMISSION_RATIO: f64 = 0.9;
-/// Steps of admission ratios and levels: each change of one is a change of every table.
+/// Steps per unit that admission ratios and levels are rounded to: each change of one changes every table.
 const ADMISSION_STEPS: f64 = 20.0;
-/// Level that admits everything where levels are rates, in requests per second.
+/// Admission level that admits all requests where levels are rates, in requests per second.
 const UNLIMITED_REQUESTS_PER_S: f64 = 1e6;
-/// Least divisor of ratios of loads and capacities.
+/// Lower bound of divisors that are loads or capacities: it prevents a division by zero.
 const MIN_DIVISOR: f64 = 1e-9;
 
 /// Capacity of the hosts in use, in units of listed weight.
 struct FleetCapacity {
-    /// All hosts that are ready and healthy in some zone, as far as they are warm.
+    /// Capacity of all hosts that are ready, and healthy in at least one zone. A host in slow start counts
+    /// with the part of its capacity that it has reached.
     total: f64,
-    /// Those of them that reported their utilization lately.
+    /// The part of `total` on hosts that recently reported their utilization.
     reported: f64,
-    /// The busy part of those that reported.
+    /// The part of `reported` that is busy.
     busy: f64,
 }
 
 impl FleetCapacity {
-    /// Mean utilization of the hosts that reported it.
+    /// Mean utilization of the hosts that recently reported it, weighted by capacity.
     fn utilization(&self) -> f64 {
         self.busy / f64::max(self.reported, MIN_DIVISOR)
     }
 }
 
 impl Director {
-    /// Admits as much work as keeps the hosts at the target utilization.
+    /// Updates the admission ratio so that the admitted load keeps the hosts at the target utilization.
     pub(crate) fn update_admission(&mut self, zones: &ByZone<Zone>) {
         let capacity = self.fleet_capacity(zones);
         let Some(latency_ms) = self.median_latency_ms.filter(|_| capacity.total > 0.0) else { return };
         let reported_utilization = capacity.utilization();
-        let wait_ratio = self.update_wait_ratio(latency_ms);
-        self.utilization = reported_utilization.max(TARGET_UTILIZATION + wait_ratio - TARGET_WAIT_RATIO);
+        let queueing_delay_ratio = self.update_queueing_delay_ratio(latency_ms);
+        let inferred_utilization = TARGET_UTILIZATION + queueing_delay_ratio - TARGET_QUEUEING_DELAY_RATIO;
+        self.utilization = reported_utilization.max(inferred_utilization);
         self.expire_admission_history();
         self.update_offered_load(capacity.total);
         let admission_ratio = self.target_admission_ratio(capacity.total);
@@ -68,7 +71,7 @@
         self.admission_history.push_back(AdmissionSample { updated_at: self.now, saturating_load });
     }
 
-    /// Capacity of the hosts in use.
+    /// Capacity of the hosts that are ready, and healthy in at least one zone.
     fn fleet_capacity(&self, zones: &ByZone<Zone>) -> FleetCapacity {
         let is_in_use =
             self.hosts_where_any_zone(zones, |row| row.is_known && row.health == HealthState::Healthy);
@@ -87,16 +90,16 @@
         capacity
     }
 
-    /// Updates the latency without load, and returns the wait of an answer as a ratio of the tightest latency
-    /// objective.
-    fn update_wait_ratio(&mut self, latency_ms: f64) -> f64 {
+    /// Updates the latency without load, and returns the present queueing delay (the latency beyond it) as a
+    /// ratio of the tightest latency objective.
+    fn update_queueing_delay_ratio(&mut self, latency_ms: f64) -> f64 {
         let unloaded_ms = self.unloaded_latency_ms.map_or(latency_ms, |known| known.min(latency_ms));
         self.unloaded_latency_ms = Some(unloaded_ms);
         (latency_ms - unloaded_ms) / self.tightest_latency_objective_ms()
     }
 
-    /// Drops the admission updates that are too old to have caused the present utilization, except the last
-    /// of them, which is the one that did.
+    /// Drops the admission updates that were replaced before the present utilization was measured. The first
+    /// one left was in force at that time.
     fn expire_admission_history(&mut self) {
         let lag_s =
             self.settings.report_period.secs() + self.settings.mean_push_delay.secs() + ADMISSION_INTERVAL_S;
@@ -112,17 +115,18 @@
         let saturating_load =
             self.admission_history.front().map_or(capacity, |sample| sample.saturating_load);
         let hidden_load_factor = if self.utilization >= SATURATED_UTILIZATION {
-            // Utilization no longer shows how much more is offered, losses do.
+            // The utilization of saturated hosts doesn't show how far the load exceeds their capacity; their
+            // losses do.
             1.0 + self.median_loss.min(MAX_HIDDEN_LOAD_RATIO)
         } else {
             1.0
         };
         let offered_load = self.utilization * hidden_load_factor * saturating_load;
-        // A rise counts at once and a fall by half: queues grow faster than they drain.
+        // A rise is applied at once and a fall only by half: queues grow faster than they drain.
         self.offered_load = offered_load.max((self.offered_load + offered_load) / 2.0);
     }
 
-    /// The ratio of the offered load that keeps the hosts at the target utilization.
+    /// The admission ratio that keeps the hosts at the target utilization under the present offered load.
     fn target_admission_ratio(&self, capacity: f64) -> f64 {
         let ratio = TARGET_UTILIZATION * capacity / self.offered_load.max(MIN_DIVISOR);
         if ratio >= FULL_ADMISSION_RATIO {
@@ -132,8 +136,8 @@
         }
     }
 
-    /// The ratio of a class that is admitted. Classes with the least priority weight for their load are the
-    /// first to be rejected.
+    /// The admitted ratio of a class's requests. Requests of the class with the lowest priority weight per
+    /// load are rejected first.
     pub(crate) fn admitted_quota(&self, class: usize) -> f64 {
         if self.admission_ratio >= 1.0 {
             return 1.0;
@@ -144,27 +148,27 @@
             .filter(|other| self.priority_per_load(*other) > self.priority_per_load(class))
             .map(|other| self.class_load(other))
             .sum();
-        // Without usage there is nothing to limit.
+        // Without reported usage no class is limited.
         let total_load = if total_load <= 0.0 { f64::INFINITY } else { total_load };
         let quota =
             (self.admission_ratio * total_load - prior_load) / self.class_load(class).max(MIN_DIVISOR);
         quota.clamp(MIN_CLASS_QUOTA, 1.0)
     }
 
-    /// Load of a class: its requests per second times its latency objective, which stands for the work of a
-    /// request, since that is not reported.
+    /// Load of a class: its requests per second times its latency objective. The objective stands for the
+    /// cost of a request, which is not reported.
     fn class_load(&self, class: usize) -> f64 {
         let rates = self.proxies.values().filter_map(|proxy| proxy.usage.get(&ClassId(class)));
         rates.sum::<f64>() * self.settings.classes[class].latency_objective.secs()
     }
 
-    /// Priority weight of a class for the load of a request.
+    /// Priority weight of a class per load of one request.
     fn priority_per_load(&self, class: usize) -> f64 {
         let class = &self.settings.classes[class];
         class.priority_weight / class.latency_objective.secs()
     }
 
-    /// The admission level of a class in a zone's tables that admits `quota` of it.
+    /// The admission level in a zone's tables at which `quota` of a class's requests are admitted.
     pub(crate) fn admission_level(&self, zone: &ZoneId, class: usize, quota: f64) -> f64 {
         match self.settings.admission_mode {
             AdmissionMode::Share => round_to_admission_step(quota),
@@ -176,8 +180,8 @@
         }
     }
 
-    /// Requests per second that each proxy of a zone may admit, so that all together admit `quota` of a
-    /// class; `None` if they have no usage.
+    /// The limit on each proxy of a zone, in requests per second, at which the proxies together admit `quota`
+    /// of a class's requests; `None` if they report no usage of the class.
     fn rate_limit(&self, zone: &ZoneId, class: ClassId, quota: f64) -> Option<f64> {
         let rates: Vec<f64> = self
             .proxies_in_zone(zone)
--- a/crates/wingfold-director/src/policy/assignment.rs
+++ b/crates/wingfold-director/src/policy/assignment.rs
@@ -1,21 +1,21 @@
-//! Assignment of proxies that have connected to subsets and their tables.
+//! Assignment of connected proxies to subsets, and so to the tables of these subsets.
 use crate::director::Director;
 use crate::interface::{Action, ClassMask, ProxyId, ZoneId};
 use crate::policy::send_capacity::PushPriority;
 use crate::state::{ByZone, Table, Zone};
 use std::collections::BTreeMap;
 
-/// The mask that stands for every class.
+/// The value of a class mask that stands for all classes.
 const ALL_CLASSES: ClassMask = ClassMask(0);
 
-/// The position of the subset with the least load; the first of those with equal loads.
+/// The index of the subset with the least load; among equal loads, the lowest index.
 fn least_loaded_subset(loads: &[f64]) -> Option<usize> {
     (0..loads.len()).min_by(|one, other| loads[*one].total_cmp(&loads[*other]))
 }
 
 impl Director {
-    /// Assigns each waiting proxy to the subset with the least load in its zone, if the send capacity admits
-    /// its tables and they have entries by now.
+    /// Assigns each waiting proxy to the subset with the least load in its zone. A proxy keeps waiting while
+    /// all tables of that subset are empty, or while they exceed the send capacity.
     pub(crate) fn assign_proxies(
         &mut self,
         zones: &ByZone<Zone>,
@@ -30,10 +30,11 @@
             let Some(loads) = loads.get_mut(&proxy.zone) else { continue };
             let Some(subset) = least_loaded_subset(loads) else { continue };
             let tables = &zones[&proxy.zone].subsets[subset].tables;
-            // All classes at once: one that kept the table of another subset would get no changes of it.
+            // The tables of all classes are assigned at once: a class that kept the table of another subset
+            // would receive no further changes of that table.
             let lines = tables.iter().map(Table::full_lines).sum();
-            let has_no_entries = tables.iter().all(|table| table.entries.is_empty());
-            if has_no_entries || !self.has_capacity(PushPriority::ASSIGNMENT, lines, &[id]) {
+            let all_are_empty = tables.iter().all(|table| table.entries.is_empty());
+            if all_are_empty || !self.has_capacity(PushPriority::ASSIGNMENT, lines, &[id]) {
                 continue;
             }
             loads[subset] += requests_per_s;
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Assigns a proxy the table of each group of classes.
+    /// Appends the actions that assign a proxy one table for each group of classes.
     fn assign_tables(&self, proxy: ProxyId, tables: &[Table], out: &mut Vec<Action>) {
         for (group, table) in self.class_groups.iter().zip(tables) {
             let is_only_group = self.class_groups.len() == 1;
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Records that a proxy is assigned to a subset.
+    /// Records the subset that a proxy is assigned to, and that the proxy no longer waits.
     fn record_assignment(&mut self, id: ProxyId, subset: usize) {
         self.memo.revisions.proxies += 1;
         if let Some(proxy) = self.proxies.get_mut(&id) {
@@ -61,8 +62,8 @@
         }
     }
 
-    /// The proxies that wait for an assignment, in the order in which they connected; of those that
-    /// connected at once, the ones with most traffic first.
+    /// The proxies that wait for an assignment, in the order in which they connected. Proxies that connected
+    /// at the same time are ordered by their requests per second, highest first.
     pub(crate) fn proxies_awaiting_assignment(&self) -> Vec<ProxyId> {
         let waiting = self.proxies.iter().filter(|(_, proxy)| proxy.awaiting_assignment);
         let mut waiting: Vec<ProxyId> = waiting.map(|(id, _)| *id).collect();
--- a/crates/wingfold-director/src/policy/endpoint_list.rs
+++ b/crates/wingfold-director/src/policy/endpoint_list.rs
@@ -1,32 +1,32 @@
-//! Applying the endpoint list, polling it with backoff, and evicting hosts that it removed long ago.
+//! The endpoint list: applying it, polling it with backoff, and evicting hosts that it removed long ago.
 use crate::director::Director;
 use crate::interface::{Action, Endpoint, EndpointListKind, HostId, Notice, Readiness, Timestamp};
 use crate::policy::outlier_detection::{BASE_EJECTION_S, PROBATION_S};
 use crate::state::{ByZone, HealthState, Host, Zone, ZoneHostStats};
 use std::collections::BTreeSet;
 
-/// Seconds after which a removed host is evicted: a host that crashed has returned by then.
+/// Seconds after which a removed host is evicted: a host that restarts after a crash is listed again by then.
 const EVICT_REMOVED_AFTER_S: f64 = 60.0;
-/// Ratio by which a listed weight must differ from the one in use to replace it: each change is one of every
-/// table.
+/// Least relative difference between a listed weight and the weight in use at which the listed one replaces
+/// it: each change of a weight changes every table.
 const MIN_WEIGHT_CHANGE_RATIO: f64 = 0.25;
-/// Backoff in seconds that each failed poll doubles.
+/// Base of the exponential backoff, in seconds: each consecutive failed poll, the first included, doubles it.
 const BASE_BACKOFF_S: f64 = 0.25;
-/// Doublings of the backoff at most.
+/// Largest number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
-/// Lower bound of the longest backoff, in seconds, however short the polling interval.
+/// Lower bound of the longest backoff, in seconds, for short polling intervals.
 const MIN_LONGEST_BACKOFF_S: f64 = 1.0;
-/// Smallest factor that jitter changes a backoff by.
-const MIN_JITTER: f64 = 0.75;
-/// Difference between the largest and the smallest of these factors.
-const JITTER_RANGE: f64 = 0.5;
+/// Smallest jitter factor of a backoff.
+const MIN_JITTER_FACTOR: f64 = 0.75;
+/// Difference between the largest and the smallest jitter factor.
+const JITTER_FACTOR_RANGE: f64 = 0.5;
 /// Number of directors from which the longest backoff grows in proportion to it.
 const BACKOFF_GROWTH_DIRECTORS: f64 = 10.0;
-/// Factor by which the longest backoff grows at most with the number of directors.
+/// Largest factor by which the number of directors raises the longest backoff.
 const MAX_BACKOFF_GROWTH: f64 = 4.0;
 
 impl Director {
-    /// Applies an endpoint list, or changes of it.
+    /// Applies a complete endpoint list, or changes of the list.
     pub(crate) fn apply_endpoint_list(&mut self, kind: EndpointListKind, endpoints: &[Endpoint]) {
         let is_first_list = self.hosts.is_empty();
         self.endpoint_list_changed = true;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Marks the hosts as removed that a complete list doesn't name.
+    /// Marks each host that a complete list does not name as removed.
     fn remove_unlisted_hosts(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<&HostId> = endpoints.iter().map(|endpoint| &endpoint.host).collect();
         let is_advisory = self.settings.removal_is_advisory;
@@ -60,14 +60,15 @@
         }
     }
 
-    /// Marks a host as removed, if it is known.
+    /// Marks a host as removed; an unknown host is ignored.
     fn remove_host(&mut self, id: &HostId) {
         if let Some(host) = self.hosts.get_mut(id) {
             mark_removed(host, self.settings.removal_is_advisory, self.now);
         }
     }
 
-    /// Adds or updates a host that the list names. On the first list every host counts as known before.
+    /// Adds or updates a host that the list names. Hosts of the first list count as known, not as just
+    /// started.
     fn apply_endpoint(&mut self, endpoint: &Endpoint, is_first_list: bool) {
         let listed_weight = self.listed_weight(endpoint);
         let known = self.hosts.get(&endpoint.host);
@@ -90,20 +91,21 @@
     }
 
     /// The weight that the list gives a host, corrected by the relative speed of its machine type. A weight
-    /// that is none counts as 1.
+    /// that is not a positive number counts as 1.
     fn listed_weight(&self, endpoint: &Endpoint) -> f64 {
         let relative_speed = self.relative_speeds.get(&endpoint.machine_type).unwrap_or(&1.0);
         let weight = if endpoint.weight > 0.0 { endpoint.weight } else { 1.0 };
         relative_speed * weight
     }
 
-    /// Discards what all zones know of a host that has just started.
+    /// Resets the statistics that all zones hold of a host that has just started.
     fn reset_started_host(&mut self, id: &HostId, is_new: bool) {
         let health = if is_new {
-            // A list may name hosts that aren't ours or are misconfigured: no list named this one before.
+            // No list named this host before. It may be misconfigured, or not a host of this fleet.
             HealthState::Probation { until: self.seconds_from_now(PROBATION_S) }
         } else {
-            // Slow start limits it already; the weight of a probation on top would starve a rolling restart.
+            // Slow start limits the host already. The reduced weight of a probation in addition would leave
+            // the fleet too little capacity during a rolling restart.
             HealthState::Healthy
         };
         let stats = ZoneHostStats {
@@ -118,7 +120,8 @@
         self.notices.push(Notice::HostStarted { host: id.clone() });
     }
 
-    /// Polls the endpoint list, or starts to watch it, unless that is done already or a backoff runs.
+    /// Polls the endpoint list, or starts to watch it. Does nothing after an earlier poll or watch that has
+    /// not failed, or during a backoff.
     pub(crate) fn poll_endpoint_list(&mut self, actions: &mut Vec<Action>) {
         if self.is_watching || self.now < self.next_poll_at {
             return;
@@ -127,34 +130,34 @@
         let poll = if self.settings.endpoint_list_on_request {
             Action::WatchEndpoints(true)
         } else {
-            // Changes are pushed, but the cached list may be old.
+            // Later changes are pushed unasked, but the cached list may be outdated.
             Action::FetchEndpoints
         };
         actions.push(poll);
     }
 
-    /// Schedules the next poll after one that failed, with exponential backoff and jitter.
+    /// Schedules the next poll after a failed one, with exponential backoff and jitter.
     pub(crate) fn back_off_endpoint_list(&mut self) {
         self.poll_failures += 1;
-        let jitter = MIN_JITTER + JITTER_RANGE * self.next_random();
+        let jitter_factor = MIN_JITTER_FACTOR + JITTER_FACTOR_RANGE * self.next_random();
         let doublings = self.poll_failures.min(MAX_BACKOFF_DOUBLINGS) as i32;
         let backoff_s = BASE_BACKOFF_S * 2f64.powi(doublings);
-        let retry_in_s = jitter * backoff_s.min(self.longest_backoff_s());
+        let retry_in_s = jitter_factor * backoff_s.min(self.longest_backoff_s());
         self.is_watching = false;
         self.next_poll_at = self.seconds_from_now(retry_in_s);
         self.notices.push(Notice::EndpointListFailed { retry_in_s });
     }
 
-    /// The longest backoff in seconds: it grows with the number of directors, which must not overload a list
-    /// that has just come back.
+    /// The longest backoff in seconds. It grows with the number of directors, so that their polls don't
+    /// overload discovery when it has just recovered.
     fn longest_backoff_s(&self) -> f64 {
         let growth =
             (f64::from(self.settings.directors) / BACKOFF_GROWTH_DIRECTORS).clamp(1.0, MAX_BACKOFF_GROWTH);
         (growth * self.settings.poll_within.secs() / 2.0).max(MIN_LONGEST_BACKOFF_S)
     }
 
-    /// Polls at once, since discovery has another address.
-    pub(crate) fn follow_discovery(&mut self) {
+    /// Makes the endpoint list be polled at once, since discovery has another address.
+    pub(crate) fn restart_endpoint_list_poll(&mut self) {
         self.is_watching = false;
         self.next_poll_at = self.now;
         self.endpoint_list_changed = true;
@@ -174,7 +177,7 @@
         self.update_host_rows(zones);
     }
 
-    /// The hosts that are due for eviction.
+    /// The hosts that were removed long enough ago and that no table references.
     fn evictable_hosts(&self, zones: &ByZone<Zone>) -> Vec<HostId> {
         let is_old =
             |host: &Host| host.removed_at.is_some_and(|at| self.now.since(at) >= EVICT_REMOVED_AFTER_S);
@@ -187,8 +190,8 @@
     }
 }
 
-/// Marks a host that the list calls removed, or doesn't name. Where removal is advisory, a ready host stays
-/// in use until its own answers fail: a wrong list must not empty the tables.
+/// Records that the list calls a host removed, or doesn't name it. Where removal is advisory, a ready host
+/// stays in use until attempts at it fail as well: a wrong list must not empty the tables.
 fn mark_removed(host: &mut Host, is_advisory: bool, now: Timestamp) {
     host.removed_at.get_or_insert(now);
     if is_advisory && host.is_ready() {
@@ -198,10 +201,10 @@
     }
 }
 
-/// The known weight, unless the listed one differs substantially.
-fn weight_to_use(known: f64, listed: f64) -> f64 {
-    if (known / listed - 1.0).abs() < MIN_WEIGHT_CHANGE_RATIO {
-        known
+/// The weight in use, unless the listed weight differs from it substantially.
+fn weight_to_use(in_use: f64, listed: f64) -> f64 {
+    if (in_use / listed - 1.0).abs() < MIN_WEIGHT_CHANGE_RATIO {
+        in_use
     } else {
         listed
     }
