--- a/crates/wingfold-director/src/policy/load_reports.rs
+++ b/crates/wingfold-director/src/policy/load_reports.rs
@@ -1,27 +1,28 @@
-//! Evidence from load reports: attempts at hosts, their utilization, and the usage of proxies.
+//! Evidence from load and usage reports: attempts at hosts, utilization of hosts, and usage by proxies.
 use crate::director::Director;
 use crate::interface::{AttemptCounts, ClassId, HostId, HostLoad, Micros, ProxyId, Timestamp, ZoneId};
 use crate::policy::outlier_detection::is_useless_to_all_zones;
 use crate::state::{AttemptStats, Host, ReportCounts, ReportedUtilization, ZoneHostStats};
 
-/// Half-life of the attempts that outlier detection counts, in seconds: it must span a scoring round.
+/// Half-life of the attempts that outlier detection counts, in seconds: the counts must span a scoring round.
 const EVIDENCE_HALF_LIFE_S: f64 = 2.0;
-/// Expected attempts without a report from which a host or a proxy counts as silent.
+/// Number of expected attempts without a report from which a host or a proxy may count as silent.
 pub(crate) const SILENT_ATTEMPTS: f64 = 7.0;
-/// Reports that the others must have sent meanwhile: a single report may be delayed.
+/// Number of report rounds (one report per host or proxy) without a report from which a host or a proxy may
+/// count as silent: a single report may be delayed.
 pub(crate) const SILENT_REPORT_ROUNDS: f64 = 3.0;
-/// Scoring intervals for which a reported utilization stands: a host without requests reports none.
+/// Scoring intervals after which a reported utilization expires: a host without requests reports no new one.
 const MAX_UTILIZATION_AGE_INTERVALS: f64 = 2.0;
-/// Ratio of the longest latency objective that the median latency must stay under for an answer beyond that
-/// objective to count as useless.
+/// Answers later than the longest latency objective count as useless while the median latency of all hosts
+/// is below this ratio of the objective.
 const MAX_MEDIAN_LATENCY_RATIO: f64 = 0.5;
 /// Weight of the latest value in the exponential smoothing of usage.
 const USAGE_SMOOTHING_FACTOR: f64 = 0.5;
-/// Shortest period of a usage report that a rate is computed from, in seconds.
+/// Lower bound of the period that a rate is computed with, in seconds: it keeps the rate finite.
 const MIN_USAGE_PERIOD_S: f64 = 0.1;
 
 impl Director {
-    /// Records what the proxies of a zone met at a host.
+    /// Records the results of the attempts that the proxies of a zone made at a host.
     pub(crate) fn record_load_report(
         &mut self,
         zone: &ZoneId,
@@ -49,8 +50,8 @@
         self.memo.load_report_recorded(&mut zone.memo, host, usefulness_changed);
     }
 
-    /// Whether answers with this mean latency are worth no more than failures: no class can use them, though
-    /// most hosts answer well in time.
+    /// Whether answers with this mean latency are as useless as failures: they come after the latency
+    /// objective of every class, while most hosts answer well within the longest one.
     fn is_too_late(&self, mean_latency: Micros) -> bool {
         let mean_latency_ms = mean_latency.0 as f64 / 1e3;
         let longest_objective_ms = self.longest_latency_objective_ms();
@@ -60,7 +61,7 @@
                 .is_some_and(|median_ms| median_ms < longest_objective_ms * MAX_MEDIAN_LATENCY_RATIO)
     }
 
-    /// Records the utilization that a host reported, if it did.
+    /// Records the utilization that a host reported. A report without one changes nothing.
     pub(crate) fn record_utilization(&mut self, host: &HostId, load: &HostLoad) {
         let Some(host) = self.hosts.get_mut(host) else { return };
         let Some(reported) = load.utilization else { return };
@@ -68,14 +69,14 @@
         host.utilization = Some(ReportedUtilization { ratio, reported_at: self.now });
     }
 
-    /// A host's utilization as a ratio, if it was reported lately.
+    /// A host's utilization as a ratio; `None` if no recent report contained it.
     pub(crate) fn recent_utilization(&self, host: &Host) -> Option<f64> {
         let max_age_s = MAX_UTILIZATION_AGE_INTERVALS * self.scoring_interval_s();
         let recent = host.utilization.filter(|reported| self.now.since(reported.reported_at) <= max_age_s)?;
         Some(recent.ratio)
     }
 
-    /// Records the requests of a class that came to a proxy.
+    /// Records how many requests of a class a proxy received.
     pub(crate) fn record_usage(&mut self, proxy: ProxyId, class: ClassId, requests: AttemptCounts) {
         let Some(proxy) = self.proxies.get_mut(&proxy) else { return };
         proxy.last_report_at = self.now;
@@ -84,9 +85,9 @@
         *usage += USAGE_SMOOTHING_FACTOR * (requests_per_s - *usage);
     }
 
-    /// Drops the usage of proxies that have reported none while others did: they idle, or their streams are
-    /// half open. Silence is measured up to the latest report of any proxy, since a delay of all reports
-    /// says nothing of one proxy.
+    /// Drops the usage of proxies that sent no usage report while others did: such proxies are idle, or their
+    /// streams are half open. Silence is measured up to the latest report of any proxy, since a delay of all
+    /// reports is no sign that one proxy is silent.
     pub(crate) fn expire_idle_usage(&mut self) {
         let latest_report_at =
             self.proxies.values().map(|proxy| proxy.last_report_at).max().unwrap_or_default();
@@ -101,7 +102,7 @@
     }
 }
 
-/// The attempts of a load report.
+/// Converts the counts of a load report to statistics.
 fn report_stats(counts: AttemptCounts, mean_latency: Micros) -> AttemptStats {
     let attempts = counts.total as f64;
     let failures = counts.failed.min(counts.total) as f64;
@@ -109,7 +110,7 @@
     AttemptStats { attempts, failures, latency_sum_ms }
 }
 
-/// Starts to count missed attempts anew from a load report on.
+/// Resets the count of missed attempts, which starts again from the latest load report.
 fn restart_missed_attempts(stats: &mut ZoneHostStats, attempts_seen: ReportCounts) {
     stats.counts_at_last_report = attempts_seen;
     stats.missed_attempts = 0.0;
@@ -128,8 +129,8 @@
     }
 }
 
-/// The number of consecutive useless attempts after a load report. A factor resets it rather than a branch,
-/// so that a count that a damaged checkpoint made NaN stays one.
+/// The number of consecutive useless attempts after a load report. The reset is a multiplication by 0 rather
+/// than a branch, so that a NaN from a damaged checkpoint stays NaN.
 fn extend_useless_run(consecutive_useless: f64, report: &AttemptStats, is_useless: bool) -> f64 {
     f64::from(is_useless) * (consecutive_useless + report.attempts)
 }
--- a/crates/wingfold-director/src/policy/locality.rs
+++ b/crates/wingfold-director/src/policy/locality.rs
@@ -1,19 +1,22 @@
-//! Locality: the weight that hosts of other zones have where crossing zones has a price.
+//! Locality: how much weight hosts of other zones have for a zone's proxies where requests across zones have
+//! a price.
 use crate::director::Director;
 use crate::interface::{HostId, ZoneId};
 use crate::state::{ByZone, HealthState, Host, Zone};
 
-/// Least weight ratio of hosts in other zones, over the square root of the number of the zone's own hosts:
-/// the more hosts, the less does the load of one vary by chance.
-const REMOTE_WEIGHT_RATIO: f64 = 0.6;
-/// A zone spreads to other zones once its own hosts would have this multiple of the fleet's mean load.
+/// Least weight ratio of hosts in other zones for a zone with one host of its own. It falls with the square
+/// root of the number of own hosts: the more there are, the less the load of each varies by chance.
+const SINGLE_HOST_REMOTE_WEIGHT_RATIO: f64 = 0.6;
+/// Load of a host, as a multiple of the fleet's mean load, above which its zone sends more requests to other
+/// zones.
 const MAX_HOST_LOAD_RATIO: f64 = 1.5;
 
-/// Demand and capacity of a zone, and what it spreads to others.
+/// Demand and capacity of a zone, and the weight of other zones' hosts for its proxies.
 struct ZoneLoad {
     /// Requests of the zone's proxies, in units that are the same for all zones.
     demand: f64,
-    /// Listed weight of the zone's own hosts, as far as they are in use and warm.
+    /// Listed weight of the zone's own hosts that are in use. A host in slow start counts with the part of
+    /// its capacity that it has reached.
     capacity: f64,
     /// Ratio of its weight that a host of another zone keeps for this zone's proxies.
     remote_weight: f64,
@@ -28,7 +31,7 @@
 }
 
 impl FleetLoad {
-    /// Sums up the zones.
+    /// The sums of the demand and of the capacity of all zones.
     fn of(zone_loads: &ByZone<ZoneLoad>) -> FleetLoad {
         let mut fleet = FleetLoad { demand: 0.0, capacity: 0.0 };
         for zone in zone_loads.values() {
@@ -38,7 +41,7 @@
         fleet
     }
 
-    /// Load that a zone's proxies put on a host at full weight, as a multiple of the fleet's mean load.
+    /// Load that a zone's proxies put on each host of full weight, as a multiple of the fleet's mean load.
     fn load_at_full_weight(&self, zone: &ZoneLoad) -> f64 {
         zone.demand
             / self.demand
@@ -47,8 +50,8 @@
 }
 
 impl Director {
-    /// Sets how much weight hosts of other zones lose in each zone, where crossing zones has a price: as
-    /// much as leaves no zone's own hosts overloaded.
+    /// Sets by how much each zone discounts the weight of hosts of other zones, where requests across zones
+    /// have a price: as much as possible without overloading the hosts of any zone.
     pub(crate) fn update_locality(&self, zones: &mut ByZone<Zone>) {
         let mut zone_loads = ByZone::new();
         if self.settings.cross_zone_price > 0.0 {
@@ -60,7 +63,7 @@
         }
     }
 
-    /// Demand and capacity of each zone, with the least weight for hosts of other zones.
+    /// Demand and capacity of each zone, with the least weight ratio for hosts of other zones.
     fn zone_loads(&self, zones: &ByZone<Zone>) -> ByZone<ZoneLoad> {
         let hosts_by_zone = self.hosts_by_zone();
         let mut zone_loads = ByZone::new();
@@ -76,9 +79,9 @@
         zone_loads
     }
 
-    /// Demand of a zone's proxies. Where proxies connect to directors of their own zone, a director sees the
-    /// usage of that zone only, as if it were all; listed weights stand for demand there, since machines are
-    /// placed where requests arrive.
+    /// Demand of a zone's proxies. Where proxies connect to directors of their own zone, a director gets
+    /// usage reports from one zone only, so that its usage can't be compared with other zones'. The listed
+    /// weight of a zone's hosts stands for its demand then, since machines are placed where requests arrive.
     fn zone_demand(&self, name: &ZoneId, own_hosts: &[(&HostId, &Host)]) -> f64 {
         let sees_own_zone_only = self.settings.local_first && self.settings.directors > 1;
         if sees_own_zone_only {
@@ -88,7 +91,8 @@
         }
     }
 
-    /// Listed weight of a zone's own hosts, as far as the zone uses them and they are warm.
+    /// Listed weight of a zone's own hosts that are ready and healthy in the zone, less the capacity that
+    /// hosts in slow start have not reached yet.
     fn zone_capacity(&self, zone: &Zone, own_hosts: &[(&HostId, &Host)]) -> f64 {
         let is_in_use =
             |id: &HostId| zone.host_stats.get(id).is_none_or(|stats| stats.health == HealthState::Healthy);
@@ -100,15 +104,15 @@
     }
 }
 
-/// The least weight ratio of hosts in other zones: a power of two, since each change of it is a change of
-/// every table.
+/// The least weight ratio of hosts in other zones. It is rounded to a power of two, since each change of it
+/// changes every table.
 fn least_remote_weight(own_hosts: &[(&HostId, &Host)]) -> f64 {
     let ready_hosts = own_hosts.iter().filter(|(_, host)| host.is_ready()).count().max(1) as f64;
-    (REMOTE_WEIGHT_RATIO / ready_hosts.sqrt()).log2().round().exp2().min(1.0)
+    (SINGLE_HOST_REMOTE_WEIGHT_RATIO / ready_hosts.sqrt()).log2().round().exp2().min(1.0)
 }
 
-/// Doubles the remote weight of the zone whose own hosts have the highest load, until no zone that can still
-/// spread is overloaded.
+/// Doubles the remote weight of the zone whose own hosts have the highest load, and repeats this until each
+/// zone with overloaded hosts gives hosts of other zones their full weight.
 fn spread_overloaded_zones(zone_loads: &mut ByZone<ZoneLoad>) {
     let fleet = FleetLoad::of(zone_loads);
     loop {
@@ -119,7 +123,8 @@
         let overloaded = zone_loads
             .values_mut()
             .filter(|zone| zone.remote_weight < 1.0 && host_load(zone) > MAX_HOST_LOAD_RATIO);
-        let Some(hottest) = overloaded.max_by(|a, b| host_load(a).total_cmp(&host_load(b))) else { break };
-        hottest.remote_weight = (2.0 * hottest.remote_weight).min(1.0);
+        let most_loaded = overloaded.max_by(|a, b| host_load(a).total_cmp(&host_load(b)));
+        let Some(most_loaded) = most_loaded else { break };
+        most_loaded.remote_weight = (2.0 * most_loaded.remote_weight).min(1.0);
     }
 }
--- a/crates/wingfold-director/src/policy/mod.rs
+++ b/crates/wingfold-director/src/policy/mod.rs
@@ -1,8 +1,9 @@
-//! Every decision of a director, one concern a file. [`crate::director`] says in which order they are taken.
+//! The decisions of a director, with one file per concern. [`crate::director`] sets their order.
 //!
 //! Tables follow the Best Exit Selection Design (docs/design.md): each zone of proxies is an owner that
 //! scores every host by reported latency and loss; the leading group keeps its listed weight, and the weight
-//! of laggards is halved step by step. All other decisions are on cases that the design leaves open.
+//! of laggards (hosts outside that group) is halved step by step. The other decisions cover cases that the
+//! design leaves open.
 
 pub(crate) mod admission;
 pub(crate) mod assignment;
--- a/crates/wingfold-director/src/policy/outlier_detection.rs
+++ b/crates/wingfold-director/src/policy/outlier_detection.rs
@@ -1,7 +1,7 @@
 //! Outlier detection: ejection, probation and the panic threshold.
 //!
-//! Hosts that fail requests, don't answer them or answer far too late are ejected zone by zone: a zone that
-//! is cut off must not eject a host for all.
+//! Hosts that fail requests, don't answer them or answer far too late are ejected by each zone separately: a
+//! zone whose connection to a host is cut must not eject the host for the other zones.
 use crate::director::Director;
 use crate::incremental::{HealthRow, HostInZone, StatsRow, NEVER};
 use crate::interface::{AdmissionMode, HostId, Notice, Timestamp, ZoneId};
@@ -14,30 +14,33 @@
 
 /// Consecutive failures from which a host may be ejected.
 const EJECTION_FAILURES: f64 = 3.0;
-/// Probability, at the zone's baseline loss, below which consecutive failures eject a host: one that still
-/// answers is left to the ranking, and what all hosts lose is overload.
+/// Probability, at the zone's baseline loss, below which a run of consecutive failures ejects a host. A host
+/// that still answers is left to the ranking, and losses that all hosts share come from overload.
 const EJECTION_PROBABILITY: f64 = 1e-3;
-/// Consecutive useless attempts in all zones from which a host may be ejected.
+/// Consecutive useless attempts (failed, or answered too late for every class) in all zones from which a host
+/// may be ejected.
 const EJECTION_USELESS_ATTEMPTS: f64 = 6.0;
-/// Consecutive useless attempts that end a probation.
+/// Consecutive useless attempts from which a host on probation is ejected again.
 const PROBATION_USELESS_ATTEMPTS: f64 = 2.0;
-/// Recent attempts from which the loss ratio of a host counts.
+/// Recent attempts from which the loss ratio of a host counts for the baseline loss.
 const MIN_RECENT_ATTEMPTS: f64 = 2.0;
-/// Median loss ratio from which the fleet as a whole is in trouble: no single host is an outlier then.
+/// Median loss ratio from which losses are a problem of the whole fleet, and not of single outliers.
 pub(crate) const COMMON_LOSS_RATIO: f64 = 0.1;
-/// Seconds of the first ejection; each further one takes twice as long.
+/// Length of the first ejection in seconds; each one that follows a failed probation is twice as long.
 pub(crate) const BASE_EJECTION_S: f64 = 4.0;
 /// Longest ejection in seconds.
 const MAX_EJECTION_S: f64 = 16.0;
 /// Longest probation in seconds.
 pub(crate) const PROBATION_S: f64 = 8.0;
-/// Ratio of its weight that a host on probation has.
+/// Factor on the weight of a host on probation.
 pub(crate) const PROBATION_WEIGHT_RATIO: f64 = 0.125;
-/// Panic threshold: no host is ejected if less than this ratio of the listed weight would stay.
+/// Panic threshold: losses and missing reports eject no host while the hosts in use have less than this ratio
+/// of the listed weight.
 const PANIC_THRESHOLD_RATIO: f64 = 0.2;
-/// Consecutive failures at the hosts of another zone from which that zone may count as unreachable.
+/// Sum of the consecutive failures at the hosts of another zone from which the zone may count as unreachable.
 const UNREACHABLE_ZONE_FAILURES: f64 = 7.0;
-/// Report periods for which the last report of a host counts as current: hosts are reported in turn.
+/// Report periods for which the last load report on a host counts as current: the reports on different hosts
+/// come at different times of a period.
 const CURRENT_REPORT_PERIODS: f64 = 1.5;
 
 /// A change of a host's health in a zone.
@@ -63,15 +66,15 @@
     transition: HealthTransition,
 }
 
-/// How a zone's tables use a host, for the zone's baseline loss.
+/// What a host contributes to a zone's baseline loss.
 pub(crate) struct HostUsage {
-    /// The host is in use and likely stays so.
+    /// Whether the host is healthy and has too few consecutive failures to be ejected.
     pub(crate) is_in_use: bool,
-    /// Ratio of its recent attempts that failed, if it is in use and there were enough of them.
+    /// Ratio of its recent attempts that failed; `None` if there were too few, or if it is not in use.
     pub(crate) loss_ratio: Option<f64>,
 }
 
-/// What a zone recently met at the hosts of another zone, or of its own.
+/// Results of a zone's recent attempts at the hosts of one zone, either another zone or itself.
 #[derive(Clone, Copy, Default)]
 struct ZoneReachability {
     /// Sum of the hosts' consecutive failures.
@@ -98,14 +101,15 @@
         self.responding_hosts + self.failing_hosts > 0 && self.responding_hosts >= self.failing_hosts
     }
 
-    /// Whether nothing comes back from any host, by enough attempts.
+    /// Whether all reported hosts fail, with enough failures in all.
     fn is_unreachable(&self) -> bool {
         self.consecutive_failures >= UNREACHABLE_ZONE_FAILURES && self.responding_hosts == 0
     }
 }
 
-/// The median loss ratio of those of a zone's hosts that answer: an outlier must stand out against it. It is
-/// 1 where next to none answers (panic threshold): a fault of the observer or an overload is likelier then.
+/// The median loss ratio of the hosts that a zone uses, which the losses of outliers must exceed. Below the
+/// panic threshold the baseline is 1: where hardly any host answers, an overload or a fault on the side of
+/// the zone's proxies is likelier than a fault of so many hosts.
 pub(crate) fn baseline_loss(rows: &[HealthRow]) -> f64 {
     let mut total_weight = 0.0;
     let mut weight_in_use = 0.0;
@@ -123,14 +127,14 @@
     median(loss_ratios.into_iter()).unwrap_or(0.0)
 }
 
-/// Whether a host has been useless to all zones together for long enough to be ejected.
+/// Whether a host has had enough consecutive useless attempts, in all zones together, to be ejected.
 pub(crate) fn is_useless_to_all_zones(host: &Host) -> bool {
     host.consecutive_useless >= EJECTION_USELESS_ATTEMPTS
 }
 
 impl Director {
-    /// Ejects the outliers of a zone, starts and ends probations, and returns when time alone may change the
-    /// result.
+    /// Ejects the outliers of a zone, and starts and ends probations. Returns the time from which the result
+    /// may change without new evidence.
     pub(crate) fn detect_outliers(&mut self, name: &ZoneId, zone: &mut Zone) -> Timestamp {
         zone.baseline_loss = baseline_loss(zone.memo.rows.health());
         let suspects = zone.memo.rows.suspects(zone.attempts_seen.attempts, SILENT_ATTEMPTS);
@@ -142,8 +146,8 @@
         due_at
     }
 
-    /// The changes of health in a zone that are due. Only `suspects`, or any host of an unreachable zone, can
-    /// change.
+    /// The changes of the hosts' health in a zone that are due. Only hosts at the positions of `suspects` and
+    /// hosts of unreachable zones can change.
     fn health_transitions(
         &self,
         zone: &Zone,
@@ -181,7 +185,7 @@
         }
     }
 
-    /// How a probation ends, if it does now.
+    /// The change that ends a probation; `None` while the probation continues.
     fn probation_result(&self, stats: &StatsRow, until: Timestamp) -> Option<HealthTransition> {
         let needed_successes = if stats.first_probation { 1.0 } else { 2.0 };
         if stats.consecutive_useless >= PROBATION_USELESS_ATTEMPTS {
@@ -195,7 +199,7 @@
 
     /// Whether a healthy host is to be ejected from a zone's tables.
     fn is_outlier(&self, zone: &Zone, host: &HostInZone, unreachable_zones: &BTreeSet<ZoneId>) -> bool {
-        // Two witnesses are enough: the endpoint list calls it removed, and nothing comes back.
+        // One failure is enough to confirm a removal that the endpoint list reports.
         let is_removed = host.host.removal_suspected && host.stats.consecutive_failures >= 1.0;
         is_removed
             || unreachable_zones.contains(&host.host.endpoint.zone)
@@ -204,8 +208,8 @@
             || is_silent(zone, host.health)
     }
 
-    /// Whether a host is useless to all zones. A zone's own attempts may be too few to tell; those of all
-    /// zones count once the zone has met a useless attempt itself.
+    /// Whether a host is useless to all zones. A zone's own attempts may be too few to show this, so the
+    /// attempts of all zones count, provided that the last ones of the zone itself were useless too.
     fn is_useless(&self, zone: &Zone, host: &HostInZone) -> bool {
         host.stats.consecutive_useless > 0.0
             && zone.baseline_loss < COMMON_LOSS_RATIO
@@ -213,9 +217,9 @@
             && is_useless_to_all_zones(host.host)
     }
 
-    /// Whether losses of a host in all zones count in each. They don't where the fleet is saturated or
-    /// admission levels are ignored: nothing then relieves the other hosts of the ejected host's load, and
-    /// the overload would spread.
+    /// Whether each zone may eject a host for its useless attempts in all zones. Not while the fleet is
+    /// saturated, or if proxies ignore admission levels: the load of the ejected host would move to the other
+    /// hosts without a limit, and the overload would spread.
     pub(crate) fn counts_losses_of_all_zones(&self) -> bool {
         self.utilization < SATURATED_UTILIZATION && self.settings.admission_mode != AdmissionMode::Ignored
     }
@@ -255,7 +259,7 @@
         stats.health = HealthState::Ejected { until: self.seconds_from_now(ejection_s) };
     }
 
-    /// How a zone uses a host, by its statistics there.
+    /// What a host contributes to the baseline loss of the zone that `stats` are from.
     pub(crate) fn host_usage(stats: &ZoneHostStats) -> HostUsage {
         let is_in_use =
             stats.health == HealthState::Healthy && stats.consecutive_failures < EJECTION_FAILURES;
@@ -265,30 +269,32 @@
         HostUsage { is_in_use, loss_ratio }
     }
 
-    /// The other zones of which no host answers a zone's proxies, while most of the zone's own hosts do: the
-    /// connection to them is cut. Only hosts at the positions of `suspects` have consecutive failures.
+    /// The other zones whose hosts all fail to answer a zone's proxies while most of the zone's own hosts
+    /// answer: the network between the zones is cut. Only hosts at the positions of `suspects` have
+    /// consecutive failures.
     fn unreachable_zones(&self, name: &ZoneId, zone: &Zone, suspects: &[usize]) -> BTreeSet<ZoneId> {
         if zone.memo.rows.consecutive_failures_of(suspects) < UNREACHABLE_ZONE_FAILURES {
             return BTreeSet::new();
         }
         let reachability = self.zone_reachability(zone);
         let host_zones = || self.memo.host_index.zones().iter().zip(&reachability);
-        let own_hosts_respond = host_zones().any(|(zone, met)| zone == name && met.mostly_responds());
+        let own_hosts_respond =
+            host_zones().any(|(zone, reachability)| zone == name && reachability.mostly_responds());
         if !own_hosts_respond {
             return BTreeSet::new();
         }
         host_zones()
-            .filter(|(zone, met)| *zone != name && met.is_unreachable())
+            .filter(|(zone, reachability)| *zone != name && reachability.is_unreachable())
             .map(|(zone, _)| zone.clone())
             .collect()
     }
 
-    /// What a zone recently met at the hosts of each zone, in the order of the host index's zones.
+    /// Results of a zone's recent attempts at the hosts of each zone, in the order of the host index's zones.
     fn zone_reachability(&self, zone: &Zone) -> Vec<ZoneReachability> {
         let host_index = &self.memo.host_index;
         let mut reachability = vec![ZoneReachability::default(); host_index.zones().len()];
         for (row, host_zone) in zone.memo.rows.stats().iter().zip(host_index.zone_indices()) {
-            if row.is_known && self.is_in_current_period(row.decayed_at) {
+            if row.is_known && self.is_current_report(row.decayed_at) {
                 reachability[*host_zone].add_host(row.consecutive_failures);
             }
         }
@@ -296,7 +302,8 @@
     }
 
     /// When outlier detection in a zone is due without new evidence: at the end of an ejection or probation,
-    /// or at once where so many attempts failed that another zone may be unreachable, since reports age.
+    /// or at once where enough attempts failed for another zone to be unreachable, since that depends on
+    /// which reports are still current.
     fn next_detection_at(&self, zone: &Zone, suspects: &[usize]) -> Timestamp {
         let rows = &zone.memo.rows;
         if rows.consecutive_failures_of(suspects) >= UNREACHABLE_ZONE_FAILURES {
@@ -309,20 +316,20 @@
         ends.min().unwrap_or(NEVER)
     }
 
-    /// Whether a load report of `reported_at` belongs to the present report period.
-    fn is_in_current_period(&self, reported_at: Timestamp) -> bool {
+    /// Whether a load report that came at `reported_at` is recent enough to count as current.
+    fn is_current_report(&self, reported_at: Timestamp) -> bool {
         self.now.since(reported_at) <= CURRENT_REPORT_PERIODS * self.settings.report_period.secs()
     }
 }
 
-/// Whether a host fails more attempts in a row than chance explains at the zone's baseline loss.
+/// Whether a host has failed more attempts in a row than chance explains at the zone's baseline loss.
 fn is_failing(zone: &Zone, stats: &StatsRow) -> bool {
     stats.consecutive_failures >= EJECTION_FAILURES
         && zone.baseline_loss.powf(stats.consecutive_failures) < EJECTION_PROBABILITY
 }
 
-/// Whether a host's load reports are missing while those of others arrive: a delay of all reports says
-/// nothing of one host.
+/// Whether load reports on a host are missing while reports on other hosts arrive. A delay of all reports is
+/// no sign of a fault of one host.
 fn is_silent(zone: &Zone, health: &HealthRow) -> bool {
     let rounds_since_report = zone.attempts_seen.report_rounds - health.counts_at_last_report.report_rounds;
     health.missed_attempts_by(zone.attempts_seen.attempts) >= SILENT_ATTEMPTS
--- a/crates/wingfold-director/src/policy/push.rs
+++ b/crates/wingfold-director/src/policy/push.rs
@@ -1,4 +1,4 @@
-//! What is sent when: the changes of each table by their priority, as far as the send capacity allows.
+//! Scheduling of table changes: which ones are sent in an evaluation, by priority and send capacity.
 use crate::director::Director;
 use crate::incremental::{TableInputs, ZoneTableInputs, NEVER};
 use crate::interface::{Action, ClassId, ProxyId, Retry};
@@ -11,44 +11,45 @@
     Zone,
 };
 
-/// The retry policy of every class: proof that an attempt never ran makes a retry safe, whatever its
-/// effect. After any other failure a retry would come after the latency objective, and double the work just
-/// when hosts are short of it.
+/// The retry policy of every class. Proof that an attempt never ran makes a retry safe, whatever the effect
+/// of the request. After any other failure a retry would miss the latency objective, and would double the
+/// load just when hosts lack the capacity for it.
 const RETRY_POLICY: Retry = Retry::OnProof;
-/// Weights that differ by less than this ratio are not sent.
+/// Changes of a weight by less than this ratio are not sent.
 const WEIGHT_CHANGE_RATIO: f64 = 0.02;
-/// Ratio of the drain grace after which proxies that wait for their tables go before tables in use.
+/// Ratio of the drain grace from which tables for waiting proxies take precedence over changes of tables in
+/// use.
 const JOIN_PRIORITY_AFTER_GRACE_RATIO: f64 = 0.2;
-/// Requests per second that each subset counts for beside those of its proxies, so that one without proxies
-/// has a share as well.
+/// Requests per second that are added to those of each subset's proxies, so that a subset without proxies has
+/// an expected share as well.
 const BASE_SUBSET_LOAD_PER_S: f64 = 1e-3;
 
-/// What is sent of a table in this evaluation.
+/// The changes of one table that are sent in this evaluation.
 struct TablePush {
-    /// The table is cleared first, and `changes` hold all its entries but the standby ones.
+    /// Whether the table is cleared first; `changes` then hold all its entries except standby entries.
     replaces_table: bool,
     /// Entries and admission levels to send.
     changes: TableChanges,
 }
 
 impl TablePush {
-    /// Changes of a table that keeps its other entries.
+    /// A push of `changes` to a table that keeps its other entries.
     fn update(changes: TableChanges) -> TablePush {
         TablePush { replaces_table: false, changes }
     }
 
-    /// A table that is sent as planned, without standby entries.
+    /// A push that replaces a table by its plan, without standby entries.
     fn replacement(plan: &TablePlan, admission_levels: Vec<ClassAdmission>) -> TablePush {
         let changes = TableChanges { entries: plan.full_table_changes(), admission_levels };
         TablePush { replaces_table: true, changes }
     }
 
-    /// Lines that it adds to a message.
+    /// Lines that the push adds to a message.
     fn lines(&self) -> usize {
         usize::from(self.replaces_table) + self.changes.len()
     }
 
-    /// Appends the actions and records them in the table.
+    /// Appends the actions of the push and records in the table what was sent.
     fn send(self, table: &mut Table, out: &mut Vec<Action>) {
         if self.replaces_table {
             out.push(Action::ClearTable(table.id));
@@ -59,23 +60,24 @@
     }
 }
 
-/// What holds for the changes of all of a zone's tables for a group of classes.
+/// Conditions that are the same for all tables of one zone and one group of classes.
 struct PushConditions {
-    /// The tables of waiting proxies would exceed the in-flight limit of ordinary changes.
+    /// Whether the tables of waiting proxies would exceed the in-flight limit of ordinary changes.
     is_join_burst: bool,
-    /// Tables have standby entries. In a join burst they have none, which would delay the proxies.
+    /// Whether tables have standby entries. In a join burst they have none, since standby entries would delay
+    /// the tables of waiting proxies.
     with_standby: bool,
-    /// The priority that every change has at least.
+    /// The lowest priority that changes are sent at.
     least_priority: PushPriority,
 }
 
-/// What a table lacks of its plan.
+/// The changes that a table needs in order to match its plan.
 struct PendingPush<'a> {
     /// The proxies that the table is assigned to.
     proxies: &'a [ProxyId],
     /// What the table should hold.
     plan: &'a TablePlan<'a>,
-    /// What is not sent yet, new standby entries apart.
+    /// All changes that are not sent yet, except new standby entries.
     missing: TableChanges,
     /// New standby entries.
     standby: Vec<EntryChange>,
@@ -84,7 +86,7 @@
 }
 
 impl PendingPush<'_> {
-    /// Whether the table holds all that it should.
+    /// Whether the table matches its plan.
     fn is_empty(&self) -> bool {
         self.missing.is_empty() && self.standby.is_empty()
     }
@@ -96,13 +98,13 @@
 }
 
 impl Director {
-    /// Sends what tables lack of their plans and assigns waiting proxies, as far as the send capacity
-    /// allows.
+    /// Sends the changes that tables need in order to match their plans, and assigns waiting proxies, as far
+    /// as the send capacity allows.
     pub(crate) fn reconcile_tables(&mut self, zones: &mut ByZone<Zone>, out: &mut Vec<Action>) {
         self.expire_barriers();
         let waiting = self.proxies_awaiting_assignment();
         let inputs = self.zone_table_inputs(zones, &waiting);
-        // In turn, so that no subset waits for ever where the send capacity is short.
+        // The least recently sent subset comes first, so that none starves where the send capacity is short.
         for subset in subsets_by_last_sent(zones) {
             let Some(zone) = zones.get_mut(&subset.zone) else { continue };
             for group in 0..self.class_groups.len() {
@@ -164,7 +166,7 @@
         }
     }
 
-    /// The conditions of a zone's tables for a group of classes.
+    /// The conditions that all tables of a zone and a group of classes share.
     fn push_conditions(&self, zone: &Zone, shared: &ZoneTableInputs, group: usize) -> PushConditions {
         let is_join_burst = self.is_join_burst(shared, group);
         PushConditions {
@@ -181,9 +183,9 @@
         shared.waiting_proxies > 0 && needed_lines > self.in_flight_limit(PushPriority::ORDINARY)
     }
 
-    /// Whether a zone's tables may have standby entries. They cost connections, which hosts may refuse; and
-    /// where not all of them can be sent within a cooldown, they would never be complete and would delay all
-    /// other changes.
+    /// Whether a zone's tables may have standby entries. Not where hosts have refused connections, since
+    /// standby entries need more of them; and not where sending all entries takes longer than a cooldown,
+    /// since standby entries would never be complete and would delay all other changes.
     fn allows_standby_entries(&self, zone: &Zone, shared: &ZoneTableInputs, group: usize) -> bool {
         let all_entries = self.proxies.len() * shared.eligible[group].len() * self.class_groups.len();
         let send_time_s = all_entries as f64 / self.settings.send_rate_lines_per_s;
@@ -199,9 +201,9 @@
             .collect()
     }
 
-    /// The priority that every change has at least. In a join burst all changes may use the send capacity of
-    /// the proxies, since outdated tables overload hosts, until the first of these proxies has waited for a
-    /// good part of the drain grace.
+    /// The lowest priority that changes of tables are sent at. In a join burst this is the priority of
+    /// assignments, since outdated tables overload hosts, until the first of the waiting proxies has waited
+    /// for [`JOIN_PRIORITY_AFTER_GRACE_RATIO`] of the drain grace.
     fn least_priority(&self, shared: &ZoneTableInputs, is_join_burst: bool) -> PushPriority {
         let join_priority_after_s = JOIN_PRIORITY_AFTER_GRACE_RATIO * self.settings.drain_grace.secs();
         if is_join_burst && shared.longest_wait_s < join_priority_after_s {
@@ -211,7 +213,7 @@
         }
     }
 
-    /// The priority of the most urgent of some changes, and `least` at least.
+    /// The priority of the most urgent of `changes`, but no less than `least`.
     fn most_urgent_priority(
         &self,
         zone: &Zone,
@@ -222,8 +224,8 @@
         priorities.fold(least, PushPriority::most_urgent)
     }
 
-    /// The priority of a change. A host that is warming up loses weight at health priority: its budget is
-    /// small from the start, and what exceeds it would overload it.
+    /// The priority of a change. A change that lowers the weight of a host that is warming up has health
+    /// priority: such a host can carry only a small load, and a greater weight would overload it.
     fn change_priority(&self, zone: &Zone, change: &EntryChange) -> PushPriority {
         if !change.lowers_weight() {
             return PushPriority::ORDINARY;
@@ -241,7 +243,8 @@
         }
     }
 
-    /// What is sent of a table's changes now: `None` if the send capacity admits nothing.
+    /// The changes of a table that are sent now, standby entries included; `None` if the send capacity admits
+    /// none.
     fn select_push(
         &self,
         zone: &Zone,
@@ -259,8 +262,8 @@
         Some(push)
     }
 
-    /// What is sent of a table's missing changes: all of them, a replacement of the table where that is
-    /// shorter, or the most urgent ones alone.
+    /// The missing changes of a table that are sent now: all of them, a replacement of the table if that is
+    /// shorter, or only the most urgent ones. `None` if the send capacity admits none.
     fn select_missing_changes(
         &self,
         zone: &Zone,
@@ -286,8 +289,8 @@
         self.select_urgent_changes(zone, missing.entries, priority, proxies)
     }
 
-    /// The most urgent changes alone, if the send capacity admits them. New entries go with them, or the
-    /// table might be left empty.
+    /// Only the most urgent changes, if the send capacity admits them. New entries are sent along with these,
+    /// since the table might otherwise become empty.
     fn select_urgent_changes(
         &self,
         zone: &Zone,
--- a/crates/wingfold-director/src/policy/ranking.rs
+++ b/crates/wingfold-director/src/policy/ranking.rs
@@ -1,6 +1,6 @@
 //! Best Exit Selection: scores, the leading group, confirmation and cooldown.
 //!
-//! Its figures are those of the design page (docs/design.md).
+//! The constants have the values of the design page (docs/design.md).
 use crate::director::Director;
 use crate::interface::{Notice, ZoneId};
 use crate::policy::outlier_detection::COMMON_LOSS_RATIO;
@@ -9,7 +9,8 @@
 
 /// Milliseconds that one percent of loss adds to a score.
 const SCORE_PER_LOSS_PERCENT_MS: f64 = 100.0;
-/// Smallest margin between a laggard and the leading group, in milliseconds.
+/// Smallest margin between a laggard (a host outside the leading group) and the leading group, in
+/// milliseconds.
 const MIN_SCORE_MARGIN_MS: f64 = 20.0;
 /// The same margin as a ratio of the score.
 pub(crate) const SCORE_MARGIN_RATIO: f64 = 0.15;
@@ -21,17 +22,17 @@
 const MIN_SCORING_INTERVAL_S: f64 = 2.0;
 /// Seconds between two changes of the ranking of one zone.
 pub(crate) const RANKING_COOLDOWN_S: f64 = 8.0;
-/// How often the weight of a laggard is halved at most.
+/// Largest number of times that the weight of a laggard is halved.
 pub(crate) const MAX_WEIGHT_HALVINGS: u32 = 2;
-/// Fresh attempts in all zones that a host needs for a score: fewer would confirm noise.
+/// Fresh attempts in all zones that a host needs for a new score: scores of fewer would be noise.
 const MIN_FRESH_ATTEMPTS: f64 = 6.0;
 /// Fresh attempts in all zones that a host needs to count for the medians.
 const MIN_MEDIAN_ATTEMPTS: f64 = 3.0;
-/// Attempts that the mean of all zones counts for beside a zone's own.
+/// Number of attempts that the mean of all zones counts as when it is averaged with a zone's own attempts.
 const PRIOR_ATTEMPTS: f64 = 6.0;
-/// Weight of the latest value in exponential smoothing.
+/// Weight of the latest value in the exponential smoothing of a host's loss.
 const SMOOTHING_FACTOR: f64 = 0.5;
-/// Ratio of the listed weight that the leading group holds: one host cannot carry a zone.
+/// Ratio of the listed weight that the leading group holds at least: a single host can't serve a whole zone.
 const LEADING_GROUP_WEIGHT_RATIO: f64 = 0.5;
 
 /// A change of a host's weight by the ranking.
@@ -44,7 +45,8 @@
 }
 
 impl Director {
-    /// Interval of scoring rounds in seconds: each must see new load reports.
+    /// Interval of scoring rounds in seconds. It lasts a report period at least, so that each round has new
+    /// load reports.
     pub(crate) fn scoring_interval_s(&self) -> f64 {
         MIN_SCORING_INTERVAL_S.max(self.settings.report_period.secs())
     }
@@ -75,8 +77,8 @@
         self.median_latency_ms = median(counted.filter_map(|stats| stats.mean_latency_ms()));
     }
 
-    /// The score at which half of the listed weight of a zone's hosts is reached: its leading group is
-    /// measured by it.
+    /// The score of the leading group, which other hosts are compared with: the one up to which hosts in
+    /// ascending order of their scores hold half of the listed weight.
     pub(crate) fn leading_score(mut scored_hosts: Vec<ScoredHost>) -> Option<f64> {
         scored_hosts.sort_by(|a, b| a.score.total_cmp(&b.score));
         let total_weight = scored_hosts.iter().map(|host| host.weight).sum::<f64>();
@@ -90,10 +92,11 @@
         None
     }
 
-    /// Changes the weight of the hosts with fresh scores that have left a zone's leading group, or have
-    /// caught up with it.
+    /// Halves the weight of hosts that have fallen behind a zone's leading group, and doubles that of hosts
+    /// that have caught up with it. Only hosts with fresh scores change.
     fn update_ranking(&mut self, name: &ZoneId, zone: &mut Zone, fresh_hosts: &[FreshHostStats]) {
-        // If all exits fail the order stays (design page): losses that most hosts share say nothing of one.
+        // If all exits fail, the ranking stays (design page): losses that most hosts share don't tell a bad
+        // host from a good one.
         if zone.baseline_loss >= COMMON_LOSS_RATIO || fresh_hosts.is_empty() {
             return;
         }
@@ -127,7 +130,8 @@
         if score >= leading_score + margin && weight_halvings < MAX_WEIGHT_HALVINGS {
             Some(WeightStep::Halve)
         } else if score <= leading_score + margin / 2.0 && weight_halvings > 0 {
-            // By half the margin: a host that recovered to the same score as all others must return.
+            // Half of the margin is enough: a recovered host only reaches the score of the other hosts, and
+            // must get its weight back.
             Some(WeightStep::Double)
         } else {
             None
--- a/crates/wingfold-director/src/policy/send_capacity.rs
+++ b/crates/wingfold-director/src/policy/send_capacity.rs
@@ -1,37 +1,39 @@
-//! Send capacity: how much may be in flight to the proxies at once, by the priority of a message.
+//! Send capacity: how many lines may be in flight to the proxies at once, by the priority of a message.
 //!
 //! The size of a message is counted in lines, as the settings limit it: each table entry, admission level
-//! and barrier is one line, and each message has a fixed overhead besides.
+//! and barrier is one line, and each message adds a fixed overhead.
 use crate::director::Director;
 use crate::interface::{Action, Micros, ProxyId, Timestamp};
 
-/// A barrier is sent once this ratio of the in-flight limit has been sent without one.
+/// Ratio of the in-flight limit that is sent without a barrier before messages carry the next one.
 pub(crate) const BARRIER_INTERVAL_RATIO: f64 = 0.02;
-/// Least drain rate that is allowed for before a barrier expires, as a ratio of the one last measured.
+/// Slowest drain rate for which a barrier does not expire too early, as a ratio of the last measured rate.
 const MIN_DRAIN_RATE_RATIO: f64 = 0.25;
 /// Longest time in seconds that a barrier's lines are given to leave the send queue.
 const MAX_DRAIN_WAIT_S: f64 = 15.0;
-/// Seconds after its delivery in which a barrier must be acknowledged while acknowledgements come: single
-/// ones may be lost.
+/// Seconds after its delivery within which a barrier must be acknowledged if acknowledgements are expected.
+/// Single ones may be lost.
 const ACKNOWLEDGEMENT_TIMEOUT_S: f64 = 6.0;
-/// Seconds after its delivery in which a barrier must be acknowledged where no acknowledgement is expected.
+/// Seconds after its delivery after which a barrier expires if no acknowledgement is expected.
 const SILENT_ACKNOWLEDGEMENT_TIMEOUT_S: f64 = 1.0;
-/// Seconds of sending that the send queue may hold. No message overtakes another there, so that urgent ones
-/// would wait for all that it holds.
+/// Lines that the send queue may hold, in seconds of sending. No message overtakes another in the queue, so
+/// an urgent one waits until all lines before it are sent.
 const MAX_QUEUED_S: f64 = 2.0;
-/// Seconds of sending that must have been queued before a message for its delay to show the drain rate.
+/// Lines that must have been in the queue when a barrier was sent for its delay to show the drain rate, in
+/// seconds of sending.
 const MIN_RATE_SAMPLE_S: f64 = 0.25;
-/// Weight of a new sample in the smoothed drain rate.
-const DRAIN_RATE_SMOOTHING: f64 = 0.1;
-/// Barriers are numbered below this.
-const BARRIER_NUMBERS: u64 = 65_536;
+/// Weight of the latest sample in the exponential smoothing of the drain rate.
+const DRAIN_RATE_SMOOTHING_FACTOR: f64 = 0.1;
+/// Barrier numbers are counted modulo this.
+const BARRIER_NUMBER_MODULUS: u64 = 65_536;
 
-/// How urgent a message is: the more urgent, the more of the shared limits it may use.
+/// How urgent a message is. A more urgent message may use more of the limits that all messages share.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(crate) struct PushPriority {
-    /// Ratio of the in-flight limit that may be used up, this message included.
+    /// Ratio of the in-flight limit that lines in flight may reach, those of this message included.
     in_flight_ratio: f64,
-    /// Ratio of the messages that one proxy may get within the message window.
+    /// Ratio of the limit on messages to one proxy that may be reached within the message window, this
+    /// message included.
     message_ratio: f64,
 }
 
@@ -58,7 +60,8 @@
 }
 
 impl Director {
-    /// Lines per second that leave the send queue at present: as measured, or else as in the settings.
+    /// Lines per second that leave the send queue: as measured, or the send rate of the settings before the
+    /// first measurement.
     pub(crate) fn drain_rate_per_s(&self) -> f64 {
         if self.send_queue.drain_rate_per_s > 0.0 {
             self.send_queue.drain_rate_per_s
@@ -76,15 +79,15 @@
             .min(self.drain_rate_per_s() * (ratio * MAX_QUEUED_S + delivery_s))
     }
 
-    /// Whether `lines` lines may be sent now to each of some proxies.
+    /// Whether `lines` lines may be sent to each of `proxies` now.
     pub(crate) fn has_capacity(&self, priority: PushPriority, lines: usize, proxies: &[ProxyId]) -> bool {
         let new_lines = (lines as f64 + self.lines_per_message()) * proxies.len() as f64;
         self.send_queue.queued_lines + new_lines <= self.in_flight_limit(priority)
             && proxies.iter().all(|proxy| self.may_get_message(priority, *proxy))
     }
 
-    /// Whether the limit on the messages to one proxy admits another. A proxy that gets one in this
-    /// evaluation anyway gets no further message, but a longer one.
+    /// Whether the limit on the messages to one proxy admits another message. Lines for a proxy that already
+    /// gets a message in this evaluation are added to that message, which the limit always admits.
     fn may_get_message(&self, priority: PushPriority, proxy: ProxyId) -> bool {
         let max_messages = priority.message_ratio * self.settings.max_messages_per_proxy as f64;
         if max_messages == 0.0 || self.pending_messages.contains_key(&proxy) {
@@ -96,13 +99,14 @@
         recent_messages + 1.0 <= max_messages
     }
 
-    /// Lines that each message counts besides its changes: its overhead, and a barrier if it has one.
+    /// Lines that each message counts for in addition to its changes: its overhead and one for a barrier,
+    /// whether or not it carries one.
     pub(crate) fn lines_per_message(&self) -> f64 {
         self.settings.message_overhead_lines + 1.0
     }
 
-    /// Records that `lines` lines are sent to each of some proxies. All that a proxy gets in one evaluation
-    /// is one message.
+    /// Records that `lines` lines are sent to each of `proxies`. All lines for a proxy in one evaluation form
+    /// one message.
     pub(crate) fn record_messages(&mut self, lines: usize, proxies: &[ProxyId]) {
         let message_lines = self.lines_per_message();
         for id in proxies {
@@ -117,7 +121,8 @@
         }
     }
 
-    /// Records that a message is sent to a proxy now. As many times are kept as are limited.
+    /// Records that a message is sent to a proxy now. No more send times are kept than the limit on messages
+    /// to one proxy.
     fn record_send_time(&mut self, id: ProxyId) {
         let max_messages = self.settings.max_messages_per_proxy as usize;
         let Some(proxy) = self.proxies.get_mut(&id) else { return };
@@ -133,14 +138,14 @@
         let lines_since_barrier = self.send_queue.lines_since_barrier + messages.values().sum::<f64>();
         let has_barrier = lines_since_barrier > barrier_interval && !messages.is_empty();
         if has_barrier {
-            self.send_queue.last_barrier = (self.send_queue.last_barrier + 1) % BARRIER_NUMBERS;
+            self.send_queue.last_barrier = (self.send_queue.last_barrier + 1) % BARRIER_NUMBER_MODULUS;
             out.push(Action::Barrier { all_proxies: false, number: self.send_queue.last_barrier });
         }
         self.send_queue.record_sent(self.now, messages, has_barrier);
     }
 
-    /// Records that a proxy has acknowledged a barrier, `elapsed` after it was sent, and what that shows of
-    /// the drain rate.
+    /// Records that a proxy has acknowledged a barrier, `elapsed` after the barrier was sent, and updates the
+    /// drain rate by this delay.
     pub(crate) fn record_acknowledgement(&mut self, proxy: ProxyId, barrier: u64, elapsed: Micros) {
         let nominal_rate = self.settings.send_rate_lines_per_s;
         let min_measurement_s = 2.0 * self.settings.max_push_delay.secs();
@@ -150,10 +155,10 @@
         let queued_s = (elapsed.secs() - self.settings.mean_push_delay.secs()).max(0.0);
         let known_rate = self.drain_rate_per_s();
         let sample = (queued_lines / queued_s).min(nominal_rate);
-        self.send_queue.drain_rate_per_s = known_rate + DRAIN_RATE_SMOOTHING * (sample - known_rate);
+        self.send_queue.drain_rate_per_s = known_rate + DRAIN_RATE_SMOOTHING_FACTOR * (sample - known_rate);
     }
 
-    /// Gives up on the oldest barrier if it should have been acknowledged long ago.
+    /// Expires the oldest barrier if its acknowledgement is overdue.
     pub(crate) fn expire_barriers(&mut self) {
         let nominal_rate = self.settings.send_rate_lines_per_s;
         let silence = self.send_queue.acknowledgement_silence(self.now, &self.proxies, nominal_rate);
