--- a/crates/wingfold-director/src/lib.rs
+++ b/crates/wingfold-director/src/lib.rs
@@ -1,15 +1,15 @@
 //! The decision logic of wingfold, a traffic director for a fleet of sidecar proxies.
 //!
-//! The crate does no input or output: a caller hands events to a [`Director`] and carries out the actions
-//! it answers with. Time comes only from the caller and randomness only from the seed, so the same events
-//! always give the same actions.
+//! The crate performs no input or output: a caller passes events to a [`Director`] and executes the actions
+//! that the director returns. Time comes only from the caller and randomness only from the seed, so the same
+//! events always result in the same actions.
 //!
-//! * [`interface`]: what goes in and out;
-//! * `director`: the order in which decisions are taken;
-//! * `policy`: every decision, one concern a file;
-//! * `state`: the records that decisions are taken on, and `queries`: sums and selections over them;
-//! * `incremental`: results that are worked out again only where their inputs have changed;
-//! * [`checkpoint`] and [`inspect`]: the whole state written down, and views of it.
+//! * [`interface`]: events, actions, settings and their types;
+//! * `director`: the order in which decisions are made;
+//! * `policy`: the decisions, with one file per concern;
+//! * `state`: the records that decisions depend on, and `queries`: sums and selections over the records;
+//! * `incremental`: results that are computed again only when their inputs have changed;
+//! * [`checkpoint`]: writing and restoring the whole state, and [`inspect`]: views of the state.
 #![forbid(unsafe_code)]
 
 pub mod checkpoint;
--- a/crates/wingfold-director/src/policy/endpoint_list.rs
+++ b/crates/wingfold-director/src/policy/endpoint_list.rs
@@ -123,10 +123,10 @@
     /// Polls the endpoint list, or starts to watch it. Does nothing after an earlier poll or watch that has
     /// not failed, or during a backoff.
     pub(crate) fn poll_endpoint_list(&mut self, actions: &mut Vec<Action>) {
-        if self.is_watching || self.now < self.next_poll_at {
+        if self.endpoint_list_requested || self.now < self.next_poll_at {
             return;
         }
-        self.is_watching = true;
+        self.endpoint_list_requested = true;
         let poll = if self.settings.endpoint_list_on_request {
             Action::WatchEndpoints(true)
         } else {
@@ -143,7 +143,7 @@
         let doublings = self.poll_failures.min(MAX_BACKOFF_DOUBLINGS) as i32;
         let backoff_s = BASE_BACKOFF_S * 2f64.powi(doublings);
         let retry_in_s = jitter_factor * backoff_s.min(self.longest_backoff_s());
-        self.is_watching = false;
+        self.endpoint_list_requested = false;
         self.next_poll_at = self.seconds_from_now(retry_in_s);
         self.notices.push(Notice::EndpointListFailed { retry_in_s });
     }
@@ -158,7 +158,7 @@
 
     /// Makes the endpoint list be polled at once, since discovery has another address.
     pub(crate) fn restart_endpoint_list_poll(&mut self) {
-        self.is_watching = false;
+        self.endpoint_list_requested = false;
         self.next_poll_at = self.now;
         self.endpoint_list_changed = true;
     }
--- a/crates/wingfold-director/src/policy/subsetting.rs
+++ b/crates/wingfold-director/src/policy/subsetting.rs
@@ -1,10 +1,10 @@
 //! Deterministic subsetting: which part of the hosts a subset of proxies uses at listed weight, and how
-//! large it is.
+//! large this part is.
 //!
-//! Each zone's proxies share subsets, and each subset an arc of a ring of all hosts. An arc has all hosts
-//! unless proxies send so little that most connections would close idle before they are used again:
-//! handshakes then take up the hosts' capacity, and each arc is as long as its share of the load, with all
-//! other hosts as standby entries.
+//! Each zone's proxies are divided into subsets, and each subset uses the hosts on one arc of a ring of all
+//! hosts. An arc covers the whole ring unless proxies send so few requests that most connections would be
+//! closed as idle before they are used again. Handshakes would then take up the hosts' capacity, so each arc
+//! is only as long as its subset's share of the load requires, and all other hosts are standby entries.
 use crate::director::Director;
 use crate::interface::{Notice, ZoneId};
 use crate::policy::admission::SATURATED_UTILIZATION;
@@ -12,42 +12,42 @@
 use crate::policy::ranking::{CONFIRMING_ROUNDS, RANKING_COOLDOWN_S};
 use crate::state::{RingArc, Subset, SubsetAssignment, Zone};
 
-/// Requests that a connection should carry before it would close idle.
+/// Requests that a connection should carry before it is closed as idle.
 pub(crate) const MIN_REQUESTS_PER_CONNECTION: f64 = 3.0;
-/// Requests that a connection should carry once hosts have refused connections.
+/// Requests that a connection should carry before it is closed as idle, once hosts have refused connections.
 const MAX_REQUESTS_PER_CONNECTION: f64 = 48.0;
-/// Hosts of a subset, at least.
+/// Least number of hosts of a subset.
 pub(crate) const MIN_SUBSET_HOSTS: f64 = 3.0;
-/// Ratio of all hosts from which a subset has all of them.
+/// Ratio of the known hosts from which a subset uses all hosts.
 const FULL_SUBSET_RATIO: f64 = 0.7;
-/// Proxies that share a subset.
+/// Number of proxies per subset.
 const PROXIES_PER_SUBSET: f64 = 5.0;
-/// Proxies that share a subset once hosts have refused connections.
+/// Number of proxies per subset once hosts have refused connections.
 const PROXIES_PER_FINE_SUBSET: f64 = 2.0;
 /// Arcs are assigned again once one would move by more than this ratio of its length.
 const SUBSET_CHANGE_RATIO: f64 = 0.25;
-/// Ratio of the hosts that must have been reported for a loss to be common.
+/// Ratio of the ready hosts with recent attempts from which a zone's baseline loss is meaningful.
 const MIN_REPORTED_HOST_RATIO: f64 = 0.2;
-/// Hosts that are enough for a mean, however many there are.
+/// Number of hosts that is a sufficient sample of a fleet of any size.
 pub(crate) const MIN_SAMPLE_HOSTS: f64 = 16.0;
-/// Recent attempts from which a host counts as reported.
+/// Recent attempts at a host from which it counts towards [`MIN_REPORTED_HOST_RATIO`].
 const MIN_REPORTED_ATTEMPTS: f64 = 2.0;
-/// Loss below which hosts refuse no connections.
-const CALM_LOSS_RATIO: f64 = COMMON_LOSS_RATIO / 5.0;
-/// Calm rounds after which a subset grows.
-const CALM_ROUNDS: u32 = 2 * CONFIRMING_ROUNDS;
-/// Least requests per second of a zone.
+/// Baseline loss below which hosts count as refusing no connections.
+const LOW_LOSS_RATIO: f64 = COMMON_LOSS_RATIO / 5.0;
+/// Consecutive admission updates at low loss after which subsets grow by one step.
+const LOW_LOSS_ROUNDS: u32 = 2 * CONFIRMING_ROUNDS;
+/// Lower bound of the requests per second of a zone: it keeps the total load, which is divided by, above 0.
 const MIN_ZONE_REQUESTS_PER_S: f64 = 1e-9;
-/// Ratio of the mean load of a zone's subsets that each counts for beside the load of its proxies: one
-/// without proxies must have an arc when the first comes.
+/// Load that is added to that of each subset's proxies, as a ratio of the mean load of the zone's subsets.
+/// A subset without proxies must have an arc before the first proxy is assigned to it.
 const BASE_SUBSET_LOAD_RATIO: f64 = 0.1;
 
-/// Arcs of the ring of hosts for subsets of some load, placed end to end from `start` on, each as long as its
-/// share of the load.
+/// Arcs of the ring of hosts for subsets with these loads, placed end to end from `start` on, each as long as
+/// its subset's share of the load.
 ///
-/// They lie in the order of the fractions of their numbers' multiples of the golden ratio: subsets added one
-/// after the other are filled by proxies that connect at once, and must not crowd onto the same few hosts.
-/// Another subset changes nothing in the order of those before.
+/// Subsets are ordered by the fractional part of their index times the golden ratio, so that subsets with
+/// successive indices lie far apart. Proxies that connect at the same time fill such subsets, and must not
+/// crowd onto the same few hosts. Adding a subset does not change the order of the others.
 fn ring_arcs(loads: &[f64], start: f64) -> Vec<RingArc> {
     const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
     let place = |subset: &usize| (*subset as f64 * GOLDEN_RATIO).fract();
@@ -64,18 +64,18 @@
     arcs
 }
 
-/// Whether an arc is so far from that of a subset that the subset should get it.
-fn is_moved(subset: &Subset, arc: &RingArc) -> bool {
+/// Whether a newly computed arc differs so much from the present arc of a subset that it should replace that.
+fn has_moved(subset: &Subset, arc: &RingArc) -> bool {
     let start_change = (subset.start - arc.start).abs();
     let length_change = (subset.length - arc.length).abs();
     f64::max(start_change, length_change) > SUBSET_CHANGE_RATIO * subset.length
 }
 
-/// The proxies and the hosts of a zone, and how many of the hosts a subset should have.
+/// The proxies and the hosts of a zone, and what determines how many of the hosts a subset should have.
 struct SubsetDemand {
     /// Proxies of the zone.
     proxies: f64,
-    /// Requests per second of all of them.
+    /// Requests per second of all these proxies.
     requests_per_s: f64,
     /// Ready hosts, each counted by its locality weight.
     ready_hosts: f64,
@@ -83,13 +83,13 @@
     hosts_per_proxy: f64,
     /// Whether each subset has all hosts.
     has_all_hosts: bool,
-    /// Whether proxies limit their connections, since hosts have refused some: arcs are then no longer than
-    /// is needed.
+    /// Whether connections are limited, since hosts have refused some: arcs are then no longer than needed.
     limits_connections: bool,
 }
 
 impl SubsetDemand {
-    /// Mean length of the arcs, as a ratio of the ring, for so many subsets of so many directors.
+    /// Mean length of the arcs, as a ratio of the ring, where each of `directors` directors has this number
+    /// of `subsets`.
     fn mean_arc_length(&self, subsets: f64, directors: f64) -> f64 {
         let needed_length = self.hosts_per_proxy / self.ready_hosts;
         if self.has_all_hosts {
@@ -97,24 +97,25 @@
         } else if self.limits_connections {
             f64::max(needed_length, 1.0 / (subsets * directors))
         } else {
-            // Arcs together cover each host equally often.
+            // Rounded so that all arcs together cover each host equally often.
             (needed_length * subsets).round().max(1.0) / subsets
         }
     }
 }
 
 impl Director {
-    /// Adjusts how many requests a connection should carry. Common losses while hosts have capacity to spare
-    /// mean refused connections: proxies then use fewer hosts at once, and more again step by step once
-    /// losses are gone. Where losses have another cause this leaves proxies less choice.
+    /// Adjusts how many requests a connection should carry, on which the size of subsets depends. Common
+    /// losses while hosts have spare capacity are taken as refused connections: proxies then use fewer hosts
+    /// at once, and use more again step by step when losses are low. If the losses have another cause,
+    /// proxies merely have fewer hosts to choose from.
     pub(crate) fn adjust_subset_size(&mut self, name: &ZoneId, zone: &mut Zone) {
         let previous = zone.requests_per_connection.max(MIN_REQUESTS_PER_CONNECTION);
-        let is_calm = zone.baseline_loss < CALM_LOSS_RATIO && previous > MIN_REQUESTS_PER_CONNECTION;
-        zone.calm_rounds = if is_calm { (zone.calm_rounds + 1) % CALM_ROUNDS } else { 0 };
-        let may_grow = is_calm && zone.calm_rounds == 0;
+        let is_recovering = zone.baseline_loss < LOW_LOSS_RATIO && previous > MIN_REQUESTS_PER_CONNECTION;
+        zone.calm_rounds = if is_recovering { (zone.calm_rounds + 1) % LOW_LOSS_ROUNDS } else { 0 };
+        let subsets_may_grow = is_recovering && zone.calm_rounds == 0;
         zone.requests_per_connection = if self.hosts_refuse_connections(zone) {
             MAX_REQUESTS_PER_CONNECTION
-        } else if may_grow {
+        } else if subsets_may_grow {
             previous / 2.0
         } else {
             previous
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Whether losses are common in a zone while hosts have capacity to spare. A director that has just
-    /// started has reports of a few hosts only, and those are the ones that fail.
+    /// Whether losses are common in a zone while hosts have spare capacity. Enough hosts must have recent
+    /// attempts: a director that has just started has reports on few hosts only, which are the failing ones.
     fn hosts_refuse_connections(&self, zone: &Zone) -> bool {
         let loss_is_common = (COMMON_LOSS_RATIO..1.0).contains(&zone.baseline_loss);
         let has_spare_capacity = self.utilization > 0.0 && self.utilization < SATURATED_UTILIZATION;
@@ -144,8 +145,8 @@
         reported_hosts >= MIN_SAMPLE_HOSTS.min(MIN_REPORTED_HOST_RATIO * ready_hosts)
     }
 
-    /// Assigns a zone's hosts to its subsets, each an arc of the ring. Arcs of different directors start at
-    /// different places.
+    /// Assigns each subset of a zone an arc of the ring of hosts. The arcs of different directors start at
+    /// different positions.
     pub(crate) fn assign_subsets(&mut self, name: &ZoneId, zone: &mut Zone) {
         let demand = self.subset_demand(name, zone);
         self.add_subsets(name, zone, &demand);
@@ -155,7 +156,7 @@
         let total_load = loads.iter().sum::<f64>();
         let arcs = self.subset_arcs(&demand, &loads);
         let is_reassigned = !self.keeps_assignment(zone, total_load)
-            && zone.subsets.iter().zip(&arcs).any(|(subset, arc)| is_moved(subset, arc));
+            && zone.subsets.iter().zip(&arcs).any(|(subset, arc)| has_moved(subset, arc));
         if is_reassigned {
             zone.last_assignment = Some(SubsetAssignment {
                 requests_per_connection: zone.requests_per_connection,
@@ -172,7 +173,7 @@
         }
     }
 
-    /// How many hosts the subsets of a zone should have.
+    /// The proxies and hosts of a zone, and how many hosts each of its subsets should have.
     fn subset_demand(&self, name: &ZoneId, zone: &Zone) -> SubsetDemand {
         let mut proxies = 0.0;
         let mut requests_per_s = MIN_ZONE_REQUESTS_PER_S;
@@ -185,7 +186,8 @@
         let idle_timeout = self.settings.connection_idle_timeout;
         let hosts_per_proxy =
             (requests_per_s / proxies * idle_timeout.secs() / requests_per_connection).max(MIN_SUBSET_HOSTS);
-        // By all known hosts: a zone that loses its own must not turn to every host of the others.
+        // Compared with the known hosts, not the ready ones: a zone that loses its own hosts must not start
+        // to use every host of the other zones.
         let needs_most_hosts = hosts_per_proxy >= FULL_SUBSET_RATIO * hosts.known;
         SubsetDemand {
             proxies,
@@ -197,8 +199,8 @@
         }
     }
 
-    /// Adds the subsets that a zone lacks for its proxies. Once connections are limited and subsets are
-    /// large, the zone has finer subsets for good, and its proxies are assigned again.
+    /// Adds the subsets that a zone lacks for its proxies. Once connections are limited while subsets are
+    /// large, the zone permanently gets more subsets of fewer proxies, and its proxies are assigned again.
     fn add_subsets(&mut self, name: &ZoneId, zone: &mut Zone, demand: &SubsetDemand) {
         let subsets = self.subset_count(demand, PROXIES_PER_SUBSET);
         let subsets_are_large = demand.ready_hosts / subsets > 2.0 * MIN_SUBSET_HOSTS;
@@ -215,8 +217,8 @@
         }
     }
 
-    /// How many subsets a zone needs if so many proxies share one. The more groups of classes there are, the
-    /// fewer, so that the number of tables stays the same.
+    /// How many subsets a zone needs for `proxies_per_subset` proxies each. The more groups of classes there
+    /// are, the fewer subsets are used, so that the number of tables stays the same.
     fn subset_count(&self, demand: &SubsetDemand, proxies_per_subset: f64) -> f64 {
         let proxies = if demand.proxies > 0.0 {
             demand.proxies.max(self.expected_proxies_per_zone()) / self.class_groups.len() as f64
@@ -226,7 +228,7 @@
         (proxies / proxies_per_subset).ceil().max(1.0)
     }
 
-    /// Has all proxies of a zone wait for another assignment.
+    /// Marks all proxies of a zone as waiting for an assignment to another subset.
     fn reassign_proxies(&mut self, name: &ZoneId) {
         for proxy in self.proxies.values_mut().filter(|proxy| proxy.zone == *name) {
             proxy.awaiting_assignment = true;
@@ -234,7 +236,7 @@
         self.memo.revisions.proxies += 1;
     }
 
-    /// The arcs of subsets of some load.
+    /// The arcs of a zone's subsets by their loads, with the mean length that `demand` requires.
     fn subset_arcs(&self, demand: &SubsetDemand, loads: &[f64]) -> Vec<RingArc> {
         let subsets = loads.len() as f64;
         let directors = self.directors_per_zone();
@@ -249,8 +251,8 @@
         arcs
     }
 
-    /// Whether a zone keeps its arcs for now. If they followed every proxy that connects, their changes would
-    /// cost more than the tables of these proxies.
+    /// Whether a zone keeps its arcs for now. Arcs that were adjusted to every proxy that connects would cost
+    /// more table changes than the tables of these proxies.
     fn keeps_assignment(&self, zone: &Zone, total_load: f64) -> bool {
         zone.last_assignment.is_some_and(|last| {
             last.requests_per_connection == zone.requests_per_connection
@@ -259,7 +261,7 @@
         })
     }
 
-    /// How many proxies a director may expect in a zone, by its settings alone.
+    /// The number of proxies of a zone that a director should expect, by the settings alone.
     fn expected_proxies_per_zone(&self) -> f64 {
         let directors = self.settings.directors.max(1);
         let zones = self.settings.zones.len().max(1) as u32;
@@ -267,7 +269,7 @@
         f64::from(self.settings.proxies) / f64::from(shares)
     }
 
-    /// How many directors serve a zone at least.
+    /// The least number of directors that serve a zone.
     fn directors_per_zone(&self) -> f64 {
         let directors = self.settings.directors.max(1);
         let zones = self.settings.zones.len().max(1) as u32;
--- a/crates/wingfold-director/src/policy/table_plan.rs
+++ b/crates/wingfold-director/src/policy/table_plan.rs
@@ -1,4 +1,4 @@
-//! What a table should hold: eligible entries, their weights, and standby entries.
+//! Plans of tables: which eligible hosts a table should hold, at which weights, and its standby entries.
 use crate::director::Director;
 use crate::incremental::{HostInZone, StatsRow, ZoneTableInputs};
 use crate::interface::{HostId, ZoneId};
@@ -11,18 +11,20 @@
 
 /// Weight ratio of a standby entry: proxies use it only if all others fail.
 const STANDBY_WEIGHT_RATIO: f64 = 1.0 / 2048.0;
-/// Ratio of the load that a host survives while it warms up that it is given.
+/// Ratio of the load that a host withstands while it warms up that its weight is limited to.
 const WARM_UP_BUDGET_RATIO: f64 = 0.5;
-/// Utilization of the fleet that this budget assumes.
+/// Utilization of the fleet that the limit on hosts that are warming up is computed for.
 const ASSUMED_UTILIZATION: f64 = 0.75;
 /// Largest share of a table's attempts that one host gets while it warms up.
 const MAX_WARM_UP_SHARE: f64 = 0.9;
-/// Ratio of the peak weight that warm hosts must hold for hosts that warm up to wait.
+/// Ratio of a table's peak weight that warm hosts must hold for the table to leave out hosts that are warming
+/// up while losses are common.
 const MIN_WARM_WEIGHT_RATIO: f64 = 0.2;
-/// Ring distance, in ratios of the ring, by which an arc reaches beyond the last host that it must hold.
+/// Distance by which an arc reaches beyond the last host that it must hold, as a ratio of the ring: the end
+/// of an arc is exclusive.
 const RING_DISTANCE_TOLERANCE: f64 = 1e-9;
 
-/// Ratio of its weight that a host has by its health and its ranking.
+/// Factor on the weight of a host for its health and its ranking in a zone.
 fn health_factor(stats: &StatsRow) -> f64 {
     match stats.health {
         HealthState::Healthy => 0.5f64.powi(stats.weight_halvings as i32),
@@ -33,7 +35,7 @@
 
 /// An entry of a host that is warming up.
 struct WarmingEntry<'a> {
-    /// What its weight depends on.
+    /// The host, and what its weight depends on.
     eligible: &'a EligibleEntry,
     /// Its position among the entries of the plan.
     position: usize,
@@ -44,13 +46,13 @@
 struct DraftTable<'a> {
     /// The entries.
     entries: Vec<PlannedEntry<'a>>,
-    /// Those of hosts that are warming up.
+    /// The entries of hosts that are warming up.
     warming_up: Vec<WarmingEntry<'a>>,
-    /// Listed weight of the hosts, whatever their health and warm-up.
+    /// Listed weight of all hosts on the arc, whatever their health and warm-up.
     listed_weight: f64,
-    /// The same of hosts that are not warming up.
+    /// Listed weight of the hosts on the arc that are not warming up.
     warm_weight: f64,
-    /// Weight by their health of hosts that are not warming up.
+    /// Weight of the hosts on the arc that are not warming up, reduced by their health factors.
     healthy_warm_weight: f64,
 }
 
@@ -73,7 +75,7 @@
     eligible: &'a [EligibleEntry],
     /// All hosts by position.
     host_ids: &'a [HostId],
-    /// The arc of the ring of hosts that has listed weight.
+    /// The arc of the ring whose hosts have listed weight; hosts beyond it are standby entries.
     arc: RingArc,
 }
 
@@ -83,7 +85,9 @@
         self.arc.length >= 1.0
     }
 
-    /// The weight of a host. On an arc, hosts of other zones are fewer by their locality, not lighter.
+    /// The weight of a host before the factors for its health and slow start. Locality reduces the weight of
+    /// hosts of other zones only where the arc covers the ring. On a shorter arc it reduces their number, by
+    /// their ring distance.
     fn weight(&self, entry: &EligibleEntry) -> f64 {
         if self.covers_ring() {
             entry.weight * entry.locality_weight
@@ -92,8 +96,8 @@
         }
     }
 
-    /// How far a host lies from the start of the arc, as a ratio of the ring: farther, the less weight its
-    /// locality leaves it.
+    /// The distance of a host from the start of the arc, as a ratio of the ring. It is divided by the host's
+    /// locality weight, so that fewer hosts of other zones lie on the arc.
     fn ring_distance(&self, entry: &EligibleEntry) -> f64 {
         if self.covers_ring() {
             0.0
@@ -102,7 +106,8 @@
         }
     }
 
-    /// How far the arc reaches. It holds the least number of warm hosts, however short it should be.
+    /// The ring distance at which the arc ends. The arc is extended until it holds the least number of warm
+    /// hosts of a subset.
     fn arc_end(&self, distances: &[f64]) -> f64 {
         let is_warm = |entry: &EligibleEntry| !entry.is_warming_up && entry.health_factor > 0.0;
         let warm = self.eligible.iter().zip(distances).filter(|(entry, _)| is_warm(entry));
@@ -110,7 +115,7 @@
         self.arc.length.max(last_needed.map_or(0.0, |distance| distance + RING_DISTANCE_TOLERANCE))
     }
 
-    /// An entry of the table.
+    /// The planned entry of a host.
     fn planned(&self, entry: &EligibleEntry, weight: f64, is_standby: bool) -> PlannedEntry<'a> {
         PlannedEntry { host: &self.host_ids[entry.index], weight, is_standby }
     }
@@ -133,7 +138,7 @@
         draft
     }
 
-    /// Adds a host on the arc. One that is ejected has no entry, but counts in the sums.
+    /// Adds a host on the arc. An ejected host gets no entry, but its weight counts in the sums.
     fn add_active(&self, draft: &mut DraftTable<'a>, entry: &'a EligibleEntry) {
         let weight = self.weight(entry);
         let is_in_use = entry.health_factor > 0.0;
@@ -150,7 +155,7 @@
         }
     }
 
-    /// All hosts, whatever their health and wherever they lie on the ring.
+    /// All hosts as active entries, whatever their health and their position on the ring.
     fn draft_all_hosts(&self) -> DraftTable<'a> {
         let planned =
             |entry: &EligibleEntry| self.planned(entry, self.weight(entry) * entry.slow_start_factor, false);
@@ -166,8 +171,9 @@
         }
     }
 
-    /// The table before hosts that warm up are limited. It is never empty: if no warm host of the arc is
-    /// healthy, all warm hosts that the endpoint list shows as ready are used.
+    /// The table before hosts that are warming up are limited. If no warm host on the arc is in use, the
+    /// table holds all hosts that the endpoint list shows as ready, whatever their health, so that it is not
+    /// left empty.
     fn draft(&self) -> DraftTable<'a> {
         let draft = self.draft_arc();
         let lacks_warm_hosts =
@@ -179,8 +185,8 @@
         }
     }
 
-    /// Limits each host that is warming up to the load that it survives: where few hosts are left, what the
-    /// others no longer carry must not overload it.
+    /// Limits the weight of each host that is warming up to the load that the host withstands: where few
+    /// hosts are left, the load that the others no longer carry must not overload it.
     fn limit_warming_up(&self, draft: &mut DraftTable, peak_weight: f64, overload_factor: f64) {
         for WarmingEntry { eligible, position } in &draft.warming_up {
             let budget =
@@ -194,8 +200,8 @@
 }
 
 impl Director {
-    /// The hosts that a zone's proxies may use for a group of classes. `warm_ups` are those of all hosts by
-    /// position.
+    /// The hosts that a zone's proxies may use for a group of classes. `warm_ups` are the warm-up states of
+    /// all hosts, by their position in the host index.
     pub(crate) fn eligible_entries(
         &self,
         name: &ZoneId,
@@ -204,16 +210,18 @@
         warm_ups: &[WarmUp],
     ) -> Vec<EligibleEntry> {
         let group = &self.class_groups[group];
-        let is_eligible = |of: &HostInZone| of.host.is_ready() && group.allows(name, &of.host.endpoint);
+        let is_eligible = |candidate: &HostInZone| {
+            candidate.host.is_ready() && group.allows(name, &candidate.host.endpoint)
+        };
         let mut entries = Vec::with_capacity(self.hosts.len());
-        for of in self.hosts_in_zone(zone).filter(is_eligible) {
-            let in_own_zone = of.health.in_own_zone;
-            let warm_up = warm_ups[of.index];
+        for candidate in self.hosts_in_zone(zone).filter(is_eligible) {
+            let in_own_zone = candidate.health.in_own_zone;
+            let warm_up = warm_ups[candidate.index];
             entries.push(EligibleEntry {
-                index: of.index,
-                weight: of.host.weight,
+                index: candidate.index,
+                weight: candidate.host.weight,
                 locality_weight: zone.locality_weight(in_own_zone),
-                health_factor: health_factor(of.stats),
+                health_factor: health_factor(candidate.stats),
                 slow_start_factor: warm_up.slow_start_factor,
                 is_warming_up: warm_up.is_warming_up,
                 in_own_zone,
@@ -224,8 +232,8 @@
         entries
     }
 
-    /// What the table of a subset should hold for a group of classes. `peak_weight` is that of the table so
-    /// far.
+    /// What the table of a subset should hold for a group of classes. `peak_weight` is the largest listed
+    /// weight that the table's hosts have had together so far.
     pub(crate) fn plan_table<'a>(
         &self,
         zone: &Zone,
@@ -238,8 +246,9 @@
             TablePlanner { eligible: &shared.eligible[group], host_ids: &shared.host_ids, arc: subset.arc() };
         let mut draft = planner.draft();
         let peak_weight = peak_weight.max(draft.listed_weight);
-        // While losses are common, proxies avoid most other hosts by their own count, and a host that warms
-        // up would get all attempts. Warm hosts count by listed weight, whatever a long fault has left of it.
+        // While losses are common, proxies avoid most warm hosts by their own count of failures, and a host
+        // that is warming up would get all attempts. Warm hosts count with their listed weight, since a long
+        // fault reduces their weight by health.
         let has_warm_hosts = draft.warm_weight >= MIN_WARM_WEIGHT_RATIO * peak_weight;
         if draft.healthy_warm_weight > 0.0 {
             if has_warm_hosts && zone.baseline_loss >= COMMON_LOSS_RATIO {
--- a/crates/wingfold-director/src/queries.rs
+++ b/crates/wingfold-director/src/queries.rs
@@ -1,4 +1,4 @@
-//! Sums and selections over the records of a director. Nothing is decided here.
+//! Queries on the state of a director: sums and selections, but no decisions.
 use crate::director::Director;
 use crate::incremental::join_by_host;
 use crate::inspect::RecordCounts;
@@ -6,11 +6,12 @@
 use crate::state::{AttemptStats, ByZone, FreshHostStats, HealthState, Host, Proxy, ScoredHost, Table, Zone};
 use std::collections::BTreeMap;
 
-/// Shortest warm-up time that ages are measured by, in seconds: it keeps the ratio finite.
+/// Lower bound of the warm-up time that ages are divided by, in seconds: it keeps their ratio finite.
 const MIN_WARM_UP_S: f64 = 1e-3;
 
 impl Director {
-    /// Time since a host's start as a multiple of the warm-up time: below 1 the host may still be warming up.
+    /// Time since a host's start as a multiple of the warm-up time. Below 1 the host may still be warming up;
+    /// a host whose start time is unknown counts as warm.
     pub(crate) fn age_in_warm_ups(&self, host: &Host) -> f64 {
         let warm_up_s = self.settings.warm_up.secs().max(MIN_WARM_UP_S);
         host.endpoint.started_at.map_or(f64::MAX, |started_at| self.now.since(started_at) / warm_up_s)
@@ -61,7 +62,7 @@
             .collect()
     }
 
-    /// What the proxies of all zones together met at each host since the last scoring round that used it.
+    /// The attempts of all zones together at each host, since the last scoring round that used them.
     pub(crate) fn fresh_stats_by_host(&self, zones: &ByZone<Zone>) -> Vec<FreshHostStats> {
         let ids = self.memo.host_index.ids();
         let mut sums = vec![AttemptStats::default(); ids.len()];
@@ -84,7 +85,7 @@
         self.proxies.iter().filter(move |(_, proxy)| proxy.zone == *zone)
     }
 
-    /// The proxies assigned to each subset of each zone.
+    /// The proxies that are assigned to each subset of each zone, by the index of the subset.
     pub(crate) fn proxies_by_subset(&self, zones: &ByZone<Zone>) -> ByZone<Vec<Vec<ProxyId>>> {
         let mut proxies_by_subset: ByZone<Vec<Vec<ProxyId>>> =
             zones.iter().map(|(name, zone)| (name.clone(), vec![Vec::new(); zone.subsets.len()])).collect();
@@ -96,9 +97,10 @@
         proxies_by_subset
     }
 
-    /// Requests per second of the proxies assigned to each subset of a zone, on top of `least` each.
-    pub(crate) fn load_by_subset(&self, name: &ZoneId, zone: &Zone, least: f64) -> Vec<f64> {
-        let mut load = vec![least; zone.subsets.len()];
+    /// Requests per second of the proxies that are assigned to each subset of a zone, plus `base_load` for
+    /// each subset. Proxies that wait for another assignment don't count.
+    pub(crate) fn load_by_subset(&self, name: &ZoneId, zone: &Zone, base_load: f64) -> Vec<f64> {
+        let mut load = vec![base_load; zone.subsets.len()];
         for (_, proxy) in self.proxies_in_zone(name).filter(|(_, proxy)| !proxy.awaiting_assignment) {
             if let Some(subset) = proxy.subset {
                 load[subset] += proxy.requests_per_s;
@@ -107,7 +109,7 @@
         load
     }
 
-    /// How many records the director holds, by kind.
+    /// How many records of each kind the director holds.
     pub fn record_counts(&self) -> RecordCounts {
         RecordCounts {
             hosts: self.hosts.len(),
@@ -122,7 +124,7 @@
     pub fn digest(&self) -> u64 {
         let mix = |id: u32, seed: u64| xxhash_rust::xxh3::xxh3_64_with_seed(&id.to_le_bytes(), seed);
         let tables = self.tables().map(|table| mix(table.id.0, table.digest));
-        // The inverted number keeps a proxy apart from the table of the same number.
+        // Ids of proxies are inverted, so that a proxy and a table with the same id are mixed differently.
         let assignments =
             self.proxies.iter().filter_map(|(id, proxy)| Some(mix(!id.0, proxy.subset? as u64)));
         tables.chain(assignments).fold(0, u64::wrapping_add)
