--- a/crates/wingfold-director/src/checkpoint/validation.rs
+++ b/crates/wingfold-director/src/checkpoint/validation.rs
@@ -345,7 +345,7 @@
 
     fn validate_counts(&self) -> Validity {
         for (name, zone) in &self.zones {
-            let count = zone.calm_rounds;
+            let count = zone.low_loss_updates;
             let error = || InvalidRecord::CalmRounds { zone: name.clone(), count };
             ensure(count < ROUNDS_BOUND, error)?;
         }
--- a/crates/wingfold-director/src/policy/send_capacity.rs
+++ b/crates/wingfold-director/src/policy/send_capacity.rs
@@ -156,16 +156,16 @@
     /// Gives up on the oldest barrier if it should have been acknowledged long ago.
     pub(crate) fn expire_barriers(&mut self) {
         let nominal_rate = self.settings.send_rate_lines_per_s;
-        let silence = self.send_queue.acknowledgement_silence(self.now, &self.proxies, nominal_rate);
-        let Some(silence) = silence else { return };
-        let timeout_s = if silence.acknowledgement_expected {
+        let wait = self.send_queue.oldest_barrier_wait(self.now, &self.proxies, nominal_rate);
+        let Some(wait) = wait else { return };
+        let timeout_s = if wait.acknowledgement_expected {
             ACKNOWLEDGEMENT_TIMEOUT_S
         } else {
             SILENT_ACKNOWLEDGEMENT_TIMEOUT_S
         };
         let delivery_s = self.settings.max_push_delay.secs() + timeout_s;
-        let drain_s = (silence.drain_s / MIN_DRAIN_RATE_RATIO).min(MAX_DRAIN_WAIT_S);
-        if silence.silent_s > delivery_s + drain_s {
+        let drain_s = (wait.drain_s / MIN_DRAIN_RATE_RATIO).min(MAX_DRAIN_WAIT_S);
+        if wait.waited_s > delivery_s + drain_s {
             self.send_queue.expire_oldest_barrier(self.now);
         }
     }
--- a/crates/wingfold-director/src/policy/subsetting.rs
+++ b/crates/wingfold-director/src/policy/subsetting.rs
@@ -110,8 +110,8 @@
     pub(crate) fn adjust_subset_size(&mut self, name: &ZoneId, zone: &mut Zone) {
         let previous = zone.requests_per_connection.max(MIN_REQUESTS_PER_CONNECTION);
         let is_calm = zone.baseline_loss < CALM_LOSS_RATIO && previous > MIN_REQUESTS_PER_CONNECTION;
-        zone.calm_rounds = if is_calm { (zone.calm_rounds + 1) % CALM_ROUNDS } else { 0 };
-        let may_grow = is_calm && zone.calm_rounds == 0;
+        zone.low_loss_updates = if is_calm { (zone.low_loss_updates + 1) % CALM_ROUNDS } else { 0 };
+        let may_grow = is_calm && zone.low_loss_updates == 0;
         zone.requests_per_connection = if self.hosts_refuse_connections(zone) {
             MAX_REQUESTS_PER_CONNECTION
         } else if may_grow {
--- a/crates/wingfold-director/src/state/admission_sample.rs
+++ b/crates/wingfold-director/src/state/admission_sample.rs
@@ -1,19 +1,19 @@
-//! A past admission update.
+//! Records of past admission updates.
 use crate::interface::Timestamp;
 use serde::{Deserialize, Serialize};
 
-/// What an admission update decided, kept until the load reports that follow from it have come in.
+/// The result of an admission update, kept until the load reports that show its effect have arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredAdmissionSample", into = "StoredAdmissionSample")]
 pub(crate) struct AdmissionSample {
-    /// Time of the update.
+    /// When the admission update ran.
     pub(crate) updated_at: Timestamp,
-    /// Capacity of the hosts in use over the admission ratio: the offered load, in units of listed weight,
-    /// that keeps these hosts fully busy at this ratio.
+    /// Offered load, in units of listed weight, that fully utilizes the hosts in use at the admission ratio
+    /// of the update: the capacity of these hosts divided by the ratio.
     pub(crate) saturating_load: f64,
 }
 
-/// The stored form of [`AdmissionSample`]: time, saturating load.
+/// The stored form of [`AdmissionSample`]: time of the update, saturating load.
 type StoredAdmissionSample = (Timestamp, f64);
 
 impl From<StoredAdmissionSample> for AdmissionSample {
--- a/crates/wingfold-director/src/state/class_group.rs
+++ b/crates/wingfold-director/src/state/class_group.rs
@@ -2,10 +2,10 @@
 use crate::interface::{Class, Endpoint, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// Classes whose requests may go to the same hosts: they share a table in each subset.
+/// Classes whose requests may go to the same hosts. The classes of a group share one table in each subset.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ClassGroup {
-    /// The first class of the group: its restrictions are those of all.
+    /// The first class of the group. All classes of the group have the same host restrictions.
     #[serde(rename = "sample")]
     pub(crate) representative: Class,
     /// The classes of the group; bit `k` stands for the class at position `k` of the settings.
@@ -14,7 +14,7 @@
 }
 
 impl ClassGroup {
-    /// One group for each distinct restriction of classes to hosts, in the order of their first classes.
+    /// Groups classes with equal host restrictions. The groups are in the order of their first classes.
     pub(crate) fn from_classes(classes: &[Class]) -> Vec<ClassGroup> {
         let mut groups: Vec<ClassGroup> = Vec::new();
         for (index, class) in classes.iter().enumerate() {
@@ -26,7 +26,7 @@
         groups
     }
 
-    /// Whether requests of the group may go from a proxy in `proxy_zone` to a host.
+    /// Whether proxies in `proxy_zone` may send requests of the group to the host of `endpoint`.
     pub(crate) fn allows(&self, proxy_zone: &ZoneId, endpoint: &Endpoint) -> bool {
         let class = &self.representative;
         (!class.own_zone_only || endpoint.zone == *proxy_zone)
--- a/crates/wingfold-director/src/state/host.rs
+++ b/crates/wingfold-director/src/state/host.rs
@@ -2,38 +2,40 @@
 use crate::interface::{Endpoint, Readiness, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// What is known of a host, whichever zone sees it.
+/// The state of a host that is the same for all zones.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Host {
-    /// The host's last entry in the endpoint list.
+    /// The host's latest entry in the endpoint list.
     #[serde(rename = "entry")]
     pub(crate) endpoint: Endpoint,
-    /// Listed weight that tables use, corrected by the relative speed of the machine type. It follows the
-    /// list only on a substantial change.
+    /// Listed weight that tables use, corrected by the relative speed of the machine type. Small changes of
+    /// the weight on the endpoint list are ignored.
     pub(crate) weight: f64,
-    /// Smoothed utilization, if any was reported.
+    /// Smoothed utilization; `None` if the host has reported none.
     #[serde(rename = "busy")]
     pub(crate) utilization: Option<ReportedUtilization>,
-    /// Consecutive attempts in all zones that failed or came too late for every latency objective.
+    /// Consecutive useless attempts, counted over all zones: attempts that failed, or whose answers came too
+    /// late for the latency objective of every class.
     #[serde(rename = "row")]
     pub(crate) consecutive_useless: f64,
-    /// The list calls the host removed, which is only advice here: it stays until its own answers fail as
-    /// well.
+    /// The endpoint list reports the host as removed, but removals are only advisory in this deployment: the
+    /// host stays in tables until attempts at the host fail as well.
     #[serde(rename = "doubted")]
     pub(crate) removal_suspected: bool,
-    /// When the list first left the host out, or called it removed, without naming it again since.
+    /// When the endpoint list first omitted the host or reported it as removed; `None` if the list has named
+    /// the host as ready or draining since.
     #[serde(rename = "gone_at")]
     pub(crate) removed_at: Option<Timestamp>,
 }
 
 impl Host {
-    /// Whether the host takes new requests according to the endpoint list.
+    /// Whether the host accepts new requests according to the endpoint list.
     pub(crate) fn is_ready(&self) -> bool {
         self.endpoint.readiness == Readiness::Ready
     }
 }
 
-/// Utilization of a host as it reported it.
+/// A host's utilization, from the host's own load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredUtilization", into = "StoredUtilization")]
 pub(crate) struct ReportedUtilization {
@@ -58,11 +60,11 @@
     }
 }
 
-/// How far a host has warmed up after its start.
+/// The warm-up of a host after its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct WarmUp {
-    /// Ratio of its capacity that the host has by now at least.
+    /// Lower bound of the host's present capacity, as a ratio of its full capacity.
     pub(crate) slow_start_factor: f64,
-    /// The warm-up time of the settings has not passed yet.
+    /// Whether less than the warm-up time of the settings has passed since the host's start.
     pub(crate) is_warming_up: bool,
 }
--- a/crates/wingfold-director/src/state/mod.rs
+++ b/crates/wingfold-director/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! The records that a director keeps: plain data and queries on them. Nothing is decided here.
+//! The records that make up a director's state: plain data, and queries and updates on them. Decisions are
+//! taken in `policy`.
 use crate::interface::ZoneId;
 
 mod admission_sample;
@@ -21,5 +22,6 @@
 pub(crate) use zone::*;
 pub(crate) use zone_host_stats::*;
 
-/// Values by zone, in the order of the settings: no result depends on the order of the zones' names.
+/// A map from zones to values that keeps insertion order: the zones of the settings in their order there,
+/// then those that proxies named. No result depends on the alphabetical order of zone names.
 pub(crate) type ByZone<T> = indexmap::IndexMap<ZoneId, T>;
--- a/crates/wingfold-director/src/state/plan.rs
+++ b/crates/wingfold-director/src/state/plan.rs
@@ -1,33 +1,34 @@
-//! What a table may hold, and what it should hold.
+//! The hosts that are eligible for a table, and the planned contents of a table.
 use crate::interface::HostId;
 use crate::state::{EntryChange, Table};
 
-/// Least circumference of a ring: one without hosts has none.
+/// Least divisor of ring positions: the circumference of a ring without hosts is 0.
 const MIN_CIRCUMFERENCE: f64 = 1e-9;
 
-/// A host that a table may hold, and what its weight there depends on.
+/// A host that is eligible for a table, and the factors of its weight in the table.
 #[derive(Clone, Debug)]
 pub(crate) struct EligibleEntry {
     /// The host's position in the host index.
     pub(crate) index: usize,
-    /// Its listed weight.
+    /// The host's listed weight.
     pub(crate) weight: f64,
-    /// Ratio of the weight that it has by locality.
+    /// Factor on the weight by locality: below 1 for hosts of other zones.
     pub(crate) locality_weight: f64,
-    /// Ratio of the weight that it has by its health and ranking; 0 while it is ejected.
+    /// Factor on the weight by health and ranking; 0 while the host is ejected.
     pub(crate) health_factor: f64,
-    /// Ratio of its capacity that it surely has after its start.
+    /// Lower bound of the host's present capacity during its warm-up, as a ratio of its full capacity.
     pub(crate) slow_start_factor: f64,
-    /// Whether it may still be warming up.
+    /// Whether the host may still be warming up.
     pub(crate) is_warming_up: bool,
-    /// Whether it is in the zone of the table's proxies.
+    /// Whether the host is in the zone of the table's proxies.
     pub(crate) in_own_zone: bool,
-    /// Its position on the ring of hosts, as a ratio of the ring.
+    /// The host's position on the ring of hosts, as a ratio of the ring's circumference.
     pub(crate) ring_position: f64,
 }
 
-/// Sets the position of each host on the ring. The zone's own hosts and the others each fill the whole ring,
-/// and each host as much of it as its weight. Ejected hosts fill nothing.
+/// Sets the position of each host on the ring. The hosts of the zone itself and those of other zones are
+/// placed separately, and each of the two groups covers the whole ring. A host covers an arc in proportion to
+/// its weight and is positioned at the middle of that arc; ejected hosts take up no space.
 pub(crate) fn place_on_ring(entries: &mut [EligibleEntry]) {
     let mut own_end = 0.0;
     let mut remote_end = 0.0;
@@ -42,23 +43,24 @@
     }
 }
 
-/// An entry that a table should hold.
+/// An entry of the planned contents of a table.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PlannedEntry<'a> {
     /// The host.
     pub(crate) host: &'a HostId,
-    /// Its weight.
+    /// The planned weight.
     pub(crate) weight: f64,
-    /// Whether proxies use it only if all others fail: such an entry is sent only where there is capacity.
+    /// Whether proxies use the entry only if all other entries fail. Standby entries are added only where
+    /// there is send capacity left.
     pub(crate) is_standby: bool,
 }
 
-/// What a table should hold.
+/// The planned contents of a table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct TablePlan<'a> {
-    /// The entries, in the order of their hosts.
+    /// The entries, ordered by host.
     pub(crate) entries: Vec<PlannedEntry<'a>>,
-    /// The largest listed weight that the table's hosts ever had together.
+    /// The largest total listed weight that the table's hosts have had so far.
     pub(crate) peak_weight: f64,
 }
 
@@ -68,12 +70,12 @@
         self.entries.iter().filter(|entry| !entry.is_standby)
     }
 
-    /// The changes that fill an empty table with all active entries.
+    /// The changes that add all active entries to an empty table.
     pub(crate) fn full_table_changes(&self) -> Vec<EntryChange> {
         self.active_entries().map(|entry| EntryChange::addition(entry.host, entry.weight)).collect()
     }
 
-    /// The standby entries that a table does not hold yet.
+    /// The changes that add the planned standby entries that `table` does not have yet.
     pub(crate) fn missing_standby_entries(&self, table: &Table) -> Vec<EntryChange> {
         self.entries
             .iter()
--- a/crates/wingfold-director/src/state/send_queue.rs
+++ b/crates/wingfold-director/src/state/send_queue.rs
@@ -1,5 +1,5 @@
-//! Accounting of the send queue that all messages of a director share: how many lines it holds, by the
-//! acknowledgements of proxies to the barriers that messages carry.
+//! Accounting of the send queue that all messages of a director share. The number of queued lines is derived
+//! from the lines sent and from the proxies' acknowledgements of the barriers that messages carry.
 //!
 //! A line is the unit in which the settings limit messages: a table entry, an admission level or a barrier.
 use crate::interface::{ProxyId, Timestamp};
@@ -7,19 +7,22 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Lines that were sent and that no acknowledgement shows to have left the send queue. It holds no more than
-/// these, however slow it is, since messages leave it one after the other; only barriers that expire without
-/// an acknowledgement can make the count too small.
+/// The state of the send queue: an upper bound of the lines that are queued, and the rate at which they
+/// drain.
+///
+/// A sent line counts as queued until an acknowledgement shows that it has left the queue. As messages leave
+/// the queue in order, the queue never holds more lines than are counted, however slowly it drains. Only
+/// barriers that expire without an acknowledgement can make the count too small.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct SendQueue {
-    /// All of these lines, those of the present evaluation included.
+    /// All lines that count as queued, including those of the present evaluation.
     #[serde(rename = "queued")]
     pub(crate) queued_lines: f64,
-    /// Those sent since the last barrier.
+    /// Lines sent since the last barrier.
     #[serde(rename = "unmarked")]
     pub(crate) lines_since_barrier: f64,
-    /// Barriers that some proxies have not acknowledged, oldest first.
+    /// Barriers that at least one proxy has not acknowledged, oldest first.
     #[serde(rename = "marks")]
     pub(crate) pending_barriers: VecDeque<PendingBarrier>,
     /// Number of the last barrier.
@@ -28,79 +31,86 @@
     /// When a barrier was last acknowledged or expired.
     #[serde(rename = "heard_at")]
     pub(crate) last_acknowledged_at: Timestamp,
-    /// Smoothed lines per second that leave the queue, as acknowledgements show it; 0 if none has yet.
+    /// Smoothed drain rate in lines per second, from the delays of acknowledgements; 0 if no acknowledgement
+    /// has given a sample yet.
     #[serde(rename = "pace")]
     pub(crate) drain_rate_per_s: f64,
     /// Barriers that have expired since the last acknowledgement.
     #[serde(rename = "given_up")]
     pub(crate) expired_barriers: u32,
-    /// Lines of all evaluations up to the last with a barrier, since the start.
+    /// Lines sent since the start, up to and including the last evaluation with a barrier.
     #[serde(rename = "total")]
     pub(crate) total_lines: f64,
-    /// When the present measurement of the drain rate began.
+    /// When the current measurement of the drain rate started.
     #[serde(rename = "measured_at")]
     pub(crate) measurement_started_at: Timestamp,
-    /// How many of `total_lines` had left the queue by then.
+    /// How many of `total_lines` had left the queue when the current measurement started.
     #[serde(rename = "measured_from")]
     pub(crate) measurement_start_lines: f64,
-    /// Lines per second by the last measurement; 0 if messages leave the queue too soon for one.
+    /// Drain rate in lines per second by the last measurement between two acknowledgements; 0 if the queue
+    /// may have been empty in between, so that the rate could not be measured.
     #[serde(rename = "measured_pace")]
     pub(crate) measured_drain_rate_per_s: f64,
 }
 
-/// The messages of one evaluation, each with a barrier that its proxy acknowledges once it has applied it.
+/// A barrier that at least one proxy has not acknowledged. Every message of one evaluation carries the
+/// barrier, and each proxy acknowledges it once the proxy has applied its message.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct PendingBarrier {
-    /// Its number.
+    /// The number of the barrier.
     pub(crate) number: u64,
-    /// When it was sent.
+    /// When the barrier was sent.
     #[serde(rename = "at")]
     pub(crate) sent_at: Timestamp,
-    /// Lines of the evaluations between the barrier before and this one.
+    /// Lines of the evaluations between the previous barrier and this one.
     #[serde(rename = "before")]
     pub(crate) lines_before: f64,
-    /// All lines that the send queue held when it was sent, those of its own messages included.
+    /// Lines in the send queue when the barrier was sent, including those of the messages that carry it.
     #[serde(rename = "queued")]
     pub(crate) queued_lines: f64,
-    /// Lines of all evaluations up to this one, since the start.
+    /// Lines sent since the start, up to and including the evaluation of the barrier.
     #[serde(rename = "total")]
     pub(crate) total_lines: f64,
-    /// Lines of its own messages, by proxies that have not acknowledged it.
+    /// Lines of the messages that carry the barrier, by proxy, for the proxies that have not acknowledged it.
     #[serde(rename = "lines")]
     pub(crate) unacknowledged: BTreeMap<ProxyId, f64>,
 }
 
-/// How long the oldest barrier has waited for acknowledgements.
-pub(crate) struct AcknowledgementSilence {
-    /// Seconds since it was sent, or since the last acknowledgement of any barrier.
-    pub(crate) silent_s: f64,
-    /// Seconds that its lines take to leave the queue, at the drain rate last measured.
+/// The wait for an acknowledgement of the oldest pending barrier.
+pub(crate) struct BarrierWait {
+    /// Seconds since the barrier was sent, or since any barrier was last acknowledged or expired if that is
+    /// later.
+    pub(crate) waited_s: f64,
+    /// Seconds that the barrier's outstanding lines take to leave the queue at the drain rate last measured.
     pub(crate) drain_s: f64,
-    /// Whether proxies have acknowledged barriers until now, and some proxy can still acknowledge one.
+    /// Whether an acknowledgement is likely: barriers have been acknowledged, none has expired since the last
+    /// acknowledgement, and at least one proxy can still acknowledge a pending barrier.
     pub(crate) acknowledgement_expected: bool,
 }
 
 impl PendingBarrier {
-    /// Lines that it stands for and that are not known to have left the queue.
+    /// Lines that were sent with the barrier, or since the previous one, and that are not known to have left
+    /// the queue.
     pub(crate) fn outstanding_lines(&self) -> f64 {
         self.lines_before + self.unacknowledged.values().sum::<f64>()
     }
 
-    /// Lines of its messages that were sent after the one to a proxy: those of one evaluation are sent in
-    /// the order of their proxies.
+    /// Unacknowledged lines that were sent after the message to `proxy`: the messages of one evaluation are
+    /// sent in the order of their proxies.
     fn lines_behind(&self, proxy: ProxyId) -> f64 {
         self.unacknowledged.range(proxy..).skip(1).map(|(_, lines)| lines).sum()
     }
 
-    /// Removes the lines that have left the queue once a proxy has acknowledged it, and returns their
-    /// number.
+    /// Removes the lines that have left the queue by the time that `proxy` acknowledges the barrier: those of
+    /// its message and those sent before the barrier's own messages. Returns the number of lines removed.
     fn remove_acknowledged(&mut self, proxy: ProxyId) -> f64 {
         let lines_before = std::mem::take(&mut self.lines_before);
         lines_before + self.unacknowledged.remove(&proxy).unwrap_or(0.0)
     }
 
-    /// Whether a proxy that has not acknowledged it still has the stream that it was sent to.
+    /// Whether any proxy that has not acknowledged the barrier still has the stream on which the barrier was
+    /// sent.
     fn can_be_acknowledged(&self, proxies: &BTreeMap<ProxyId, Proxy>) -> bool {
         let has_same_stream = |id| proxies.get(id).is_some_and(|proxy| proxy.connected_at <= self.sent_at);
         self.unacknowledged.keys().any(has_same_stream)
@@ -108,8 +118,8 @@
 }
 
 impl SendQueue {
-    /// Records the messages of one evaluation by their lines. With `has_barrier` each of them carries the
-    /// last barrier.
+    /// Records the messages of one evaluation; `messages` has the lines of each by proxy. If `has_barrier`,
+    /// each message carries the barrier numbered `last_barrier`.
     pub(crate) fn record_sent(
         &mut self,
         now: Timestamp,
@@ -133,10 +143,10 @@
         });
     }
 
-    /// Records that a proxy has acknowledged a barrier: its message has left the queue, and so have all
-    /// messages of earlier evaluations. Returns how many lines were queued when the message was sent, up to
-    /// its own end; `None` if the barrier is not pending. A measurement of the drain rate takes at least
-    /// `min_measurement_s`.
+    /// Records that `proxy` has acknowledged the barrier `number`: the proxy's message and all messages of
+    /// earlier evaluations have left the queue. Returns the number of queued lines up to and including that
+    /// message when it was sent; `None` if the barrier is not pending. A measurement of the drain rate covers
+    /// more than `min_measurement_s` seconds.
     pub(crate) fn acknowledge(
         &mut self,
         now: Timestamp,
@@ -162,9 +172,9 @@
         Some(queued_lines)
     }
 
-    /// Measures the drain rate between two acknowledgements, as long as the queue is never empty. `sent_at`
-    /// is when the message just acknowledged was sent, `drained_lines` how many of all lines have left the
-    /// queue.
+    /// Measures the drain rate between two acknowledgements, provided that the queue was never empty in
+    /// between. `sent_at` is when the message just acknowledged was sent; `drained_lines` is how many of the
+    /// lines sent since the start have left the queue.
     fn measure_drain_rate(
         &mut self,
         now: Timestamp,
@@ -175,7 +185,7 @@
         let elapsed_s = now.since(self.measurement_started_at);
         let was_never_empty = sent_at <= self.measurement_started_at;
         let is_too_short = was_never_empty && elapsed_s <= min_measurement_s;
-        // A proxy may acknowledge late, after others that were sent more.
+        // A late acknowledgement may show fewer drained lines than earlier ones: it measures nothing.
         if drained_lines <= self.measurement_start_lines || is_too_short {
             return;
         }
@@ -185,14 +195,14 @@
         self.measurement_start_lines = drained_lines;
     }
 
-    /// How long the oldest barrier has waited, if there is one. Where no drain rate is measured the nominal
-    /// one counts.
-    pub(crate) fn acknowledgement_silence(
+    /// The wait for an acknowledgement of the oldest pending barrier, if there is one. The drain time assumes
+    /// `nominal_rate_per_s` if no drain rate was measured or the measured one is higher.
+    pub(crate) fn oldest_barrier_wait(
         &self,
         now: Timestamp,
         proxies: &BTreeMap<ProxyId, Proxy>,
         nominal_rate_per_s: f64,
-    ) -> Option<AcknowledgementSilence> {
+    ) -> Option<BarrierWait> {
         let oldest = self.pending_barriers.front()?;
         let drain_rate_per_s = if self.measured_drain_rate_per_s > 0.0 {
             nominal_rate_per_s.min(self.measured_drain_rate_per_s)
@@ -202,15 +212,16 @@
         let proxies_acknowledge = self.last_acknowledged_at > Timestamp(0) && self.expired_barriers == 0;
         let can_be_acknowledged =
             || self.pending_barriers.iter().any(|barrier| barrier.can_be_acknowledged(proxies));
-        Some(AcknowledgementSilence {
-            silent_s: now.since(self.last_acknowledged_at.max(oldest.sent_at)),
+        Some(BarrierWait {
+            waited_s: now.since(self.last_acknowledged_at.max(oldest.sent_at)),
             drain_s: oldest.outstanding_lines() / drain_rate_per_s,
             acknowledgement_expected: proxies_acknowledge && can_be_acknowledged(),
         })
     }
 
-    /// Counts the lines of the oldest barrier as drained without an acknowledgement. The drain rate last
-    /// measured counts for less each time, as acknowledgements may never come again.
+    /// Drops the oldest barrier without an acknowledgement and counts its lines as drained. Each call doubles
+    /// the measured drain rate: acknowledgements may never come again, and waits then approach those at the
+    /// nominal rate.
     pub(crate) fn expire_oldest_barrier(&mut self, now: Timestamp) {
         let oldest = self.pending_barriers.pop_front();
         let expired_lines = oldest.map_or(0.0, |barrier| barrier.outstanding_lines());
@@ -219,7 +230,7 @@
         self.measured_drain_rate_per_s *= 2.0;
     }
 
-    /// Removes lines that have left the queue.
+    /// Subtracts lines that have left the queue, and restarts the wait for acknowledgements.
     fn remove_drained(&mut self, lines: f64, now: Timestamp) {
         self.queued_lines = (self.queued_lines - lines).max(0.0);
         self.last_acknowledged_at = now;
--- a/crates/wingfold-director/src/state/table.rs
+++ b/crates/wingfold-director/src/state/table.rs
@@ -1,21 +1,22 @@
-//! Tables as they were sent, and what a table still lacks of its plan.
+//! Tables as last sent to proxies, and the changes between a table and its plan.
 use crate::incremental::{HostCursor, TableInputs, UpToDate};
 use crate::interface::{Action, ClassId, ClassMask, HostId, Retry, TableId, Timestamp, ZoneId};
 use crate::state::{ByZone, PlannedEntry, TablePlan, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The tables that some of a zone's proxies share, and the arc of the ring of hosts that has listed weight
-/// there.
+/// A subset of a zone's proxies: the tables that these proxies share, and the arc of the ring of hosts whose
+/// hosts have their listed weight in these tables.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Subset {
     /// One table for each group of classes.
     pub(crate) tables: Vec<Table>,
-    /// Where the arc starts, as a ratio of the ring.
+    /// Where the arc starts, as a ratio of the ring's circumference.
     pub(crate) start: f64,
-    /// Length of the arc, as a ratio of the ring; 0 if it has none yet, 1 for all hosts.
+    /// Length of the arc, as a ratio of the ring's circumference; 0 if the subset has no arc yet, 1 for all
+    /// hosts.
     pub(crate) length: f64,
-    /// When its proxies were last sent a change.
+    /// When the subset's proxies were last sent a change.
     #[serde(default)]
     #[serde(rename = "sent_at")]
     pub(crate) last_sent_at: Timestamp,
@@ -24,26 +25,27 @@
 /// An arc of the ring of hosts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RingArc {
-    /// Where it starts, as a ratio of the ring; from 1 on it has gone round.
+    /// Where the arc starts, as a ratio of the ring's circumference; values from 1 on wrap around.
     pub(crate) start: f64,
-    /// Its length, as a ratio of the ring.
+    /// The length of the arc, as a ratio of the ring's circumference.
     pub(crate) length: f64,
 }
 
 impl Subset {
-    /// A subset without an arc and with empty tables, numbered from `first_table_id` on.
+    /// A subset without an arc, with one empty table for each of `groups` groups of classes. The tables are
+    /// numbered from `first_table_id` on.
     pub(crate) fn new(first_table_id: u32, groups: usize) -> Subset {
         let ids = (first_table_id..).take(groups).map(TableId);
         let tables = ids.map(|id| Table { id, ..Table::default() }).collect();
         Subset { tables, start: 0.0, length: 0.0, last_sent_at: Timestamp(0) }
     }
 
-    /// Its arc of the ring of hosts.
+    /// The subset's arc of the ring of hosts.
     pub(crate) fn arc(&self) -> RingArc {
         RingArc { start: self.start, length: self.length }
     }
 
-    /// Gives it another arc. The weights that its tables had before say nothing of the new one.
+    /// Sets the subset's arc and resets the peak weights of its tables, which belong to the previous arc.
     pub(crate) fn set_arc(&mut self, arc: RingArc) {
         self.start = arc.start;
         self.length = arc.length;
@@ -53,11 +55,11 @@
     }
 }
 
-/// A table as it was sent.
+/// A table as last sent to proxies.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct Table {
-    /// Its number.
+    /// The number of the table.
     pub(crate) id: TableId,
     /// Weights by host, as last sent.
     #[serde(rename = "lines")]
@@ -65,46 +67,47 @@
     /// Admission levels by class, as last sent.
     #[serde(rename = "levels")]
     pub(crate) admission_levels: BTreeMap<ClassId, f64>,
-    /// The largest listed weight that its hosts ever had together: that of a day without faults.
+    /// The largest total listed weight that the table's hosts have had on the present arc: the weight without
+    /// faults, which the present weight is compared with.
     #[serde(rename = "full")]
     pub(crate) peak_weight: f64,
-    /// Sum of the digests of its entries and admission levels: equal for equal contents, in whatever order
-    /// they were sent.
+    /// Sum of the digests of the table's entries and admission levels. Tables with equal contents have equal
+    /// digests, regardless of the order in which the contents were sent.
     #[serde(skip)]
     pub(crate) digest: u64,
-    /// The inputs for which all that was planned has been sent.
+    /// The inputs for which every planned change has been sent.
     #[serde(skip)]
     pub(crate) up_to_date: UpToDate<TableInputs>,
 }
 
-/// A change of a table's entry that is to be sent.
+/// A change of a table entry that has not been sent yet.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EntryChange {
     /// The host of the entry.
     pub(crate) host: HostId,
-    /// Its new weight; 0 removes the entry.
+    /// The new weight; 0 removes the entry.
     pub(crate) weight: f64,
-    /// Its weight as last sent; `None` if the table does not hold the entry.
+    /// The weight as last sent; `None` if the table does not have the entry.
     pub(crate) previous_weight: Option<f64>,
 }
 
 impl EntryChange {
-    /// An entry that the table does not hold yet.
+    /// Adds an entry that the table does not have yet.
     pub(crate) fn addition(host: &HostId, weight: f64) -> EntryChange {
         EntryChange { host: host.clone(), weight, previous_weight: None }
     }
 
-    /// An entry that is removed from the table.
+    /// Removes an entry from the table.
     pub(crate) fn removal(host: &HostId, previous_weight: f64) -> EntryChange {
         EntryChange { host: host.clone(), weight: 0.0, previous_weight: Some(previous_weight) }
     }
 
-    /// Whether the entry loses weight or is removed.
+    /// Whether the change reduces the weight of the entry or removes the entry.
     pub(crate) fn lowers_weight(&self) -> bool {
         self.previous_weight.is_some_and(|previous| previous > self.weight)
     }
 
-    /// Whether the table does not hold the entry yet.
+    /// Whether the change adds an entry that the table does not have yet.
     pub(crate) fn adds_entry(&self) -> bool {
         self.previous_weight.is_none()
     }
@@ -115,11 +118,12 @@
 pub(crate) struct ClassAdmission {
     /// The class.
     pub(crate) class: ClassId,
-    /// Ratio of its requests, or requests per second at each proxy, by the admission mode.
+    /// Admitted ratio of the class's requests, or admitted requests per second at each proxy, depending on
+    /// the admission mode.
     pub(crate) level: f64,
 }
 
-/// Changes of a table that are to be sent.
+/// Changes of a table that have not been sent yet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct TableChanges {
     /// Changed entries, then removed ones, then new standby entries.
@@ -129,26 +133,26 @@
 }
 
 impl TableChanges {
-    /// Whether nothing changes.
+    /// Whether there are no changes.
     pub(crate) fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Number of changes; each is a line of a message.
+    /// Number of changes; each takes one line of a message.
     pub(crate) fn len(&self) -> usize {
         self.entries.len() + self.admission_levels.len()
     }
 }
 
 impl Table {
-    /// Lines of a message that holds the table as a whole.
+    /// Number of lines of a message that assigns the whole table.
     pub(crate) fn full_lines(&self) -> usize {
         1 + self.entries.len() + self.admission_levels.len()
     }
 
-    /// What has not been sent yet of a plan and of admission levels. Weights that differ by less than
-    /// `weight_change_ratio` count as sent. Standby entries are not added here; those that the table holds
-    /// stay if `with_standby`.
+    /// The changes that bring the table to `plan` and `admission_levels`. Weights that differ from the plan
+    /// by no more than `weight_change_ratio` are left as they are. Standby entries are never added here;
+    /// those that the table already has are kept only if `with_standby`.
     pub(crate) fn changes_to(
         &self,
         plan: &TablePlan,
@@ -179,7 +183,7 @@
         TableChanges { entries: changed, admission_levels: changed_levels.copied().collect() }
     }
 
-    /// The actions that send some changes.
+    /// The actions that send `changes`.
     pub(crate) fn actions<'a>(
         &self,
         changes: &'a TableChanges,
@@ -201,7 +205,7 @@
         entries.chain(changes.admission_levels.iter().map(set_admission))
     }
 
-    /// Records changes that have been sent.
+    /// Applies changes that have been sent.
     pub(crate) fn record_sent(&mut self, changes: TableChanges) {
         if !changes.is_empty() {
             self.up_to_date = UpToDate::default();
@@ -214,7 +218,7 @@
         }
     }
 
-    /// Records the weight of an entry that has been sent.
+    /// Applies the weight of an entry that has been sent.
     fn record_entry(&mut self, host: HostId, weight: f64) {
         let new_digest = if weight > 0.0 { entry_digest(&host, weight) } else { 0 };
         let old_digest = self.entries.get(&host).map_or(0, |old| entry_digest(&host, *old));
@@ -226,21 +230,21 @@
         }
     }
 
-    /// Records an admission level that has been sent.
+    /// Applies an admission level that has been sent.
     fn record_admission(&mut self, ClassAdmission { class, level }: ClassAdmission) {
         let old_level = self.admission_levels.insert(class, level);
         let old_digest = old_level.map_or(0, |old| level_digest(class, old));
         self.digest = self.digest.wrapping_add(level_digest(class, level)).wrapping_sub(old_digest);
     }
 
-    /// Removes all entries; admission levels stay.
+    /// Removes all entries and keeps the admission levels.
     pub(crate) fn clear(&mut self) {
         self.entries.clear();
         self.up_to_date = UpToDate::default();
         self.rebuild_digest();
     }
 
-    /// Computes the digest of all that the table holds.
+    /// Recomputes the digest from all entries and admission levels.
     pub(crate) fn rebuild_digest(&mut self) {
         let entries = self.entries.iter().map(|(host, weight)| entry_digest(host, *weight));
         let levels = self.admission_levels.iter().map(|(class, level)| level_digest(*class, *level));
@@ -249,8 +253,8 @@
 }
 
 impl PlannedEntry<'_> {
-    /// The change of an entry that was sent with another weight; `None` if the two differ by
-    /// `weight_change_ratio` at most.
+    /// The change of an entry that was last sent with `previous_weight`; `None` if that differs from the
+    /// planned weight by `weight_change_ratio` at most.
     fn change_from(&self, previous_weight: f64, weight_change_ratio: f64) -> Option<EntryChange> {
         let differs = (self.weight / previous_weight - 1.0).abs() > weight_change_ratio;
         differs.then(|| EntryChange {
@@ -271,18 +275,18 @@
     xxhash_rust::xxh3::xxh3_64_with_seed(&class.0.to_le_bytes(), level.to_bits())
 }
 
-/// Where a subset is found.
+/// Identifies a subset by its zone and its position there.
 #[derive(Clone, Debug)]
 pub(crate) struct SubsetRef {
-    /// Its zone.
+    /// The zone of the subset.
     pub(crate) zone: ZoneId,
-    /// Its position among the subsets of the zone.
+    /// The position of the subset in its zone.
     pub(crate) index: usize,
-    /// When its proxies were last sent a change.
+    /// When the subset's proxies were last sent a change.
     last_sent_at: Timestamp,
 }
 
-/// The subsets of all zones, in the order in which their proxies were last sent a change.
+/// The subsets of all zones; those whose proxies have gone longest without a change come first.
 pub(crate) fn subsets_by_last_sent(zones: &ByZone<Zone>) -> Vec<SubsetRef> {
     let mut subsets = Vec::new();
     for (name, zone) in zones {
--- a/crates/wingfold-director/src/state/zone.rs
+++ b/crates/wingfold-director/src/state/zone.rs
@@ -1,54 +1,56 @@
-//! A zone of proxies: its view of the hosts, and its subsets.
+//! A zone of proxies: its statistics of the hosts, and its subsets.
 use crate::incremental::{join_by_host, ZoneMemo};
 use crate::interface::{HostId, Timestamp};
 use crate::state::{Host, ReportCounts, Subset, ZoneHostStats};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A zone of proxies, which ranks the hosts by what its own proxies meet and has tables of its own.
+/// A zone of proxies. Each zone ranks the hosts by the attempts of its own proxies and has its own tables.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct Zone {
-    /// What the zone knows of each host.
+    /// The zone's statistics of each host.
     #[serde(rename = "paths")]
     pub(crate) host_stats: BTreeMap<HostId, ZoneHostStats>,
-    /// The subsets that the zone's proxies are assigned to. They are only ever added.
+    /// The subsets that the zone's proxies are assigned to. Subsets are added and never removed.
     #[serde(rename = "slots")]
     pub(crate) subsets: Vec<Subset>,
-    /// Ratio of its weight that a host of another zone loses here.
+    /// Ratio by which the weight of hosts of other zones is reduced in the zone's tables.
     #[serde(rename = "bias")]
     pub(crate) remote_discount: f64,
     /// When the ranking last changed a weight.
     #[serde(rename = "moved_at")]
     pub(crate) ranking_changed_at: Option<Timestamp>,
-    /// What the load reports of the zone have counted so far.
+    /// Totals of the zone's load reports so far.
     #[serde(rename = "heard")]
     pub(crate) attempts_seen: ReportCounts,
-    /// Hosts with an entry in any of the zone's tables.
+    /// Number of hosts with an entry in any of the zone's tables.
     #[serde(rename = "width")]
     pub(crate) hosts_in_tables: f64,
-    /// The tables have changed since the expected shares of the hosts were computed.
+    /// Whether the tables have changed since the expected shares of the hosts were computed.
     #[serde(rename = "changed")]
     pub(crate) tables_changed: bool,
-    /// Requests that a connection should carry before it closes idle: the more, the smaller the subsets.
+    /// Requests that a connection should carry before it is closed for being idle. The higher the number, the
+    /// smaller the subsets.
     #[serde(rename = "uses")]
     pub(crate) requests_per_connection: f64,
     /// The last assignment of hosts to subsets.
     #[serde(rename = "laid")]
     pub(crate) last_assignment: Option<SubsetAssignment>,
-    /// The proxies were assigned to finer subsets, since connections ran short.
+    /// Whether the proxies have been assigned to finer subsets because hosts refused connections.
     #[serde(rename = "fine")]
     pub(crate) has_fine_subsets: bool,
-    /// Consecutive admission updates that called for fewer requests per connection.
+    /// Consecutive admission updates with a low baseline loss while `requests_per_connection` was above its
+    /// minimum; restarts at 0 after each reduction of `requests_per_connection`.
     #[serde(rename = "confirmed")]
-    pub(crate) calm_rounds: u32,
-    /// Median loss ratio of the hosts that answer.
+    pub(crate) low_loss_updates: u32,
+    /// Median loss ratio of the hosts that respond.
     #[serde(rename = "usual")]
     pub(crate) baseline_loss: f64,
-    /// No standby entries are sent before this time.
+    /// Time before which no standby entries are sent.
     #[serde(rename = "lean_until")]
     pub(crate) standby_paused_until: Timestamp,
-    /// Results cached from the fields above.
+    /// Cached results that are computed from the fields above.
     #[serde(skip)]
     pub(crate) memo: ZoneMemo,
 }
@@ -57,9 +59,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64, Timestamp)", into = "(f64, f64, Timestamp)")]
 pub(crate) struct SubsetAssignment {
-    /// Requests that a connection should carry, by which the subsets were sized.
+    /// The requests per connection for which the subsets were sized.
     pub(crate) requests_per_connection: f64,
-    /// Requests per second of the zone's proxies at that time.
+    /// Requests per second of the zone's proxies when the hosts were assigned.
     pub(crate) load_per_s: f64,
     /// When the hosts were assigned.
     pub(crate) assigned_at: Timestamp,
@@ -77,16 +79,16 @@
     }
 }
 
-/// How many hosts a zone counts with, each by its locality weight.
+/// Numbers of hosts in which each host counts by its locality weight in a zone.
 pub(crate) struct LocalityWeightedHosts {
-    /// The hosts that are ready.
+    /// Hosts that are ready.
     pub(crate) ready: f64,
-    /// All hosts of the endpoint list.
+    /// All known hosts.
     pub(crate) known: f64,
 }
 
 impl Zone {
-    /// Adds empty statistics for each ready host that has none yet.
+    /// Adds empty statistics for each ready host of which the zone has no statistics yet.
     pub(crate) fn add_unknown_hosts(&mut self, hosts: &BTreeMap<HostId, Host>) {
         let unknown: Vec<HostId> = join_by_host(hosts, &self.host_stats)
             .filter(|(_, host, stats)| host.is_ready() && stats.is_none())
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Ratio of its weight that a host has here by its place alone.
+    /// Factor on the weight of a host by its locality: 1 in the zone itself, less in other zones.
     pub(crate) fn locality_weight(&self, in_own_zone: bool) -> f64 {
         if in_own_zone {
             1.0
@@ -110,7 +112,7 @@
         }
     }
 
-    /// The number of ready and of known hosts, each counted by its locality weight.
+    /// The numbers of ready hosts and of known hosts, each host counted by its locality weight.
     pub(crate) fn locality_weighted_hosts(&self) -> LocalityWeightedHosts {
         let rows = self.memo.rows.health();
         let ready_rows = rows.iter().filter(|row| row.is_ready);
--- a/crates/wingfold-director/src/state/zone_host_stats.rs
+++ b/crates/wingfold-director/src/state/zone_host_stats.rs
@@ -1,15 +1,15 @@
-//! Statistics of a host as the proxies of one zone see it, and its health there.
+//! Statistics of a host from the attempts of one zone's proxies, and the host's health in that zone.
 use crate::interface::{HostId, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// Attempts at a host and their results.
+/// Counts of attempts at a host, with their failures and latencies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct AttemptStats {
     /// All attempts.
     #[serde(rename = "tries")]
     pub(crate) attempts: f64,
-    /// The attempts without a good answer.
+    /// The attempts that failed.
     #[serde(rename = "lost")]
     pub(crate) failures: f64,
     /// Sum of the latencies of the successful attempts, in milliseconds.
@@ -31,13 +31,14 @@
     }
 }
 
-/// What the load reports of a zone's proxies have counted since the start.
+/// Totals of the load reports of a zone's proxies since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredReportCounts", into = "StoredReportCounts")]
 pub(crate) struct ReportCounts {
     /// Attempts at all hosts.
     pub(crate) attempts: f64,
-    /// Load reports per host in the zone's tables: 1 stands for a report of every host.
+    /// Number of load reports divided by the number of hosts in the zone's tables: one report of every host
+    /// adds 1.
     pub(crate) report_rounds: f64,
 }
 
@@ -56,14 +57,15 @@
     }
 }
 
-/// What a zone knows of a host.
+/// A zone's statistics of a host, and the host's health in the zone.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct ZoneHostStats {
-    /// Attempts since the last scoring round that used them.
+    /// Attempts that no scoring round has used yet.
     #[serde(rename = "sum")]
     pub(crate) fresh: AttemptStats,
-    /// Smoothed mean latency of successful attempts, in milliseconds; `None` before the first of them.
+    /// Smoothed mean latency of successful attempts, in milliseconds; `None` before the first successful
+    /// attempt.
     #[serde(rename = "latency")]
     pub(crate) latency_ms: Option<f64>,
     /// Smoothed ratio of failures to attempts.
@@ -71,7 +73,7 @@
     pub(crate) loss_ratio: f64,
     /// Score of the last scoring round that had fresh attempts, in milliseconds; lower is better.
     pub(crate) score: Option<f64>,
-    /// How often the ranking has halved the host's weight.
+    /// How many times the ranking has halved the host's weight.
     #[serde(rename = "step")]
     pub(crate) weight_halvings: u32,
     /// Consecutive scoring rounds that called for the next change of `weight_halvings`.
@@ -86,40 +88,47 @@
     /// Failed attempts since the last load report that contained a successful one.
     #[serde(rename = "streak")]
     pub(crate) consecutive_failures: f64,
-    /// Consecutive attempts that failed or whose mean latency missed every latency objective.
+    /// Consecutive useless attempts: attempts that failed, or whose answers came too late for the latency
+    /// objective of every class.
     #[serde(rename = "row")]
     pub(crate) consecutive_useless: f64,
-    /// When the decaying counts were last updated: the time of the last load report.
+    /// When `recent_successes` and `recent_failures` were last updated: the time of the last load report.
     #[serde(rename = "faded_at")]
     pub(crate) decayed_at: Timestamp,
-    /// Ratio of the zone's attempts that its tables direct to this host.
+    /// Share of the zone's attempts that the zone's tables direct to the host, as a ratio.
     #[serde(rename = "part")]
     pub(crate) expected_share: f64,
-    /// Attempts that were expected since the last load report, up to the last change of `expected_share`.
+    /// Attempts that were expected at the host between its last load report and the last change of
+    /// `expected_share`.
     #[serde(rename = "missed")]
     pub(crate) missed_attempts: f64,
-    /// The zone's counts from which on attempts are expected at the present `expected_share`.
+    /// The zone's totals at the host's last load report, or at the last change of `expected_share` if that is
+    /// later. Missed attempts are counted from there at the present `expected_share`. A change of the share
+    /// replaces `report_rounds` only if the share was 0 before.
     #[serde(rename = "seen")]
     pub(crate) counts_at_last_report: ReportCounts,
-    /// Whether the zone's tables hold the host.
+    /// The host's health in the zone, which decides whether the zone's tables contain the host.
     #[serde(rename = "state")]
     pub(crate) health: HealthState,
     /// Length of the last ejection, in seconds.
     #[serde(rename = "stay_s")]
     pub(crate) ejection_s: f64,
-    /// No probation has started or ended since the host's process started.
+    /// Whether no probation has ended and none has followed an ejection since the host's process started. A
+    /// probation while this is set is the one that a new host starts with.
     #[serde(rename = "new")]
     pub(crate) first_probation: bool,
 }
 
 impl ZoneHostStats {
-    /// Attempts that were expected since the last load report, once the zone has counted `attempts_seen`.
+    /// Attempts that were expected at the host since its last load report, when the zone's total of attempts
+    /// is `attempts_seen`.
     pub(crate) fn missed_attempts_by(&self, attempts_seen: f64) -> f64 {
         let attempts_at_last_report = self.counts_at_last_report.attempts;
         missed_attempts(self.missed_attempts, attempts_at_last_report, self.expected_share, attempts_seen)
     }
 
-    /// Discards all evidence and enters another state. The length of the last ejection stays.
+    /// Discards all statistics and sets the health and the weight halvings. Keeps the length of the last
+    /// ejection.
     pub(crate) fn reset(&mut self, health: HealthState, weight_halvings: u32) {
         *self = ZoneHostStats {
             health,
@@ -130,8 +139,9 @@
     }
 }
 
-/// Attempts that were expected at a host since its last load report: `missed` up to the last change of its
-/// `expected_share`, and from then on its share of the zone's attempts.
+/// Attempts that were expected at a host since its last load report. `missed` were expected up to the last
+/// change of `expected_share`; since then the zone's total of attempts has risen from
+/// `attempts_at_last_report` to `attempts_seen`, and the host should have had `expected_share` of these.
 pub(crate) fn missed_attempts(
     missed: f64,
     attempts_at_last_report: f64,
@@ -145,17 +155,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredHealthState", into = "StoredHealthState")]
 pub(crate) enum HealthState {
-    /// In use, at the weight that the ranking gives it.
+    /// In the zone's tables, at the weight that the ranking gives the host.
     #[default]
     Healthy,
-    /// In no table.
+    /// In none of the zone's tables.
     Ejected {
         /// When probation may start.
         until: Timestamp,
     },
-    /// In use at a small weight, to see whether it answers.
+    /// In the zone's tables at a small weight, to find out whether the host responds.
     Probation {
-        /// When the host counts as recovered at the latest.
+        /// When the host counts as recovered, unless it responds or fails earlier.
         until: Timestamp,
     },
 }
@@ -188,17 +198,17 @@
     }
 }
 
-/// What the proxies of all zones together met at a host since the last scoring round that used it.
+/// The attempts of all zones at a host that no scoring round has used yet.
 pub(crate) struct FreshHostStats {
     /// The host's position in the host index.
     pub(crate) index: usize,
-    /// The host.
+    /// The host's identifier.
     pub(crate) host: HostId,
     /// Sum of the zones' fresh attempts.
     pub(crate) stats: AttemptStats,
 }
 
-/// A host that counts for the leading group of a zone.
+/// The score and weight of a host that is considered for the leading group of a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ScoredHost {
     /// Score in milliseconds; lower is better.
