--- a/crates/wingfold-archive/tests/fault_injection.rs
+++ b/crates/wingfold-archive/tests/fault_injection.rs
@@ -560,7 +560,7 @@
         forge(&bytes, BlockKind::Head, |_| rmp_serde::to_vec_named(&head).unwrap())
     };
     let refused = replay_all(&another(&|head| head.settings.drain_grace = Micros(1))).unwrap_err();
-    assert_eq!(refused, ReplayError::Checkpoint { call: 1, error: CheckpointError::Settings });
+    assert_eq!(refused, ReplayError::Checkpoint { call: 1, error: CheckpointError::OtherSettings });
     let refused = replay_all(&another(&|head| head.settings.proxies = u32::MAX)).unwrap_err();
     assert_eq!(refused, ReplayError::Settings(SettingsError::TooManyProxies { count: u32::MAX }));
     let replayer = replay_all(&another(&|head| head.build = "wingfold 7.7".into())).unwrap();
--- a/crates/wingfold-director/src/checkpoint/head.rs
+++ b/crates/wingfold-director/src/checkpoint/head.rs
@@ -1,24 +1,27 @@
-//! The head of a checkpoint, in front of its records. All numbers are little-endian.
+//! The head of a checkpoint, which precedes the records. All numbers are little-endian.
 use super::{CheckpointError, Damage, VERSION};
 
 /// The bytes that every checkpoint begins with.
 const MAGIC: [u8; 4] = *b"WFDS";
 
-/// Bytes of the head: magic, version, digest of the settings, length and checksum of the records.
+/// Length of the head in bytes: magic number, version, digest of the settings, length and checksum of the
+/// records.
 pub(super) const HEAD_BYTES: usize = 4 + 2 + 8 + 4 + 4;
 
 /// The head of a checkpoint, without its magic number.
 pub(super) struct CheckpointHead {
+    /// The format version of the checkpoint.
     version: u16,
     /// [`Settings::digest`](crate::interface::Settings::digest) of the settings in the records.
     pub(super) settings_digest: u64,
+    /// Length of the records.
     records_bytes: u32,
     /// CRC-32 of the records.
     pub(super) checksum: u32,
 }
 
 impl CheckpointHead {
-    /// The head for some records.
+    /// The head of a checkpoint with these records.
     pub(super) fn of_records(records: &[u8], settings_digest: u64) -> CheckpointHead {
         CheckpointHead {
             version: VERSION,
@@ -28,60 +31,61 @@
         }
     }
 
-    /// The head of a checkpoint, and its records.
+    /// Splits a checkpoint into its head and its records.
     pub(super) fn split(bytes: &[u8]) -> Result<(CheckpointHead, &[u8]), CheckpointError> {
-        let has = bytes.len();
+        let actual = bytes.len();
         let Some((head, records)) = bytes.split_first_chunk::<HEAD_BYTES>() else {
-            return Err(CheckpointError::Cut { has, needs: HEAD_BYTES });
+            return Err(CheckpointError::Length { actual, expected: HEAD_BYTES });
         };
         let head = CheckpointHead::read(head)?;
-        let needs = HEAD_BYTES + head.records_bytes as usize;
-        if has != needs {
-            return Err(CheckpointError::Cut { has, needs });
+        let expected = HEAD_BYTES + head.records_bytes as usize;
+        if actual != expected {
+            return Err(CheckpointError::Length { actual, expected });
         }
         Ok((head, records))
     }
 
-    /// The bytes of the head.
+    /// Encodes the head.
     pub(super) fn write(&self) -> [u8; HEAD_BYTES] {
         let mut bytes = [0; HEAD_BYTES];
         let mut rest = &mut bytes[..];
-        put(&mut rest, &MAGIC);
-        put(&mut rest, &self.version.to_le_bytes());
-        put(&mut rest, &self.settings_digest.to_le_bytes());
-        put(&mut rest, &self.records_bytes.to_le_bytes());
-        put(&mut rest, &self.checksum.to_le_bytes());
+        write_field(&mut rest, &MAGIC);
+        write_field(&mut rest, &self.version.to_le_bytes());
+        write_field(&mut rest, &self.settings_digest.to_le_bytes());
+        write_field(&mut rest, &self.records_bytes.to_le_bytes());
+        write_field(&mut rest, &self.checksum.to_le_bytes());
         bytes
     }
 
+    /// Decodes a head; rejects one without the magic number or with another version.
     fn read(bytes: &[u8; HEAD_BYTES]) -> Result<CheckpointHead, CheckpointError> {
         let mut rest = &bytes[..];
-        if take::<4>(&mut rest) != MAGIC {
-            return Err(CheckpointError::Damaged(Damage::Magic));
+        if read_field::<4>(&mut rest) != MAGIC {
+            return Err(CheckpointError::Damaged(Damage::MagicNumber));
         }
-        let version = u16::from_le_bytes(take(&mut rest));
+        let version = u16::from_le_bytes(read_field(&mut rest));
         if version != VERSION {
             return Err(CheckpointError::Version { found: version });
         }
         Ok(CheckpointHead {
             version,
-            settings_digest: u64::from_le_bytes(take(&mut rest)),
-            records_bytes: u32::from_le_bytes(take(&mut rest)),
-            checksum: u32::from_le_bytes(take(&mut rest)),
+            settings_digest: u64::from_le_bytes(read_field(&mut rest)),
+            records_bytes: u32::from_le_bytes(read_field(&mut rest)),
+            checksum: u32::from_le_bytes(read_field(&mut rest)),
         })
     }
 }
 
-/// Writes a field to the front of `rest` and goes on behind it.
-fn put(rest: &mut &mut [u8], field: &[u8]) {
-    let (front, behind) = std::mem::take(rest).split_at_mut(field.len());
+/// Writes a field to the front of `rest` and advances `rest` past the field.
+fn write_field(rest: &mut &mut [u8], field: &[u8]) {
+    let (front, remainder) = std::mem::take(rest).split_at_mut(field.len());
     front.copy_from_slice(field);
-    *rest = behind;
+    *rest = remainder;
 }
 
-/// Reads a field from the front of `rest` and goes on behind it.
-fn take<const BYTES: usize>(rest: &mut &[u8]) -> [u8; BYTES] {
-    let (field, behind) = rest.split_first_chunk::<BYTES>().expect("the fields fill HEAD_BYTES");
-    *rest = behind;
+/// Reads a field from the front of `rest` and advances `rest` past the field.
+fn read_field<const BYTES: usize>(rest: &mut &[u8]) -> [u8; BYTES] {
+    let (field, remainder) = rest.split_first_chunk::<BYTES>().expect("the fields fill HEAD_BYTES");
+    *rest = remainder;
     *field
 }
--- a/crates/wingfold-director/src/checkpoint/mod.rs
+++ b/crates/wingfold-director/src/checkpoint/mod.rs
@@ -1,10 +1,9 @@
-//! Checkpoints: the whole state of a director, written to bytes and restored from them. Nothing is decided
-//! here.
+//! Checkpoints: the whole state of a director, encoded as bytes, and its restoration from these.
 //!
-//! A checkpoint is a head and the records of `state` in MessagePack with the names of their fields, so that
-//! a later build with more fields can read it, given defaults for the new ones. Floating-point numbers are
-//! stored bit for bit: a restored director answers all further events with the same actions as the one that
-//! wrote the checkpoint.
+//! A checkpoint consists of a head and the records of the director in MessagePack, with field names: a later
+//! build that has additional fields can read the checkpoint, as these fields get defaults. Floating-point
+//! numbers are stored bit for bit, so that a restored director responds to all further events with the same
+//! actions as the director that wrote the checkpoint.
 mod head;
 mod validation;
 
@@ -14,59 +13,60 @@
 use crate::interface::{Settings, SettingsError};
 use head::{CheckpointHead, HEAD_BYTES};
 
-/// The version of the records; checkpoints of other versions are rejected.
+/// The format version of checkpoints; checkpoints of other versions are rejected.
 pub const VERSION: u16 = 1;
 
-/// Why a checkpoint is rejected.
+/// The reason why a checkpoint is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CheckpointError {
-    /// It ends too early, or goes on after its end.
-    #[error("the checkpoint is cut: {has} bytes where {needs} are expected")]
-    Cut {
-        /// The bytes that there are.
-        has: usize,
-        /// The bytes that there should be.
-        needs: usize,
+    /// The checkpoint is shorter or longer than its head states, or too short for a head.
+    #[error("the checkpoint is {actual} bytes long, {expected} bytes are expected")]
+    Length {
+        /// The length of the checkpoint in bytes.
+        actual: usize,
+        /// The length by the head, in bytes; that of the head alone if the checkpoint is too short for a
+        /// head.
+        expected: usize,
     },
-    /// It is something else, or was changed.
+    /// The bytes are not a checkpoint, or were altered after it was written.
     #[error("the checkpoint is damaged: {0}")]
     Damaged(Damage),
-    /// Another version wrote it.
+    /// The checkpoint has another format version.
     #[error("the checkpoint has version {found}, this build reads version {VERSION}")]
     Version {
-        /// The version found.
+        /// The version of the checkpoint.
         found: u16,
     },
-    /// It belongs to other settings.
+    /// The settings in the checkpoint are not those that the director is to run with.
     #[error("the checkpoint was written under other settings")]
-    Settings,
-    /// The settings in it are out of bounds.
+    OtherSettings,
+    /// The settings in the checkpoint are out of bounds.
     #[error("the settings in the checkpoint are invalid: {0}")]
     InvalidSettings(#[source] SettingsError),
-    /// One of its records is out of bounds or contradicts another one.
+    /// A record of the checkpoint is out of bounds or contradicts another record.
     #[error("the checkpoint is invalid: {0}")]
     Invalid(#[source] InvalidRecord),
 }
 
-/// What is damaged in a checkpoint.
+/// The way in which a checkpoint is damaged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damage {
-    /// It does not begin with the magic number.
+    /// The checkpoint does not begin with the magic number.
     #[error("it does not begin with the magic number of checkpoints")]
-    Magic,
-    /// The checksum of its records differs.
-    #[error("the checksum of its records differs")]
+    MagicNumber,
+    /// The checksum in the head is not that of the records.
+    #[error("the checksum in its head is not that of its records")]
     Checksum,
-    /// Its records cannot be decoded.
+    /// The records cannot be decoded.
     #[error("its records cannot be decoded")]
-    Records,
-    /// The digest in its head is not that of its settings.
-    #[error("its settings are not those of its head")]
+    UndecodableRecords,
+    /// The digest of settings in the head is not that of the settings in the records.
+    #[error("the digest of settings in its head is not that of its settings")]
     SettingsDigest,
 }
 
 impl Director {
-    /// Writes the whole state.
+    /// Writes the whole state of the director, from which [`Director::restore`] restores it.
     pub fn checkpoint(&self) -> Vec<u8> {
         let mut bytes = vec![0; HEAD_BYTES];
         rmp_serde::encode::write_named(&mut bytes, self).expect("records are plain, written to memory");
@@ -75,29 +75,29 @@
         bytes
     }
 
-    /// Restores a director from a checkpoint that was written under these settings.
+    /// Restores a director from a checkpoint; rejects checkpoints that were written under other settings.
     pub fn restore_for(bytes: &[u8], settings: &Settings) -> Result<Director, CheckpointError> {
         let (head, _) = CheckpointHead::split(bytes)?;
         if head.settings_digest != settings.digest() {
-            return Err(CheckpointError::Settings);
+            return Err(CheckpointError::OtherSettings);
         }
         let director = Director::restore(bytes)?;
         if director.settings == *settings {
             Ok(director)
         } else {
-            Err(CheckpointError::Settings)
+            Err(CheckpointError::OtherSettings)
         }
     }
 
-    /// Restores a director from a checkpoint, with the settings that it holds. The bytes may come from
-    /// anybody: whatever could make the director fail later is rejected.
+    /// Restores a director from a checkpoint, with the settings that the checkpoint contains. The bytes need
+    /// not be trusted: records that could make the director fail later are rejected.
     pub fn restore(bytes: &[u8]) -> Result<Director, CheckpointError> {
         let (head, records) = CheckpointHead::split(bytes)?;
         if crc32fast::hash(records) != head.checksum {
             return Err(CheckpointError::Damaged(Damage::Checksum));
         }
-        let mut director: Director =
-            rmp_serde::from_slice(records).map_err(|_| CheckpointError::Damaged(Damage::Records))?;
+        let mut director: Director = rmp_serde::from_slice(records)
+            .map_err(|_| CheckpointError::Damaged(Damage::UndecodableRecords))?;
         director.settings.validate().map_err(CheckpointError::InvalidSettings)?;
         if director.settings.digest() != head.settings_digest {
             return Err(CheckpointError::Damaged(Damage::SettingsDigest));
--- a/crates/wingfold-director/src/interface/action.rs
+++ b/crates/wingfold-director/src/interface/action.rs
@@ -5,21 +5,21 @@
 /// How often a proxy retries a request on another host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Retry {
-    /// Never.
+    /// No retry.
     Never,
-    /// Once, if the first attempt is proven not to have run.
+    /// One retry, only if the first attempt is known not to have run on its host.
     OnProof,
-    /// Once, after any failure.
+    /// One retry after any failure.
     Once,
-    /// At most twice, after any failure.
+    /// At most two retries, after any failure.
     Twice,
 }
 
-/// An action that a director orders. Captures store actions by position (postcard): the order of variants and of
-/// fields is fixed.
+/// An action that a director requests from its caller. Captures store actions by position (postcard), so the
+/// order of variants and of fields must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Begin to watch the endpoint list (`true`), or end that.
+    /// Start watching the endpoint list (`true`), or stop watching it (`false`).
     WatchEndpoints(bool),
     /// Fetch the complete endpoint list once.
     FetchEndpoints,
@@ -27,16 +27,16 @@
     SetTimer {
         /// When the timer is due.
         at: Timestamp,
-        /// Given back with the event.
+        /// Returned with the event.
         token: u64,
     },
     /// Check the health of a host.
     CheckHealth(HostId),
     /// Send a message to another director.
     SendToPeer {
-        /// The number of the receiver; `None`: all of them.
+        /// The number of the receiving director; `None`: all other directors.
         to: Option<u32>,
-        /// The message; opaque here.
+        /// The message, as bytes that the director does not interpret.
         message: Vec<u8>,
     },
     /// Set the entry of a host in a table.
@@ -45,7 +45,7 @@
         table: TableId,
         /// The host.
         host: HostId,
-        /// Its weight; 0 removes the entry.
+        /// The weight of the host in the table; 0 removes the entry.
         weight: f64,
     },
     /// Remove all entries of a table.
@@ -56,19 +56,19 @@
         proxy: ProxyId,
         /// The table.
         table: TableId,
-        /// The classes for which it uses the table.
+        /// The classes whose requests the proxy sends by this table.
         classes: ClassMask,
     },
-    /// Eject a host from every table, or end that.
+    /// Eject a host from every table, or end its ejection.
     SetEjected {
         /// The host.
         host: HostId,
-        /// Whether the host is ejected from now on.
+        /// `true` to eject the host, `false` to end its ejection.
         ejected: bool,
     },
     /// Set the admission level and the retry policy of some classes.
     SetAdmission {
-        /// The table for which they hold; `None`: for all proxies.
+        /// The table to which the level and the policy apply; `None`: all proxies.
         table: Option<TableId>,
         /// The classes.
         classes: ClassMask,
@@ -77,14 +77,15 @@
         /// The retry policy.
         retry: Retry,
     },
-    /// Put a barrier into this answer's messages: proxies acknowledge it once they have applied its message.
+    /// Add a barrier to the messages of this call. A proxy acknowledges the barrier once it has applied the
+    /// message that carries it.
     Barrier {
-        /// Every proxy gets one, not only those with a message.
+        /// Whether every proxy gets the barrier, rather than only the proxies that get a message anyway.
         all_proxies: bool,
         /// The number of the barrier.
         number: u64,
     },
-    /// Drop all records of a host: no table holds it, and it was removed from the endpoint list long ago.
+    /// Drop all records of a host that was removed from the endpoint list long ago and is in no table.
     EvictHost(HostId),
     /// A notice for the log.
     Notice(Notice),
--- a/crates/wingfold-director/src/interface/endpoint_list.rs
+++ b/crates/wingfold-director/src/interface/endpoint_list.rs
@@ -7,9 +7,9 @@
 pub enum Readiness {
     /// The host accepts requests.
     Ready,
-    /// The host finishes the requests it has; it must get no new ones.
+    /// The host finishes its present requests and must get no new ones.
     Draining,
-    /// The host is not on the list any more.
+    /// The host is no longer on the list.
     #[serde(rename = "Gone")]
     Removed,
 }
@@ -19,26 +19,26 @@
 pub struct Endpoint {
     /// The host.
     pub host: HostId,
-    /// The type of its machine; opaque to the director.
+    /// The type of the host's machine; the director only compares it for equality.
     #[serde(rename = "kind")]
     pub machine_type: String,
-    /// The zone that the host is in.
+    /// The zone that the host runs in.
     pub zone: ZoneId,
     /// The state of the host.
     pub readiness: Readiness,
     /// The listed capacity, relative to the weights of the other hosts.
     pub weight: f64,
-    /// When the host last started; `None`: too long ago to matter.
+    /// When the host last started; `None` if the host counts as warmed up.
     #[serde(rename = "started")]
     pub started_at: Option<Timestamp>,
 }
 
-/// Which part of the endpoint list an event carries.
+/// What the endpoints of an endpoint list event cover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointListKind {
     /// Only the entries that have changed.
     Changes,
-    /// All entries: a host without an entry has been removed.
+    /// All entries: hosts without an entry have been removed.
     Complete,
     /// All entries as they were cached before a restart; they may be out of date.
     Cached,
--- a/crates/wingfold-director/src/interface/event.rs
+++ b/crates/wingfold-director/src/interface/event.rs
@@ -5,20 +5,20 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// An event that a director handles. Captures store events by position (postcard): the order of variants and of
-/// fields is fixed.
+/// An event that a director handles. Captures store events by position (postcard), so the order of variants
+/// and of fields must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// The endpoint list, or a part of it, has arrived.
     EndpointList {
-        /// What `endpoints` stand for.
+        /// Whether `endpoints` are changes or a complete list.
         kind: EndpointListKind,
-        /// The endpoints, in the order of the answer.
+        /// The endpoints, in the order in which discovery sent them.
         endpoints: Vec<Endpoint>,
     },
-    /// A call for the endpoint list failed, or the watch broke.
+    /// A request for the endpoint list failed, or the watch of the list was interrupted.
     EndpointListFailed,
-    /// Discovery has another address from now on: no answer of the old one will come.
+    /// The address of discovery has changed. Outstanding requests to the old address will not be answered.
     DiscoveryMoved,
     /// A timer that [`Action::SetTimer`](super::Action::SetTimer) set is due; the value is its token.
     TimerFired(u64),
@@ -28,28 +28,28 @@
         host: HostId,
         /// How the check ended.
         outcome: HealthCheckOutcome,
-        /// The load that the host reported with its answer.
+        /// The load that the host reported with its response.
         load: HostLoad,
     },
     /// Another director has sent a message.
     PeerMessage {
         /// The number of the sender.
         from: u32,
-        /// The message; opaque here.
+        /// The message, as bytes that the director does not interpret.
         message: Vec<u8>,
     },
     /// A proxy has opened its stream.
     ProxyConnected {
         /// The proxy.
         proxy: ProxyId,
-        /// Its zone.
+        /// The zone of the proxy.
         zone: ZoneId,
-        /// The requests that it usually receives in a second.
+        /// Requests per second that the proxy usually receives.
         requests_per_s: f64,
     },
     /// A proxy's stream has ended.
     ProxyDisconnected(ProxyId),
-    /// What the proxies of a zone met at a host.
+    /// The proxies of a zone have reported their attempts at a host.
     LoadReport {
         /// The zone of the proxies.
         zone: ZoneId,
@@ -62,7 +62,7 @@
         /// The latest load that the host reported.
         load: HostLoad,
     },
-    /// Requests of a class that came to a proxy.
+    /// A proxy has reported the requests of a class that it received.
     Usage {
         /// The proxy.
         proxy: ProxyId,
@@ -77,9 +77,9 @@
         proxy: ProxyId,
         /// The number of the barrier.
         barrier: u64,
-        /// Time from the barrier's decision until it was applied.
+        /// Time from the call that sent the barrier until the proxy applied its message.
         elapsed: Micros,
     },
-    /// Anything about shards of keys, which are not supported.
+    /// Any event about shards of the key space. Shards are not supported; directors ignore the event.
     Shard,
 }
--- a/crates/wingfold-director/src/interface/ids.rs
+++ b/crates/wingfold-director/src/interface/ids.rs
@@ -2,11 +2,11 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The address of a host; opaque to the director.
+/// The address of a host, which the director uses only as an identifier.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct HostId(pub Arc<str>);
 
-/// The name of a zone; opaque to the director.
+/// The name of a zone, which the director uses only as an identifier.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ZoneId(pub Arc<str>);
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClassId(pub usize);
 
-/// A set of request classes: bit `k` stands for the class at position `k`. The empty mask stands for all
-/// classes.
+/// A set of request classes: bit `k` is set if the set contains the class at position `k`. A mask of 0 stands
+/// for all classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClassMask(pub u64);
--- a/crates/wingfold-director/src/interface/mod.rs
+++ b/crates/wingfold-director/src/interface/mod.rs
@@ -1,5 +1,5 @@
-//! The director's interface: the events that it handles, the actions that it takes, and the types that both
-//! are made of. Nothing is decided here.
+//! The director's interface: the events that a director handles, the actions that it takes, its settings, and
+//! the types that these consist of. Decisions are taken in `policy`.
 
 mod action;
 mod endpoint_list;
--- a/crates/wingfold-director/src/interface/notice.rs
+++ b/crates/wingfold-director/src/interface/notice.rs
@@ -1,27 +1,27 @@
-//! What a director reports of its decisions for the log.
+//! Notices: reports of a director's decisions for the log.
 use super::{HostId, Readiness, ZoneId};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
 /// A decision, with the facts behind it. [`fmt::Display`] renders it as one line of `key=value` facts.
 ///
-/// Captures and checkpoints hold notices as texts. Two notices are equal if their texts are, so a notice
-/// that was read back equals the one that was written.
+/// Captures and checkpoints store notices as texts. Notices with equal texts are equal, so that a notice that
+/// was read back equals the notice that was written.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
 pub enum Notice {
-    /// The settings ask for shards of keys: the director takes no actions.
+    /// The settings ask for shards of the key space, which are not supported: the director takes no actions.
     ShardsUnsupported,
-    /// A call for the endpoint list failed.
+    /// A request for the endpoint list failed.
     EndpointListFailed {
-        /// Seconds until the next call.
+        /// Seconds until the next request.
         retry_in_s: f64,
     },
-    /// The endpoint list names a host as draining or removed.
+    /// The endpoint list reports a host as draining or removed.
     HostNotReady {
         /// The host.
         host: HostId,
-        /// Its state on the list.
+        /// The state of the host on the list.
         readiness: Readiness,
     },
     /// A host has started, or is listed for the first time.
@@ -33,65 +33,65 @@
     WeightChanged {
         /// The host.
         host: HostId,
-        /// The zone whose ranking it is.
+        /// The zone whose ranking changed the weight.
         zone: ZoneId,
-        /// Halvings of its weight from now on.
+        /// How many times the weight is halved from now on.
         weight_halvings: u32,
-        /// Its score, in ms.
+        /// The score of the host, in milliseconds.
         score: f64,
-        /// The score of the zone's leading group, in ms.
+        /// The score of the zone's leading group, in milliseconds.
         leading_score: f64,
     },
-    /// A zone's subsets are sized for another number of requests a connection.
+    /// The number of requests per connection for which a zone's subsets are sized has changed.
     SubsetSizeChanged {
         /// The zone.
         zone: ZoneId,
-        /// Requests that a connection should carry before it would close idle.
+        /// Requests that a connection should carry before it is closed for being idle.
         requests_per_connection: f64,
-        /// The median loss of the zone's hosts, as a ratio.
+        /// Median loss of the zone's hosts, as a ratio.
         baseline_loss: f64,
-        /// Busy share of the hosts' cores.
+        /// Utilization of the hosts' cores, as a ratio.
         utilization: f64,
     },
     /// A zone has ejected a host.
     HostEjected {
         /// The host.
         host: HostId,
-        /// The zone whose tables it leaves.
+        /// The zone whose tables no longer contain the host.
         zone: ZoneId,
-        /// Attempts of the zone that failed in a row.
+        /// Consecutive attempts of the zone that failed.
         consecutive_failures: f64,
-        /// Attempts of the zone that should have come since the last report on the host.
+        /// Attempts of the zone that were expected since the last load report on the host.
         missed_attempts: f64,
-        /// Attempts of all zones in a row that failed or came too late.
+        /// Consecutive attempts of all zones that failed or whose answers came too late to be of use.
         consecutive_useless: f64,
     },
-    /// A zone uses a host again after its probation.
+    /// A host has passed its probation in a zone and is back in use there.
     HostRecovered {
         /// The host.
         host: HostId,
-        /// The zone.
+        /// The zone whose probation the host passed.
         zone: ZoneId,
     },
-    /// Another share of the requests is admitted.
+    /// The admitted share of the requests has changed.
     AdmissionChanged {
-        /// The share that is admitted from now on.
+        /// The share of the requests that is admitted from now on, as a ratio.
         admission_ratio: f64,
-        /// The median loss of all hosts, as a ratio.
+        /// Median loss of all hosts, as a ratio.
         loss: f64,
-        /// Busy share of the hosts' cores.
+        /// Utilization of the hosts' cores, as a ratio.
         utilization: f64,
-        /// The median latency of all hosts, in ms.
+        /// Median latency of all hosts, in milliseconds.
         latency_ms: f64,
     },
-    /// The hosts of a machine type are faster or slower for their listed weight than they were taken for.
+    /// The estimated speed of a machine type relative to its hosts' listed weights has changed.
     RelativeSpeedChanged {
         /// The machine type.
         machine_type: String,
-        /// Its speed, as a ratio of the fastest type's.
+        /// Speed of the machine type per listed weight, as a ratio of that of the fastest type.
         relative_speed: f64,
     },
-    /// A notice that was read back: its text.
+    /// A notice that was read from a capture or a checkpoint, as its text.
     Recorded(String),
 }
 
--- a/crates/wingfold-director/src/interface/settings_error.rs
+++ b/crates/wingfold-director/src/interface/settings_error.rs
@@ -1,17 +1,18 @@
-//! The bounds of settings within which a director can work, and the errors of settings beyond them.
+//! Validation of settings: the bounds that a director can work with, and the errors of settings that exceed
+//! them.
 use super::{Class, Micros, Settings, ZoneId};
 use std::collections::BTreeSet;
 
-/// The most request classes: a [`ClassMask`](super::ClassMask) has a bit for each.
+/// Maximum number of request classes: a [`ClassMask`](super::ClassMask) has one bit for each.
 const MAX_CLASSES: usize = 64;
-/// The most zones.
+/// Maximum number of zones.
 pub(crate) const MAX_ZONES: usize = 4096;
-/// The most proxies.
+/// Maximum number of proxies.
 const MAX_PROXIES: u32 = 100_000;
-/// The most tables: one for each proxy and class.
+/// Maximum number of tables, counted as one for each proxy and class.
 const MAX_TABLES: u64 = 1_000_000;
 
-/// Why a director cannot work with some settings.
+/// The reason why settings are rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// There are too many classes.
@@ -38,7 +39,8 @@
         /// The number of proxies.
         count: u32,
     },
-    /// There may be too many tables, one for each proxy and class.
+    /// There are so many proxies and classes that too many tables may be needed, one for each proxy and
+    /// class.
     #[error(
         "{proxies} proxies with {classes} classes may need {} tables, more than the {MAX_TABLES} that a \
          director can hold",
@@ -47,7 +49,7 @@
     TooManyTables {
         /// The number of proxies.
         proxies: u32,
-        /// The number of classes, at least 1.
+        /// The number of classes; no classes count as one.
         classes: usize,
     },
     /// A duration is too long.
@@ -55,7 +57,7 @@
     DurationTooLong {
         /// The path of the setting.
         setting: String,
-        /// Its value.
+        /// The value of the setting.
         duration: Micros,
     },
     /// A number is infinite or not a number.
@@ -63,13 +65,13 @@
     NotFinite {
         /// The path of the setting.
         setting: String,
-        /// Its value.
+        /// The value of the setting.
         value: f64,
     },
 }
 
 impl Settings {
-    /// Checks that the settings are within the bounds of what a director can hold and compute with.
+    /// Checks that the settings are within the bounds that a director can work with.
     pub fn validate(&self) -> Result<(), SettingsError> {
         self.validate_classes()?;
         self.validate_zones()?;
@@ -154,7 +156,7 @@
     }
 }
 
-/// The path of a setting of the class at a position.
+/// The path of the setting `name` of the class at position `index`.
 fn class_setting(index: usize, name: &str) -> String {
     format!("classes[{index}].{name}")
 }
--- a/crates/wingfold-director/tests/checkpoint.rs
+++ b/crates/wingfold-director/tests/checkpoint.rs
@@ -148,10 +148,12 @@
     assert!(Director::restore_for(&bytes, &settings).is_ok());
     for length in [0, 3, HEAD_BYTES - 1, HEAD_BYTES, 400, bytes.len() - 1] {
         let refused = Director::restore(&bytes[..length]).unwrap_err();
-        assert!(matches!(refused, CheckpointError::Cut { has, .. } if has == length), "{refused}");
+        assert!(matches!(refused, CheckpointError::Length { actual, .. } if actual == length), "{refused}");
     }
+    let refused = Director::restore(&bytes[..3]).unwrap_err();
+    assert_eq!(refused.to_string(), "the checkpoint is 3 bytes long, 22 bytes are expected");
     let more = [&bytes[..], b"x"].concat();
-    assert!(matches!(Director::restore(&more).unwrap_err(), CheckpointError::Cut { .. }));
+    assert!(matches!(Director::restore(&more).unwrap_err(), CheckpointError::Length { .. }));
     let mut other = bytes.clone();
     other[VERSION_OFFSET] = VERSION as u8 + 1;
     let refused = Director::restore(&other).unwrap_err();
@@ -162,7 +164,7 @@
         assert!(matches!(Director::restore(&flipped).unwrap_err(), CheckpointError::Damaged(_)), "byte {at}");
     }
     let elsewhere = Settings { drain_grace: seconds(4.0), ..settings };
-    assert_eq!(Director::restore_for(&bytes, &elsewhere).unwrap_err(), CheckpointError::Settings);
+    assert_eq!(Director::restore_for(&bytes, &elsewhere).unwrap_err(), CheckpointError::OtherSettings);
 }
 
 #[test]
