--- a/crates/wingfold-director/src/policy/subsetting.rs
+++ b/crates/wingfold-director/src/policy/subsetting.rs
@@ -111,8 +111,8 @@
     pub(crate) fn adjust_subset_size(&mut self, name: &ZoneId, zone: &mut Zone) {
         let previous = zone.requests_per_connection.max(MIN_REQUESTS_PER_CONNECTION);
         let is_recovering = zone.baseline_loss < LOW_LOSS_RATIO && previous > MIN_REQUESTS_PER_CONNECTION;
-        zone.calm_rounds = if is_recovering { (zone.calm_rounds + 1) % LOW_LOSS_ROUNDS } else { 0 };
-        let subsets_may_grow = is_recovering && zone.calm_rounds == 0;
+        zone.low_loss_updates = if is_recovering { (zone.low_loss_updates + 1) % LOW_LOSS_ROUNDS } else { 0 };
+        let subsets_may_grow = is_recovering && zone.low_loss_updates == 0;
         zone.requests_per_connection = if self.hosts_refuse_connections(zone) {
             MAX_REQUESTS_PER_CONNECTION
         } else if subsets_may_grow {
