--- a/crates/wingfold-node/src/reporting.rs
+++ b/crates/wingfold-node/src/reporting.rs
@@ -308,3 +308,6 @@
         });
     }
 }
+
+#[cfg(test)]
+mod tests;
