--- a/crates/wingfold-node/src/accept.rs
+++ b/crates/wingfold-node/src/accept.rs
@@ -35,7 +35,7 @@
                 tracing::debug!(%error, "connection broke before it was accepted")
             }
             Err(error) => {
-                if let Some(suppressed) = failure_log.line() {
+                if let Some(suppressed) = failure_log.allow_line() {
                     tracing::warn!(%error, suppressed, "accept failed");
                 }
                 // If descriptors ran out, unidentified connections go before clients.
@@ -93,7 +93,7 @@
             (Some(client), reason)
         }
         Ok(Identified::Collector(hello, reader, writer)) => {
-            let client = format!("collector of {}", log::plain(&hello.zone));
+            let client = format!("collector of {}", log::sanitize(&hello.zone));
             let reason = collector::serve(hello, *reader, writer, connection_id, admission.clone()).await;
             (Some(client), reason)
         }
@@ -107,8 +107,8 @@
 fn count_close(is_identified: bool, reason: &CloseReason, admission: &Admission) {
     let metrics = &admission.metrics;
     match reason {
-        CloseReason::Silent if is_identified => metrics.clients_silent_total.increment(),
-        CloseReason::Silent => metrics.unidentified_expired_total.increment(),
+        CloseReason::IdleTimeout if is_identified => metrics.clients_silent_total.increment(),
+        CloseReason::IdleTimeout => metrics.unidentified_expired_total.increment(),
         CloseReason::SlowReader => metrics.readers_slow_total.increment(),
         reason if reason.is_protocol_error() => metrics.messages_bad_total.increment(),
         _ => {}
@@ -119,7 +119,7 @@
 fn log_close(client: Option<&str>, address: SocketAddr, reason: &CloseReason, admission: &Admission) {
     let Some(name) = client else {
         if reason.is_protocol_error() {
-            log_protocol_error("unidentified", address, reason, admission.unidentified_log.line());
+            log_protocol_error("unidentified", address, reason, admission.unidentified_log.allow_line());
         } else {
             tracing::debug!(%address, %reason, "unidentified connection closed");
         }
@@ -127,9 +127,9 @@
     };
     if !reason.is_protocol_error() {
         tracing::info!(client = name, %address, %reason, "connection closed");
-    } else if matches!(reason, CloseReason::Invalid(_)) {
+    } else if matches!(reason, CloseReason::InvalidMessage(_)) {
         // The client named itself as one that does not exist, which anybody can do by the hundred.
-        log_protocol_error(name, address, reason, admission.unidentified_log.line());
+        log_protocol_error(name, address, reason, admission.unidentified_log.allow_line());
     } else {
         log_protocol_error(name, address, reason, Some(0));
     }
@@ -171,7 +171,7 @@
     tokio::select! {
         biased;
         identified = timeout_at(deadline, read_hello(read_half, write_half, &unidentified, admission)) => {
-            identified.unwrap_or(Err(CloseReason::Silent))
+            identified.unwrap_or(Err(CloseReason::IdleTimeout))
         }
         () = evicted => Err(CloseReason::ClosedByDirector),
     }
@@ -208,7 +208,7 @@
             Inbound::CollectorHello(hello) => {
                 return Ok(Identified::Collector(hello, Box::new(reader), write_half))
             }
-            _ => return Err(CloseReason::Invalid(InvalidReason::Turn)),
+            _ => return Err(CloseReason::InvalidMessage(InvalidReason::Turn)),
         }
     }
 }
@@ -219,7 +219,7 @@
     match read_half.read_exact(&mut first_bytes).await {
         Ok(_) => Ok(first_bytes),
         Err(error) if error.kind() == io::ErrorKind::UnexpectedEof => Err(CloseReason::ClosedByClient),
-        Err(error) => Err(CloseReason::Broken(error)),
+        Err(error) => Err(CloseReason::ConnectionError(error)),
     }
 }
 
--- a/crates/wingfold-node/src/accept/tests.rs
+++ b/crates/wingfold-node/src/accept/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::inbox::{self, InboundEvent, InboundReceiver};
-use crate::{metrics::Metrics, ops, Config, First};
+use crate::{metrics::Metrics, ops, Config, Precedence};
 use serde_json::json;
 use std::io::Write;
 use wingfold_test_support as support;
@@ -11,7 +11,7 @@
 pub(crate) fn admission(connections: usize, unidentified: usize) -> (Arc<Admission>, InboundReceiver) {
     let nowhere = "127.0.0.1:1".parse().unwrap();
     let text = support::director_config(nowhere, nowhere, json!(null)).to_string();
-    let mut config = Config::read(&text, First::Key, |_| None).unwrap();
+    let mut config = Config::read(&text, Precedence::File, |_| None).unwrap();
     (config.bounds.max_connections, config.bounds.max_unidentified) = (connections, unidentified);
     let metrics = Arc::new(Metrics::default());
     let (inbox, receiver) = inbox::channel(100_000, metrics.clone());
--- a/crates/wingfold-node/src/admission.rs
+++ b/crates/wingfold-node/src/admission.rs
@@ -34,9 +34,9 @@
     /// Limits the log lines about unidentified connections.
     pub unidentified_log: RateLimitedLog,
     /// Records the time from a decision to its last written byte, where metrics are exported.
-    pub delays: Option<WriteDelays>,
+    pub write_delays: Option<WriteDelays>,
     /// Counts the messages of each zone's collector.
-    pub pulse: CollectorActivity,
+    pub collector_activity: CollectorActivity,
     /// Serves HTTP.
     pub router: Router,
     zones: Vec<Arc<str>>,
@@ -92,8 +92,8 @@
         inbox: InboundSender,
         metrics: Arc<Metrics>,
         router: Router,
-        delays: Option<WriteDelays>,
-        pulse: CollectorActivity,
+        write_delays: Option<WriteDelays>,
+        collector_activity: CollectorActivity,
     ) -> Self {
         Admission {
             bounds: config.bounds.clone(),
@@ -103,8 +103,8 @@
             pong: message::encode(&Outbound::Pong),
             budget: FrameBudget::new(config.bounds.max_long_message_bytes),
             unidentified_log: RateLimitedLog::default(),
-            delays,
-            pulse,
+            write_delays,
+            collector_activity,
             router,
             zones: config.settings.zones.iter().map(|zone| zone.0.clone()).collect(),
             classes: config.names.classes.clone(),
--- a/crates/wingfold-node/src/client.rs
+++ b/crates/wingfold-node/src/client.rs
@@ -11,7 +11,7 @@
 
 /// Messages of one client that are read before its task yields: a period's load reports of a large zone. A client that
 /// sends without a pause is slowed down, and delays neither the engine nor other clients.
-pub const MESSAGES_PER_TURN: usize = 256;
+pub const MESSAGES_BETWEEN_YIELDS: usize = 256;
 
 /// A connection whose client is identified.
 pub struct ClientConnection<'a> {
@@ -45,7 +45,7 @@
         reason = read_messages(admission, reader, sender, collects_from, translate) => reason,
         written = writer.write_to(write_half) => match written {
             Ok(()) => CloseReason::ClosedByDirector,
-            Err(error) => CloseReason::Broken(error),
+            Err(error) => CloseReason::ConnectionError(error),
         },
     }
 }
@@ -58,20 +58,20 @@
     collects_from: Option<&str>,
     translate: impl Fn(Inbound) -> Result<InboundEvent, InvalidReason>,
 ) -> CloseReason {
-    let mut read_in_turn = 0;
+    let mut read_since_yield = 0;
     loop {
-        if read_in_turn == MESSAGES_PER_TURN {
-            read_in_turn = 0;
+        if read_since_yield == MESSAGES_BETWEEN_YIELDS {
+            read_since_yield = 0;
             yield_now().await;
         }
-        read_in_turn += 1;
+        read_since_yield += 1;
         let message = match reader.next().await {
             Ok(message) => message,
             Err(reason) => return reason,
         };
         // Any message shows that the collector is alive, also an invalid one.
         if let Some(zone) = collects_from {
-            admission.pulse.record(zone);
+            admission.collector_activity.record(zone);
         }
         if let Ok(Inbound::Ping) = message {
             match sender.send(vec![admission.pong.clone()]) {
@@ -81,7 +81,7 @@
         }
         match translate_in_stage(message, &translate) {
             Ok(event) => admission.inbox.send(event),
-            Err(reason) => admission.metrics.invalid(reason),
+            Err(reason) => admission.metrics.count_invalid(reason),
         }
     }
 }
--- a/crates/wingfold-node/src/client/tests.rs
+++ b/crates/wingfold-node/src/client/tests.rs
@@ -1,7 +1,7 @@
 //! How many messages of one client are read in a turn.
 
 use crate::accept::tests::{admission, pair};
-use crate::client::MESSAGES_PER_TURN;
+use crate::client::MESSAGES_BETWEEN_YIELDS;
 use crate::frame::LENGTH_BYTES;
 use crate::inbox::InboundEvent;
 use crate::incoming::MessageReader;
@@ -19,7 +19,7 @@
     let (admission, mut receiver) = admission(16, 16);
     let (mut far, mut near, _) = pair().await;
     let acknowledgement = Client::encode_frame(&json!({"type": "ACK", "id": 3, "seq": 9, "ms": 1.0}));
-    let sent = 20 * MESSAGES_PER_TURN;
+    let sent = 20 * MESSAGES_BETWEEN_YIELDS;
     let flood = acknowledgement.repeat(sent);
     let writer = std::thread::spawn(move || far.write_all(&flood).map(|()| far));
     let mut first_bytes = [0; LENGTH_BYTES];
@@ -57,5 +57,5 @@
         assert!(!has_ended.load(Ordering::Relaxed), "it is slowed down, not ended");
     }
     let _far = writer.join().unwrap().unwrap();
-    assert!(most_in_turn <= MESSAGES_PER_TURN, "{most_in_turn} in a turn");
+    assert!(most_in_turn <= MESSAGES_BETWEEN_YIELDS, "{most_in_turn} in a turn");
 }
--- a/crates/wingfold-node/src/collectd.rs
+++ b/crates/wingfold-node/src/collectd.rs
@@ -13,7 +13,7 @@
 /// Bytes of a packet: UDP has no longer ones.
 const MAX_PACKET_BYTES: usize = 65_535;
 /// Packets received in a row before other tasks get a turn.
-const PACKETS_PER_TURN: u32 = 64;
+const PACKETS_BETWEEN_YIELDS: u32 = 64;
 
 /// Receives collectd's packets.
 pub struct CollectdReceiver {
@@ -49,7 +49,7 @@
                     tracing::debug!(%from, %reason, "collectd: packet rejected");
                 }
             }
-            if received.is_multiple_of(PACKETS_PER_TURN) {
+            if received.is_multiple_of(PACKETS_BETWEEN_YIELDS) {
                 tokio::task::yield_now().await;
             }
         }
--- a/crates/wingfold-node/src/collector.rs
+++ b/crates/wingfold-node/src/collector.rs
@@ -20,7 +20,7 @@
 ) -> CloseReason {
     let zone = match admission.zone(&hello.zone) {
         Ok(zone) => zone,
-        Err(reason) => return CloseReason::Invalid(reason),
+        Err(reason) => return CloseReason::InvalidMessage(reason),
     };
     admission.metrics.collectors_total.increment();
     let (sender, writer) = outbox::channel(connection_id, admission.bounds.max_unread_bytes, None);
--- a/crates/wingfold-node/src/parts.rs
+++ b/crates/wingfold-node/src/components.rs
@@ -14,7 +14,7 @@
 use crate::peers::PeerSocket;
 use crate::recorder::{self, CaptureDumper, Recording};
 use crate::reporting::{IntervalReceiver, MetricsReporter};
-use crate::serve::Start;
+use crate::serve::StartOptions;
 use crate::sink::SinkDispatcher;
 use crate::startup::Sockets;
 use crate::tables::Tables;
@@ -28,7 +28,7 @@
 use wingfold_director::Director;
 
 /// Everything that a director consists of. Each part is run by one task of `serve`.
-pub struct Parts {
+pub struct Components {
     /// Owns the decision module.
     pub engine: Engine,
     /// Where the readers leave what they took in.
@@ -53,17 +53,17 @@
     pub dumper: Option<CaptureDumper>,
 }
 
-impl Parts {
+impl Components {
     /// Builds the parts for a configuration; `reloads` brings those that follow it. Starts the capture's writer, and the task
     /// that reads its counters.
     pub fn build(
         config: &Config,
-        start: Start,
+        start: StartOptions,
         sockets: Sockets,
         reloads: watch::Receiver<Arc<Config>>,
         clock: Clock,
         metrics: &Arc<Metrics>,
-    ) -> Result<Parts, RunError> {
+    ) -> Result<Components, RunError> {
         let (inbox, engine_inbox) = inbox::channel(config.bounds.max_queued_reports, metrics.clone());
         let recording = match start.local.capture {
             Some(capture) => Some(recorder::start(capture, config, clock.now(), metrics.clone())?),
@@ -72,7 +72,7 @@
         let dumper = recording.as_ref().map(|recording| recording.dumper.clone());
         let director = Director::new(config.settings.clone(), config.seed);
         let reporting = start.local.metrics.map(|metrics| {
-            MetricsReporter::new(config, metrics.interval, start.causes, clock.now(), &director)
+            MetricsReporter::new(config, metrics.interval, start.stage_runs, clock.now(), &director)
         });
         let (reporter, intervals) = reporting.unzip();
         let admission = build_admission(config, &inbox, metrics, dumper.clone(), reporter.as_ref());
@@ -84,7 +84,7 @@
         let (command_sender, commands) = unbounded_channel();
         let outputs =
             EngineOutputs { commands: command_sender, peers: sockets.peers.clone(), recording, reporter };
-        Ok(Parts {
+        Ok(Components {
             engine: build_engine(config, director, clock, &inbox, metrics, outputs),
             discovery: DiscoveryClient::new(reloads, inbox.clone(), metrics.clone()),
             inbox,
--- a/crates/wingfold-node/src/config.rs
+++ b/crates/wingfold-node/src/config.rs
@@ -5,7 +5,7 @@
 
 pub use bounds::Bounds;
 
-use bounds::Limits;
+use bounds::ProcessLimits;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -30,9 +30,9 @@
     /// Seed of random numbers; new with each start.
     pub seed: u64,
     /// The other directors; `None` where they have no way to reach each other.
-    pub peers: Option<Peers>,
+    pub peers: Option<PeerAddresses>,
     /// The endpoint list as it was cached at the last run.
-    pub known: Option<EndpointListResponse>,
+    pub cached_list: Option<EndpointListResponse>,
     /// The settings of the decision module.
     pub settings: Settings,
     /// Names that messages refer to.
@@ -43,22 +43,22 @@
 
 /// Addresses of the datagrams between directors.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Peers {
+pub struct PeerAddresses {
     /// Where they arrive.
     pub listen: SocketAddr,
     /// One address for each director, by number.
-    pub each: Vec<SocketAddr>,
+    pub by_index: Vec<SocketAddr>,
     /// Reaches every one of them.
-    pub all: SocketAddr,
+    pub broadcast: SocketAddr,
 }
 
 /// Which takes precedence where a variable and a key of the file say the same thing.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum First {
+pub enum Precedence {
     /// The variable: at the start.
-    Variable,
+    Environment,
     /// The file's key: once the file was replaced, while the variables are those of the start.
-    Key,
+    File,
 }
 
 /// What is wrong with the configuration.
@@ -84,13 +84,13 @@
 
 /// The file as it stands.
 #[derive(Debug, Deserialize)]
-struct File {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
     seed: Option<String>,
     #[serde(default)]
-    limits: Limits,
+    limits: ProcessLimits,
     peer_listen: Option<String>,
     #[serde(default)]
     peers: Vec<String>,
@@ -108,13 +108,13 @@
 
 impl Sourced {
     fn address(&self) -> Result<SocketAddr, ConfigError> {
-        address(self.source, &self.value)
+        parse_address(self.source, &self.value)
     }
 }
 
 /// Reads values that a variable or a key of the file may hold.
 struct Sources<Var> {
-    first: First,
+    first: Precedence,
     variable: Var,
 }
 
@@ -128,22 +128,21 @@
         let from_variable = (self.variable)(variable).map(|value| Sourced { source: variable, value });
         let from_file = in_file.map(|value| Sourced { source: key, value });
         let found = match self.first {
-            First::Key => from_file.or(from_variable),
-            First::Variable => from_variable.or(from_file),
+            Precedence::File => from_file.or(from_variable),
+            Precedence::Environment => from_variable.or(from_file),
         };
-        found.ok_or_else(|| wrong(variable, &format!("not set, nor is `{key}` in the file")))
+        found.ok_or_else(|| key_error(variable, &format!("not set, nor is `{key}` in the file")))
     }
 }
 
 impl Config {
     /// Reads the process's environment and the file that it names by its path, as both stand now; `file` takes precedence
     /// over the one that `GW_CONFIG` names.
-    pub fn from_env(file: Option<&Path>, first: First) -> Result<Config, ConfigError> {
+    pub fn from_env(file: Option<&Path>, first: Precedence) -> Result<Config, ConfigError> {
         let path = match file {
             Some(path) => path.display().to_string(),
-            None => {
-                std::env::var("GW_CONFIG").map_err(|_| wrong("GW_CONFIG", "not set: it names the file"))?
-            }
+            None => std::env::var("GW_CONFIG")
+                .map_err(|_| key_error("GW_CONFIG", "not set: it names the file"))?,
         };
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
@@ -155,32 +154,32 @@
     /// Reads the file's text; `variable` gives the value of a variable.
     pub fn read(
         text: &str,
-        first: First,
+        first: Precedence,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, ConfigError> {
-        let file: File = wingfold_settings::parse_json(text)
-            .map_err(|error| wrong(&error.path, &log::plain(&error.problem)))?;
+        let file: ConfigFile = wingfold_settings::parse_json(text)
+            .map_err(|error| key_error(&error.path, &log::sanitize(&error.problem)))?;
         let settings = file.settings.director_settings();
         let names = file.settings.report_names();
         let transport = file.settings.transport();
-        check(&settings, &names)?;
+        check_settings(&settings, &names)?;
         let sources = Sources { first, variable };
         let name = sources.read("GW_NAME", "name", file.name)?.value;
         let listen = sources.read("GW_LISTEN", "listen", file.listen)?.address()?;
         let discovery = sources.read("GW_DISCOVERY", "discovery", file.discovery)?.address()?;
         let seed = read_seed(file.seed.as_deref())?;
         let peers = if transport.peers_allowed && !file.peers.is_empty() {
-            Some(Peers::read(&file.peers, file.peer_listen.as_deref(), file.peers_all.as_deref())?)
+            Some(PeerAddresses::read(&file.peers, file.peer_listen.as_deref(), file.peers_all.as_deref())?)
         } else {
             None
         };
         let bounds = Bounds::derive(&settings, &transport, &file.limits);
-        Ok(Config { name, listen, discovery, seed, peers, known: file.known, settings, names, bounds })
+        Ok(Config { name, listen, discovery, seed, peers, cached_list: file.known, settings, names, bounds })
     }
 
     /// The keys that differ in `new` and take effect at a restart only. The seed and the cached list are for the start
     /// alone.
-    pub fn needs_restart(&self, new: &Config) -> Vec<&'static str> {
+    pub fn changes_that_need_restart(&self, new: &Config) -> Vec<&'static str> {
         let settings = self.settings != new.settings || self.names != new.names;
         let differs = [
             ("name", self.name != new.name),
@@ -193,39 +192,39 @@
     }
 
     /// This configuration with all of `new` that takes effect at once.
-    pub fn with(&self, new: &Config) -> Config {
-        Config { discovery: new.discovery, known: None, ..self.clone() }
+    pub fn with_reloaded(&self, new: &Config) -> Config {
+        Config { discovery: new.discovery, cached_list: None, ..self.clone() }
     }
 }
 
-impl Peers {
-    fn read(each: &[String], listen: Option<&str>, all: Option<&str>) -> Result<Peers, ConfigError> {
+impl PeerAddresses {
+    fn read(each: &[String], listen: Option<&str>, all: Option<&str>) -> Result<PeerAddresses, ConfigError> {
         let listen = required_address("peer_listen", listen)?;
         let mut addresses = Vec::with_capacity(each.len());
         for (index, peer) in each.iter().enumerate() {
-            addresses.push(address(&format!("peers[{index}]"), peer)?);
+            addresses.push(parse_address(&format!("peers[{index}]"), peer)?);
         }
-        let all = required_address("peers_all", all)?;
-        Ok(Peers { listen, each: addresses, all })
+        let broadcast = required_address("peers_all", all)?;
+        Ok(PeerAddresses { listen, by_index: addresses, broadcast })
     }
 }
 
 fn required_address(key: &str, value: Option<&str>) -> Result<SocketAddr, ConfigError> {
     match value {
-        Some(value) => address(key, value),
-        None => Err(wrong(key, "missing, though `peers` is given and the settings allow peers")),
+        Some(value) => parse_address(key, value),
+        None => Err(key_error(key, "missing, though `peers` is given and the settings allow peers")),
     }
 }
 
 fn read_seed(seed: Option<&str>) -> Result<u64, ConfigError> {
     let Some(seed) = seed else { return Ok(0) };
     u64::from_str_radix(seed, 16)
-        .map_err(|_| wrong("seed", &format!("`{seed}` is not a number of up to 16 hexadecimal digits")))
+        .map_err(|_| key_error("seed", &format!("`{seed}` is not a number of up to 16 hexadecimal digits")))
 }
 
 /// Checks what types alone do not say of the settings.
-fn check(settings: &Settings, names: &ReportNames) -> Result<(), ConfigError> {
-    let fault = |key: &str, problem: &str| Err(wrong(&format!("settings.{key}"), problem));
+fn check_settings(settings: &Settings, names: &ReportNames) -> Result<(), ConfigError> {
+    let fault = |key: &str, problem: &str| Err(key_error(&format!("settings.{key}"), problem));
     if settings.classes.is_empty() || settings.classes.len() > MAX_CLASSES {
         return fault("classes", "1 to 64 classes are expected");
     }
@@ -238,13 +237,13 @@
     if settings.directors == 0 || settings.director_index >= settings.directors {
         return fault("me", "a number below `replicas_of_me` is expected");
     }
-    let must_be_positive = [
+    let positive_settings = [
         ("family_info.egress_per_s", settings.send_rate_lines_per_s),
         ("family_info.pending_max", settings.max_queued_lines),
         ("family_info.reports_per_s", settings.max_report_lines_per_s),
         ("rules.overload_factor", settings.overload_factor),
     ];
-    for (key, value) in must_be_positive {
+    for (key, value) in positive_settings {
         if !value.is_finite() || value <= 0.0 {
             return fault(key, "a number above 0 is expected");
         }
@@ -256,11 +255,11 @@
     (0..names.len()).any(|index| names[..index].contains(&names[index]))
 }
 
-fn wrong(key: &str, problem: &str) -> ConfigError {
+fn key_error(key: &str, problem: &str) -> ConfigError {
     ConfigError::Key { key: key.into(), problem: problem.into() }
 }
 
-fn address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse()
-        .map_err(|_| wrong(key, &format!("`{text}` is not an address with a port, like 10.0.0.4:8443")))
+        .map_err(|_| key_error(key, &format!("`{text}` is not an address with a port, like 10.0.0.4:8443")))
 }
--- a/crates/wingfold-node/src/config/bounds.rs
+++ b/crates/wingfold-node/src/config/bounds.rs
@@ -1,13 +1,13 @@
 //! Bounds of the transport, each derived from the settings or the limits where they speak of it.
 
-use super::{wrong, ConfigError};
+use super::{key_error, ConfigError};
 use serde::Deserialize;
 use std::time::Duration;
 use wingfold_director::interface::{Micros, Settings};
 use wingfold_settings::TransportSettings;
 
 /// Bytes that one host takes, with its statistics and table entries.
-const HOST_BYTES: usize = 3 << 10;
+const BYTES_PER_HOST: usize = 3 << 10;
 /// Hosts that are kept in any case.
 const MIN_HOSTS: usize = 1024;
 /// Memory that the bounds assume at least, in MiB.
@@ -16,25 +16,25 @@
 const COLLECTORS_PER_ZONE: usize = 4;
 /// Descriptors that are always open: the log, the listener, datagrams, the runtime's own, two calls to discovery and those
 /// they replace.
-const ALWAYS_OPEN: usize = 24;
+const ALWAYS_OPEN_DESCRIPTORS: usize = 24;
 /// Connections in any case.
 const MIN_CONNECTIONS: usize = 16;
 /// Time in which discovery must be asked again where the settings name none.
-const DEFAULT_POLL_WITHIN: Duration = Duration::from_secs(10);
+const DEFAULT_POLL_DEADLINE: Duration = Duration::from_secs(10);
 /// Time from accepting a connection until it has named its client.
 const IDENTIFICATION_TIMEOUT: Duration = Duration::from_secs(1);
 /// Report periods without a message after which a client has ended.
-const SILENCE_PERIODS: u32 = 300;
+const IDLE_TIMEOUT_PERIODS: u32 = 300;
 /// Least time without a message after which a client has ended.
-const MIN_SILENCE: Duration = Duration::from_secs(600);
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(600);
 /// Bytes that the protocol lets a client leave unread.
 const MAX_UNREAD_BYTES: usize = 128 << 10;
 /// Seconds of reports that may wait for the decision module.
-const WAITING_REPORTS_S: f64 = 10.0;
+const REPORT_QUEUE_S: f64 = 10.0;
 /// Least number of reports that may wait.
-const MIN_WAITING_REPORTS: f64 = 1e3;
+const MIN_QUEUED_REPORTS: f64 = 1e3;
 /// Largest number of reports that may wait.
-const MAX_WAITING_REPORTS: f64 = 1e5;
+const MAX_QUEUED_REPORTS: f64 = 1e5;
 /// Time for discovery's response beyond what the call itself waits, at most.
 const MAX_LIST_RESPONSE_TIME: Duration = Duration::from_secs(2);
 /// Time for a connection to a host where the settings name none.
@@ -85,24 +85,24 @@
     pub memory_bytes: usize,
 }
 
-/// Limits of the process, as the file gives them.
+/// ProcessLimits of the process, as the file gives them.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
-pub(super) struct Limits {
+pub(super) struct ProcessLimits {
     /// Memory in MiB.
     memory_mb: usize,
     /// Descriptors.
     sockets: usize,
 }
 
-impl Default for Limits {
+impl Default for ProcessLimits {
     /// The least that deployments give.
     fn default() -> Self {
-        Limits { memory_mb: 192, sockets: 1024 }
+        ProcessLimits { memory_mb: 192, sockets: 1024 }
     }
 }
 
-impl Limits {
+impl ProcessLimits {
     fn quarter_of_memory_bytes(&self) -> usize {
         self.memory_mb.max(MIN_MEMORY_MB) << 18
     }
@@ -113,40 +113,45 @@
 }
 
 impl Bounds {
-    pub(super) fn derive(settings: &Settings, transport: &TransportSettings, limits: &Limits) -> Bounds {
-        let named = settings.proxies as usize + COLLECTORS_PER_ZONE * settings.zones.len();
+    pub(super) fn derive(
+        settings: &Settings,
+        transport: &TransportSettings,
+        limits: &ProcessLimits,
+    ) -> Bounds {
+        let clients = settings.proxies as usize + COLLECTORS_PER_ZONE * settings.zones.len();
         let max_health_checks = (limits.sockets / 8).max(1);
         // With too few for all proxies it serves those that come first.
-        let connections = limits.sockets.saturating_sub(max_health_checks + ALWAYS_OPEN).max(MIN_CONNECTIONS);
-        let poll_within = poll_within(settings);
-        let waiting_reports = settings.max_report_lines_per_s * WAITING_REPORTS_S;
+        let connections =
+            limits.sockets.saturating_sub(max_health_checks + ALWAYS_OPEN_DESCRIPTORS).max(MIN_CONNECTIONS);
+        let poll_deadline = poll_deadline(settings);
+        let queued_reports = settings.max_report_lines_per_s * REPORT_QUEUE_S;
         Bounds {
             max_connections: connections,
-            max_clients: named,
-            max_unidentified: connections.saturating_sub(named).min(connections / 4).max(MIN_CONNECTIONS),
+            max_clients: clients,
+            max_unidentified: connections.saturating_sub(clients).min(connections / 4).max(MIN_CONNECTIONS),
             identification_timeout: IDENTIFICATION_TIMEOUT,
             max_collectors_per_zone: COLLECTORS_PER_ZONE,
-            idle_timeout: (duration(settings.report_period) * SILENCE_PERIODS).max(MIN_SILENCE),
+            idle_timeout: (duration(settings.report_period) * IDLE_TIMEOUT_PERIODS).max(MIN_IDLE_TIMEOUT),
             max_unread_bytes: MAX_UNREAD_BYTES,
             max_long_message_bytes: limits.quarter_of_memory_bytes(),
-            max_queued_reports: waiting_reports.clamp(MIN_WAITING_REPORTS, MAX_WAITING_REPORTS) as usize,
-            watch_wait: poll_within / 2,
-            list_response_time: MAX_LIST_RESPONSE_TIME.min(poll_within / 4),
+            max_queued_reports: queued_reports.clamp(MIN_QUEUED_REPORTS, MAX_QUEUED_REPORTS) as usize,
+            watch_wait: poll_deadline / 2,
+            list_response_time: MAX_LIST_RESPONSE_TIME.min(poll_deadline / 4),
             max_list_bytes: limits.eighth_of_memory_bytes(),
-            max_hosts: ((limits.memory_mb << 17) / HOST_BYTES).max(MIN_HOSTS),
+            max_hosts: ((limits.memory_mb << 17) / BYTES_PER_HOST).max(MIN_HOSTS),
             health_check_connect_timeout: transport.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
-            health_check_timeout: tightest_latency_objective(settings).unwrap_or(poll_within),
+            health_check_timeout: tightest_latency_objective(settings).unwrap_or(poll_deadline),
             max_health_checks,
             memory_bytes: limits.memory_mb << 20,
         }
     }
 
     /// The same bounds where something else takes so many bytes and descriptors of the limits.
-    pub fn less(&self, bytes: usize, descriptors: usize) -> Result<Bounds, ConfigError> {
+    pub fn after_reserving(&self, bytes: usize, descriptors: usize) -> Result<Bounds, ConfigError> {
         if bytes > self.memory_bytes / 2 {
             let needed_mb = bytes >> 20;
             let memory_mb = self.memory_bytes >> 20;
-            return Err(wrong(
+            return Err(key_error(
                 "capture",
                 &format!("its memory and queue take {needed_mb} MB of {memory_mb}; half at most may go"),
             ));
@@ -167,9 +172,9 @@
 }
 
 /// The time in which discovery must be asked again.
-fn poll_within(settings: &Settings) -> Duration {
+fn poll_deadline(settings: &Settings) -> Duration {
     if settings.poll_within.0 == 0 {
-        DEFAULT_POLL_WITHIN
+        DEFAULT_POLL_DEADLINE
     } else {
         duration(settings.poll_within)
     }
--- a/crates/wingfold-node/src/discovery.rs
+++ b/crates/wingfold-node/src/discovery.rs
@@ -79,7 +79,7 @@
             address: first.discovery,
             is_pushed: !first.settings.endpoint_list_on_request,
             http: http_client(&first.bounds),
-            cached: CachedList::new(first.known.as_ref()),
+            cached: CachedList::new(first.cached_list.as_ref()),
             bounds: first.bounds.clone(),
             inbox,
             metrics,
@@ -94,7 +94,7 @@
     pub async fn run(mut self, mut commands: UnboundedReceiver<DiscoveryCommand>) {
         loop {
             tokio::select! {
-                config = reload::changed(&mut self.config) => self.apply_config(&config).await,
+                config = reload::next_config(&mut self.config) => self.apply_config(&config).await,
                 command = commands.recv() => match command {
                     Some(command) => self.execute(command).await,
                     None => return,
--- a/crates/wingfold-node/src/discovery/call.rs
+++ b/crates/wingfold-node/src/discovery/call.rs
@@ -17,13 +17,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
     /// There is no response.
-    #[error("{}", log::plain(&.0.to_string()))]
+    #[error("{}", log::sanitize(&.0.to_string()))]
     Call(#[from] CallError),
     /// The response has another status than 200.
     #[error("status {0}")]
     Status(StatusCode),
     /// The body is no endpoint list.
-    #[error("unreadable answer: {}", log::plain(&.0.to_string()))]
+    #[error("unreadable answer: {}", log::sanitize(&.0.to_string()))]
     Unreadable(#[from] serde_json::Error),
     /// The complete list is older than the cached one.
     #[error("a complete endpoint list of version {version} where {cached} is cached")]
@@ -45,7 +45,7 @@
         after: u64,
     },
     /// Some entries cannot be read.
-    #[error("entries that cannot be read: {count}, the first is {}", log::plain(&.first.to_string()))]
+    #[error("entries that cannot be read: {count}, the first is {}", log::sanitize(&.first.to_string()))]
     Entries {
         /// How many.
         count: usize,
--- a/crates/wingfold-node/src/engine/actions.rs
+++ b/crates/wingfold-node/src/engine/actions.rs
@@ -151,7 +151,7 @@
             }
             // A notice quotes names from outside.
             Action::Notice(notice) => {
-                tracing::info!(call = self.calls, "{}", log::plain(&notice.to_string()))
+                tracing::info!(call = self.calls, "{}", log::sanitize(&notice.to_string()))
             }
             Action::SetEntry { .. }
             | Action::ClearTable(_)
--- a/crates/wingfold-node/src/engine/inbound.rs
+++ b/crates/wingfold-node/src/engine/inbound.rs
@@ -100,7 +100,7 @@
 
     fn record_rejected_hosts(&self, rejected: usize) {
         self.metrics.hosts_refused_total.add(rejected as u64);
-        if let Some(suppressed) = self.rejected_hosts_log.line() {
+        if let Some(suppressed) = self.rejected_hosts_log.allow_line() {
             tracing::warn!(
                 rejected,
                 max_hosts = self.max_hosts,
@@ -121,7 +121,7 @@
     fn apply_required(&mut self, event: Event, events: &mut Vec<Event>) {
         if let Event::Acknowledged { proxy, barrier, .. } = event {
             if !self.tables.acknowledge(proxy, barrier) {
-                self.metrics.invalid(InvalidReason::Mark);
+                self.metrics.count_invalid(InvalidReason::Mark);
                 return;
             }
         }
@@ -132,7 +132,7 @@
     fn apply_report(&mut self, event: Event, events: &mut Vec<Event>) {
         if let Event::LoadReport { host, .. } | Event::HealthChecked { host, .. } = &event {
             if self.addresses.get(&host.0).is_none() {
-                self.metrics.invalid(InvalidReason::Name);
+                self.metrics.count_invalid(InvalidReason::Name);
                 return;
             }
         }
--- a/crates/wingfold-node/src/engine/tests.rs
+++ b/crates/wingfold-node/src/engine/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::inbox::InboundEvent;
-use crate::{health_check, inbox, list::EndpointListResponse, outbox, Config, First};
+use crate::{health_check, inbox, list::EndpointListResponse, outbox, Config, Precedence};
 use serde_json::json;
 use wingfold_director::interface::{EndpointListKind, Timestamp, ZoneId};
 use wingfold_test_support as support;
@@ -12,7 +12,7 @@
     let nowhere = "127.0.0.1:1".parse().unwrap();
     let mut text = support::director_config(nowhere, nowhere, json!(null));
     text["settings"]["report"]["how"] = json!("silent");
-    let config = Config::read(&text.to_string(), First::Key, |_| None).unwrap();
+    let config = Config::read(&text.to_string(), Precedence::File, |_| None).unwrap();
     let metrics = Arc::new(Metrics::default());
     let (inbox, _) = inbox::channel(10, metrics.clone());
     Engine {
--- a/crates/wingfold-node/src/error.rs
+++ b/crates/wingfold-node/src/error.rs
@@ -20,13 +20,13 @@
     },
     /// A task that must run until the end of the process has ended.
     #[error("a task that must run for good has ended: {0}")]
-    Ended(TaskEnd),
+    TaskEnded(TaskEnd),
     /// The configuration is wrong.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The runtime cannot start.
     #[error("the runtime cannot start: {0}")]
-    Start(#[from] io::Error),
+    Startup(#[from] io::Error),
 }
 
 /// How a task ended that must run until the end of the process.
--- a/crates/wingfold-node/src/health_check.rs
+++ b/crates/wingfold-node/src/health_check.rs
@@ -50,7 +50,7 @@
 /// Why the body of a response is no load report.
 #[derive(Debug, thiserror::Error)]
 enum LoadReportError {
-    #[error("{}", log::plain(&.0.to_string()))]
+    #[error("{}", log::sanitize(&.0.to_string()))]
     Unreadable(#[from] serde_json::Error),
     #[error(transparent)]
     Invalid(#[from] InvalidReason),
--- a/crates/wingfold-node/src/http.rs
+++ b/crates/wingfold-node/src/http.rs
@@ -20,7 +20,7 @@
     #[error("not an address: {0}")]
     Address(#[from] InvalidUri),
     /// The connection could not be opened, or broke before the head of the response.
-    #[error("no answer: {}", innermost(.0))]
+    #[error("no answer: {}", root_cause(.0))]
     Broken(#[from] hyper_util::client::legacy::Error),
     /// The body broke off, or exceeded its bound.
     #[error("answer broken off: {0}")]
@@ -31,7 +31,7 @@
 }
 
 /// The root cause of an error: "connection refused" says more than "client error".
-fn innermost(error: &dyn Error) -> String {
+fn root_cause(error: &dyn Error) -> String {
     let mut inner = error;
     while let Some(source) = inner.source() {
         inner = source;
--- a/crates/wingfold-node/src/incoming.rs
+++ b/crates/wingfold-node/src/incoming.rs
@@ -23,17 +23,17 @@
     ClosedByClient,
     /// It broke, or a frame was too long.
     #[error("connection error: {0}")]
-    Broken(#[from] std::io::Error),
+    ConnectionError(#[from] std::io::Error),
     /// Bytes could not be decoded, so nothing after them can be relied on.
     #[error("unreadable message: {0}")]
     Unreadable(String),
     /// An unidentified connection sent an invalid message. Those of identified clients are dropped instead, and the
     /// connection goes on.
     #[error("invalid message: {0}")]
-    Invalid(#[from] InvalidReason),
+    InvalidMessage(#[from] InvalidReason),
     /// The client sent nothing for too long.
     #[error("idle timeout")]
-    Silent,
+    IdleTimeout,
     /// The director closed it: a newer connection replaced it or needed its slot.
     #[error("closed by the director")]
     ClosedByDirector,
@@ -46,8 +46,8 @@
     /// Whether the client sent what the protocol does not allow.
     pub fn is_protocol_error(&self) -> bool {
         match self {
-            CloseReason::Unreadable(_) | CloseReason::Invalid(_) => true,
-            CloseReason::Broken(error) => {
+            CloseReason::Unreadable(_) | CloseReason::InvalidMessage(_) => true,
+            CloseReason::ConnectionError(error) => {
                 matches!(error.kind(), ErrorKind::InvalidData | ErrorKind::OutOfMemory)
             }
             _ => false,
@@ -83,13 +83,13 @@
     /// Cancel safe: a frame that is read in part stays in the buffer.
     pub async fn next(&mut self) -> Result<Result<Inbound, InvalidReason>, CloseReason> {
         let frame = timeout(self.max_silence, self.frames.next()).await;
-        let frame = frame.map_err(|_| CloseReason::Silent)?;
+        let frame = frame.map_err(|_| CloseReason::IdleTimeout)?;
         let bytes = frame.ok_or(CloseReason::ClosedByClient)??;
         self.metrics.messages_in_total.increment();
         match message::decode(&bytes) {
             Ok(message) => Ok(Ok(message)),
             Err(DecodeError::Invalid(reason)) => Ok(Err(reason)),
-            Err(DecodeError::NotJson(problem)) => Err(CloseReason::Unreadable(problem)),
+            Err(DecodeError::NotJsonObject(problem)) => Err(CloseReason::Unreadable(problem)),
         }
     }
 }
--- a/crates/wingfold-node/src/lib.rs
+++ b/crates/wingfold-node/src/lib.rs
@@ -5,11 +5,11 @@
 
 mod accept;
 mod admission;
-mod causes;
 mod client;
 mod clock;
 mod collectd;
 mod collector;
+mod components;
 pub mod config;
 mod discovery;
 mod engine;
@@ -25,7 +25,6 @@
 mod metrics;
 mod ops;
 mod outbox;
-mod parts;
 mod peers;
 mod recorder;
 mod reload;
@@ -33,16 +32,17 @@
 mod run;
 mod serve;
 mod sink;
+mod stage_runs;
 mod startup;
 mod stream;
 mod tables;
 
-pub use causes::Causes;
-pub use config::{Config, First};
+pub use config::{Config, Precedence};
 pub use error::{RunError, TaskEnd};
-pub use recorder::build;
+pub use recorder::build_id;
 pub use run::{main, run};
-pub use serve::{serve, Start};
+pub use serve::{serve, StartOptions};
+pub use stage_runs::StageRuns;
 
 use std::future::Future;
 
--- a/crates/wingfold-node/src/log/tests.rs
+++ b/crates/wingfold-node/src/log/tests.rs
@@ -2,17 +2,17 @@
 
 #[test]
 fn lines_that_anybody_can_cause_are_bounded_and_those_left_out_are_told() {
-    let (seldom, start) = (RateLimitedLog::default(), Instant::now());
-    let after = |secs: u64| seldom.line_at(start + Duration::from_secs(secs));
+    let (limited_log, start) = (RateLimitedLog::default(), Instant::now());
+    let after = |secs: u64| limited_log.allow_line_at(start + Duration::from_secs(secs));
     let written = (0..1000).filter(|_| after(1).is_some()).count();
-    assert_eq!(written, LINES_PER_SPAN as usize);
-    assert_eq!(after(12), Some(1000 - u64::from(LINES_PER_SPAN)));
+    assert_eq!(written, MAX_LINES_PER_WINDOW as usize);
+    assert_eq!(after(12), Some(1000 - u64::from(MAX_LINES_PER_WINDOW)));
     assert_eq!(after(12), Some(0));
 }
 
 #[test]
 fn a_text_from_outside_is_short_and_of_one_line() {
-    assert_eq!(plain("a\nb\u{1b}c"), "a b c");
-    assert_eq!(plain(&"x".repeat(200)), "x".repeat(200));
-    assert_eq!(plain(&"ü".repeat(1 << 20)), format!("{}...", "ü".repeat(200)));
+    assert_eq!(sanitize("a\nb\u{1b}c"), "a b c");
+    assert_eq!(sanitize(&"x".repeat(200)), "x".repeat(200));
+    assert_eq!(sanitize(&"ü".repeat(1 << 20)), format!("{}...", "ü".repeat(200)));
 }
--- a/crates/wingfold-node/src/message.rs
+++ b/crates/wingfold-node/src/message.rs
@@ -52,7 +52,7 @@
 pub enum DecodeError {
     /// They are not a JSON object, so nothing after them can be relied on.
     #[error("{0}")]
-    NotJson(String),
+    NotJsonObject(String),
     /// They are a JSON object, and not a valid message.
     #[error(transparent)]
     Invalid(#[from] InvalidReason),
@@ -61,7 +61,7 @@
 /// A message as it stands on the wire: its numbers may have any size and sign.
 #[derive(Deserialize)]
 #[serde(tag = "type")]
-enum Raw {
+enum WireMessage {
     #[serde(rename = "PING")]
     Ping,
     #[serde(rename = "SOURCE")]
@@ -76,7 +76,7 @@
         #[serde(rename = "target")]
         host: Arc<str>,
         #[serde(flatten)]
-        attempts: RawAttemptCounts,
+        attempts: WireAttemptCounts,
         #[serde(rename = "mean")]
         mean_latency_ms: Option<f64>,
         #[serde(rename = "util")]
@@ -107,13 +107,13 @@
         #[serde(rename = "lane")]
         class: Arc<str>,
         #[serde(flatten)]
-        requests: RawAttemptCounts,
+        requests: WireAttemptCounts,
     },
 }
 
 /// Counts over a period, as they stand on the wire.
 #[derive(Deserialize)]
-struct RawAttemptCounts {
+struct WireAttemptCounts {
     #[serde(rename = "count")]
     total: f64,
     #[serde(rename = "fail")]
@@ -153,7 +153,7 @@
     Ok(Micros((non_negative(value)? * MICROS_PER_MS) as u64))
 }
 
-impl RawAttemptCounts {
+impl WireAttemptCounts {
     /// Checks that both counts are integers and that the period is not empty.
     fn checked(&self) -> Result<AttemptCounts, InvalidReason> {
         let total = unsigned_integer(self.total)?;
@@ -166,14 +166,14 @@
     }
 }
 
-impl TryFrom<Raw> for Inbound {
+impl TryFrom<WireMessage> for Inbound {
     type Error = InvalidReason;
 
-    fn try_from(raw: Raw) -> Result<Self, InvalidReason> {
+    fn try_from(raw: WireMessage) -> Result<Self, InvalidReason> {
         Ok(match raw {
-            Raw::Ping => Inbound::Ping,
-            Raw::CollectorHello { zone } => Inbound::CollectorHello(CollectorHello { zone }),
-            Raw::LoadReport { zone, host, attempts, mean_latency_ms, host_load } => {
+            WireMessage::Ping => Inbound::Ping,
+            WireMessage::CollectorHello { zone } => Inbound::CollectorHello(CollectorHello { zone }),
+            WireMessage::LoadReport { zone, host, attempts, mean_latency_ms, host_load } => {
                 let attempts = checked_attempts(&attempts)?;
                 let mean_latency = checked_mean_latency(mean_latency_ms, &attempts)?;
                 let load = match host_load {
@@ -182,19 +182,19 @@
                 };
                 Inbound::LoadReport(LoadReport { zone, host, attempts, mean_latency, load })
             }
-            Raw::ProxyHello { proxy, zone, requests_per_s } => Inbound::ProxyHello(ProxyHello {
+            WireMessage::ProxyHello { proxy, zone, requests_per_s } => Inbound::ProxyHello(ProxyHello {
                 proxy: proxy_number(proxy)?,
                 zone,
                 requests_per_s: non_negative(requests_per_s)?,
             }),
-            Raw::Acknowledgement { proxy, barrier, elapsed_ms } => {
+            WireMessage::Acknowledgement { proxy, barrier, elapsed_ms } => {
                 Inbound::Acknowledgement(Acknowledgement {
                     proxy: proxy_number(proxy)?,
                     barrier: unsigned_integer(barrier)?,
                     elapsed: duration_from_ms(elapsed_ms)?,
                 })
             }
-            Raw::UsageReport { proxy, class, requests } => Inbound::UsageReport(UsageReport {
+            WireMessage::UsageReport { proxy, class, requests } => Inbound::UsageReport(UsageReport {
                 proxy: proxy_number(proxy)?,
                 class,
                 requests: requests.checked()?,
@@ -205,7 +205,7 @@
 
 /// Checks the attempts of a load report, of which no more can fail than were made. That does not hold for usage, where
 /// a request may fail in a later period than the one it came in.
-fn checked_attempts(raw: &RawAttemptCounts) -> Result<AttemptCounts, InvalidReason> {
+fn checked_attempts(raw: &WireAttemptCounts) -> Result<AttemptCounts, InvalidReason> {
     let attempts = raw.checked()?;
     if attempts.failed > attempts.total {
         return Err(InvalidReason::Range);
@@ -384,10 +384,10 @@
 
 /// Decodes a message, and distinguishes bytes that are no JSON object from a message that is only invalid.
 pub fn decode(bytes: &[u8]) -> Result<Inbound, DecodeError> {
-    match serde_json::from_slice::<Raw>(bytes) {
+    match serde_json::from_slice::<WireMessage>(bytes) {
         Ok(raw) => Ok(raw.try_into()?),
         Err(_) if is_json_object(bytes) => Err(InvalidReason::Form.into()),
-        Err(error) => Err(DecodeError::NotJson(log::plain(&error.to_string()))),
+        Err(error) => Err(DecodeError::NotJsonObject(log::sanitize(&error.to_string()))),
     }
 }
 
--- a/crates/wingfold-node/src/message/tests.rs
+++ b/crates/wingfold-node/src/message/tests.rs
@@ -43,10 +43,10 @@
 fn bytes_that_are_no_json_are_distinguished_from_invalid_messages() {
     let text = ["", "{", "[]", "7", r#"{"type":"ACK","id":"x","seq":9,"#, r#"{"type":"PING"} x"#, "{]"];
     for text in text {
-        assert!(matches!(decode(text.as_bytes()), Err(DecodeError::NotJson(_))), "{text}");
+        assert!(matches!(decode(text.as_bytes()), Err(DecodeError::NotJsonObject(_))), "{text}");
     }
-    assert!(matches!(decode(&[0xff, 0xfe]), Err(DecodeError::NotJson(_))));
-    assert!(matches!(decode(b"{\"type\":\"\xff\"}"), Err(DecodeError::NotJson(_))));
+    assert!(matches!(decode(&[0xff, 0xfe]), Err(DecodeError::NotJsonObject(_))));
+    assert!(matches!(decode(b"{\"type\":\"\xff\"}"), Err(DecodeError::NotJsonObject(_))));
     let (form, range) = (InvalidReason::Form, InvalidReason::Range);
     let load = |rest: &str| format!(r#"{{"type":"LOAD","site":"a","target":"s","over":1000,{rest}}}"#);
     for (text, why) in [
--- a/crates/wingfold-node/src/metrics.rs
+++ b/crates/wingfold-node/src/metrics.rs
@@ -141,16 +141,16 @@
 
 impl Metrics {
     /// Counts an invalid message that was dropped.
-    pub fn invalid(&self, reason: InvalidReason) {
-        self.invalid_for(reason).increment();
+    pub fn count_invalid(&self, reason: InvalidReason) {
+        self.invalid_counter(reason).increment();
     }
 
     /// Invalid messages dropped for a reason so far.
-    pub fn invalid_so_far(&self, reason: InvalidReason) -> u64 {
-        self.invalid_for(reason).get()
+    pub fn invalid_total(&self, reason: InvalidReason) -> u64 {
+        self.invalid_counter(reason).get()
     }
 
-    fn invalid_for(&self, reason: InvalidReason) -> &MetricValue {
+    fn invalid_counter(&self, reason: InvalidReason) -> &MetricValue {
         match reason {
             InvalidReason::Form => &self.messages_invalid_form_total,
             InvalidReason::Range => &self.messages_invalid_range_total,
@@ -169,7 +169,7 @@
             InvalidReason::Turn,
             InvalidReason::Mark,
         ];
-        reasons.map(|reason| self.invalid_for(reason).get().to_string()).join("/")
+        reasons.map(|reason| self.invalid_counter(reason).get().to_string()).join("/")
     }
 
     /// Logs the main counters as one line.
--- a/crates/wingfold-node/src/peers.rs
+++ b/crates/wingfold-node/src/peers.rs
@@ -1,6 +1,6 @@
 //! Datagrams between directors, where the settings allow them.
 
-use crate::config::Peers;
+use crate::config::PeerAddresses;
 use crate::inbox::{InboundEvent, InboundSender};
 use crate::invariant;
 use crate::metrics::Metrics;
@@ -16,13 +16,13 @@
 #[derive(Debug)]
 pub struct PeerSocket {
     socket: UdpSocket,
-    peers: Peers,
+    peers: PeerAddresses,
     metrics: Arc<Metrics>,
 }
 
 impl PeerSocket {
     /// For a socket bound to the address that the configuration names.
-    pub fn new(socket: UdpSocket, peers: Peers, metrics: Arc<Metrics>) -> PeerSocket {
+    pub fn new(socket: UdpSocket, peers: PeerAddresses, metrics: Arc<Metrics>) -> PeerSocket {
         PeerSocket { socket, peers, metrics }
     }
 
@@ -43,8 +43,8 @@
 
     fn address_of(&self, director: Option<u32>) -> Option<SocketAddr> {
         match director {
-            None => Some(self.peers.all),
-            Some(number) => self.peers.each.get(number as usize).copied(),
+            None => Some(self.peers.broadcast),
+            Some(number) => self.peers.by_index.get(number as usize).copied(),
         }
     }
 
@@ -70,7 +70,7 @@
     }
 
     fn sender_of(&self, address: SocketAddr) -> Option<u32> {
-        let number = self.peers.each.iter().position(|peer| *peer == address)?;
+        let number = self.peers.by_index.iter().position(|peer| *peer == address)?;
         Some(number as u32)
     }
 }
--- a/crates/wingfold-node/src/peers/tests.rs
+++ b/crates/wingfold-node/src/peers/tests.rs
@@ -4,7 +4,7 @@
 
 async fn peer_socket(each: &[SocketAddr], at: usize, metrics: &Arc<Metrics>) -> PeerSocket {
     // The second one stands for the address that reaches all.
-    let peers = Peers { listen: each[at], each: each.to_vec(), all: each[1] };
+    let peers = PeerAddresses { listen: each[at], by_index: each.to_vec(), broadcast: each[1] };
     PeerSocket::new(UdpSocket::bind(peers.listen).await.unwrap(), peers, metrics.clone())
 }
 
--- a/crates/wingfold-node/src/recorder.rs
+++ b/crates/wingfold-node/src/recorder.rs
@@ -73,7 +73,7 @@
 
 fn head(config: &Config, now: Timestamp) -> Head {
     Head {
-        build: build(),
+        build: build_id(),
         director: config.name.clone(),
         incarnation: now,
         segment: 0,
@@ -96,7 +96,7 @@
 }
 
 /// The build as captures name it: the version, and whether debug assertions are compiled in.
-pub fn build() -> String {
+pub fn build_id() -> String {
     let checks = if cfg!(debug_assertions) { " debug" } else { "" };
     format!("wingfold {}{checks}", env!("CARGO_PKG_VERSION"))
 }
--- a/crates/wingfold-node/src/recorder/tests.rs
+++ b/crates/wingfold-node/src/recorder/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::First;
+use crate::Precedence;
 use serde_json::json;
 use wingfold_director::interface::Event;
 use wingfold_director::Director;
@@ -8,7 +8,7 @@
 async fn an_invariant_that_fails_has_the_memory_written_out_once_in_ten_seconds() {
     let nowhere = "127.0.0.1:1".parse().unwrap();
     let text = wingfold_test_support::director_config(nowhere, nowhere, json!(null)).to_string();
-    let config = Config::read(&text, First::Key, |_| None).unwrap();
+    let config = Config::read(&text, Precedence::File, |_| None).unwrap();
     let root = std::env::temp_dir().join(format!("wingfold-dump-{}", std::process::id()));
     let own = format!(
         "capture {{\n  enabled = true\n  memory_mb = 1\n  dump_directory = \"{}\"\n}}\n",
--- a/crates/wingfold-node/src/reload.rs
+++ b/crates/wingfold-node/src/reload.rs
@@ -10,7 +10,7 @@
 use wingfold_settings::local::{LocalSettings, SinkSettings};
 
 /// What the files say at a SIGHUP.
-pub struct Readings {
+pub struct LoadedFiles {
     /// The platform's configuration.
     pub config: Result<Config, ConfigError>,
     /// The local settings, or their diagnostics, one per line.
@@ -48,7 +48,7 @@
 
     /// Never returns; ends when it is dropped. A signal that comes while files are read leads to a new reading, and the one
     /// under way is abandoned.
-    pub async fn run(mut self, mut hangup: Signal, read: impl Fn() -> Readings + Clone + Send + 'static) {
+    pub async fn run(mut self, mut hangup: Signal, read: impl Fn() -> LoadedFiles + Clone + Send + 'static) {
         let mut reading = None;
         loop {
             tokio::select! {
@@ -67,7 +67,7 @@
         }
     }
 
-    fn apply(&mut self, readings: Readings) {
+    fn apply(&mut self, readings: LoadedFiles) {
         match readings.config {
             Ok(config) => self.apply_config(config),
             Err(error) => tracing::error!("reload: {error}; the old configuration goes on"),
@@ -76,7 +76,7 @@
             Ok(local) => self.apply_local(local),
             Err(faults) => {
                 for fault in faults.lines() {
-                    tracing::error!("reload: {}; the old own settings go on", log::plain(fault));
+                    tracing::error!("reload: {}; the old own settings go on", log::sanitize(fault));
                 }
             }
         }
@@ -84,13 +84,13 @@
 
     /// Hands a checked configuration on, and logs which keys must wait for a restart.
     fn apply_config(&self, new: Config) {
-        let waiting = self.config.borrow().needs_restart(&new);
+        let waiting = self.config.borrow().changes_that_need_restart(&new);
         for key in &waiting {
             tracing::warn!("reload: key `{key}` has changed, which takes effect at a restart");
         }
         tracing::info!(discovery = %new.discovery, waiting = waiting.len(), "reload: configuration read");
         // The next reading is compared with what is in force, not with what the file said last.
-        self.config.send_modify(|current| *current = Arc::new(current.with(&new)));
+        self.config.send_modify(|current| *current = Arc::new(current.with_reloaded(&new)));
     }
 
     /// Hands the settings of sinks on; all other local settings wait for a restart.
@@ -115,7 +115,7 @@
 }
 
 /// The next configuration; never, if its sender is gone.
-pub async fn changed(config: &mut watch::Receiver<Arc<Config>>) -> Arc<Config> {
+pub async fn next_config(config: &mut watch::Receiver<Arc<Config>>) -> Arc<Config> {
     match config.changed().await {
         Ok(()) => config.borrow_and_update().clone(),
         Err(_) => std::future::pending().await,
--- a/crates/wingfold-node/src/reporting.rs
+++ b/crates/wingfold-node/src/reporting.rs
@@ -1,11 +1,11 @@
 //! The engine's part of the metrics that sinks receive: records what happens, and hands each interval on once it has ended.
 //! Nothing here waits: an interval is dropped where the sinks lag behind.
 
-use crate::causes::{Cause, Causes};
 use crate::clock::micros;
 use crate::config::Config;
 use crate::message::InvalidReason;
 use crate::metrics::Metrics;
+use crate::stage_runs::{StageRun, StageRuns};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 /// Intervals that may wait for the sinks.
 const MAX_WAITING_INTERVALS: usize = 8;
 /// Largest write delay told apart, in tenths of a millisecond: an hour.
-const MAX_WRITE_DELAY: u64 = 36_000_000;
+const MAX_WRITE_DELAY_TENTHS_MS: u64 = 36_000_000;
 
 /// Delays between a decision and the last written byte of its update, recorded by the writers of the streams, in tenths of a millisecond.
 #[derive(Clone, Debug)]
@@ -29,7 +29,8 @@
 
 impl Default for WriteDelays {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, MAX_WRITE_DELAY, 2).expect("these bounds are sound");
+        let histogram =
+            Histogram::new_with_bounds(1, MAX_WRITE_DELAY_TENTHS_MS, 2).expect("these bounds are sound");
         WriteDelays(Arc::new(Mutex::new(histogram)))
     }
 }
@@ -128,7 +129,8 @@
     #[serde(rename = "figures")]
     pub samples: Vec<PageSample>,
     /// The slowest and the failed of each stage.
-    pub causes: Vec<Cause>,
+    #[serde(rename = "causes")]
+    pub stage_runs: Vec<StageRun>,
 }
 
 /// One value of the interval: name, labels, and the value, or the count and four quantiles of a distribution.
@@ -181,7 +183,7 @@
     /// Shown by `/figures`.
     pub last_interval: LastInterval,
     intervals: Sender<Arc<Interval>>,
-    causes: Option<Causes>,
+    stage_runs: Option<StageRuns>,
     /// The director's name.
     name: String,
     /// Labels of the reasons why messages are invalid, in the order of [`INVALID_REASONS`].
@@ -204,7 +206,7 @@
     pub fn new(
         config: &Config,
         interval: Duration,
-        causes: Option<Causes>,
+        stage_runs: Option<StageRuns>,
         now: Timestamp,
         director: &Director,
     ) -> (MetricsReporter, IntervalReceiver) {
@@ -216,7 +218,7 @@
             sink_stats: Arc::default(),
             last_interval: LastInterval::default(),
             intervals,
-            causes,
+            stage_runs,
             name: config.name.clone(),
             invalid_labels: ["form", "range", "name", "turn", "mark"].map(Arc::from),
             list_responses: 0,
@@ -242,7 +244,7 @@
             return;
         }
         if let Some(interval) = self.end_interval(now, director, metrics) {
-            self.show(&interval);
+            self.publish(&interval);
             if self.intervals.try_send(Arc::new(interval)).is_err() {
                 metrics.intervals_dropped_total.increment();
             }
@@ -277,7 +279,7 @@
             total(Metric::Invariants, metrics.invariants_broken_total.get()),
         ];
         for (reason, label) in INVALID_REASONS.into_iter().zip(&self.invalid_labels) {
-            let value = metrics.invalid_so_far(reason);
+            let value = metrics.invalid_total(reason);
             totals.push(external_value(Metric::Invalid, vec![label.clone()], value));
         }
         totals
@@ -298,13 +300,13 @@
         }
     }
 
-    fn show(&self, interval: &Interval) {
+    fn publish(&self, interval: &Interval) {
         self.last_interval.replace(IntervalPage {
             director: self.name.clone(),
             ended_at_s: interval.ended_at.secs(),
             length_s: interval.length.secs(),
             samples: interval.samples.iter().map(PageSample::new).collect(),
-            causes: self.causes.as_ref().map(Causes::list).unwrap_or_default(),
+            stage_runs: self.stage_runs.as_ref().map(StageRuns::list).unwrap_or_default(),
         });
     }
 }
--- a/crates/wingfold-node/src/reporting/tests.rs
+++ b/crates/wingfold-node/src/reporting/tests.rs
@@ -7,7 +7,7 @@
         ended_at_s: 1_700_000_000.5,
         length_s: 10.0,
         samples: vec![PageSample("latency".into(), vec!["a".into()], vec![3.0, 1.5, 2.0, 2.5, 4.0])],
-        causes: vec![Cause {
+        stage_runs: vec![StageRun {
             stage: "route",
             call: Some(7),
             took_us: 1200,
--- a/crates/wingfold-node/src/run.rs
+++ b/crates/wingfold-node/src/run.rs
@@ -1,11 +1,11 @@
 //! The process around a director: signals, the configuration at the start and after reloads, exit codes.
 
-use crate::causes::Causes;
-use crate::config::{Config, ConfigError, First};
+use crate::config::{Config, ConfigError, Precedence};
 use crate::error::{RunError, TaskEnd};
 use crate::log;
-use crate::reload::{self, Readings, Reloader};
-use crate::serve::{serve, Start};
+use crate::reload::{self, LoadedFiles, Reloader};
+use crate::serve::{serve, StartOptions};
+use crate::stage_runs::StageRuns;
 use std::future::Future;
 use std::io;
 use std::path::PathBuf;
@@ -22,11 +22,11 @@
     local: LocalSettings,
     read_local: impl Fn() -> Result<LocalSettings, String> + Clone + Send + 'static,
 ) -> ExitCode {
-    let keeps_causes = local.metrics.as_ref().is_some_and(|metrics| metrics.keep_causes);
-    let causes = keeps_causes.then(Causes::default);
-    let _log = log::start(&local.log, causes.clone());
+    let keeps_stage_runs = local.metrics.as_ref().is_some_and(|metrics| metrics.keep_causes);
+    let stage_runs = keeps_stage_runs.then(StageRuns::default);
+    let _log = log::start(&local.log, stage_runs.clone());
     let read_config = move |first| Config::from_env(file.as_deref(), first);
-    match block_on_run(Start { local, causes }, read_config, read_local) {
+    match block_on_run(StartOptions { local, stage_runs }, read_config, read_local) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!("{error}");
@@ -37,8 +37,8 @@
 
 /// Runs a director on a runtime of its own, which has one thread.
 fn block_on_run(
-    start: Start,
-    read_config: impl Fn(First) -> Result<Config, ConfigError> + Clone + Send + 'static,
+    start: StartOptions,
+    read_config: impl Fn(Precedence) -> Result<Config, ConfigError> + Clone + Send + 'static,
     read_local: impl Fn() -> Result<LocalSettings, String> + Clone + Send + 'static,
 ) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -52,8 +52,8 @@
 /// says whether variables or the file's keys take precedence. `read_local` reads the local settings at each SIGHUP. Both
 /// are called on blocking threads: a file that hangs holds up neither decisions nor the shutdown.
 pub async fn run(
-    start: Start,
-    read: impl Fn(First) -> Result<Config, ConfigError> + Clone + Send + 'static,
+    start: StartOptions,
+    read: impl Fn(Precedence) -> Result<Config, ConfigError> + Clone + Send + 'static,
     read_local: impl Fn() -> Result<LocalSettings, String> + Clone + Send + 'static,
 ) -> Result<(), RunError> {
     // Handlers are installed before anything else: a signal without one ends the process.
@@ -64,15 +64,15 @@
     let read_first = read.clone();
     let config = tokio::select! {
         () = &mut shutdown => return Ok(()),
-        config = reload::on_blocking_thread(move || read_first(First::Variable)) => config,
+        config = reload::on_blocking_thread(move || read_first(Precedence::Environment)) => config,
     };
-    let config = config.ok_or(RunError::Ended(TaskEnd::ReadingConfiguration))??;
+    let config = config.ok_or(RunError::TaskEnded(TaskEnd::ReadingConfiguration))??;
 
     let (config_sender, config) = watch::channel(Arc::new(config));
     let sinks = start.local.metrics.as_ref().map(|metrics| metrics.sinks.clone()).unwrap_or_default();
     let (sinks_sender, sinks) = watch::channel(Arc::new(sinks));
     let reloader = Reloader::new(config_sender, sinks_sender, start.local.clone());
-    let read_both = move || Readings { config: read(First::Key), local: read_local() };
+    let read_both = move || LoadedFiles { config: read(Precedence::File), local: read_local() };
     let end = async {
         tokio::select! {
             () = shutdown => {}
--- a/crates/wingfold-node/src/serve.rs
+++ b/crates/wingfold-node/src/serve.rs
@@ -1,17 +1,17 @@
 //! Serving as a director: starts its parts, owns their tasks, and ends with them.
 
 use crate::accept;
-use crate::causes::Causes;
 use crate::clock::Clock;
 use crate::collectd::CollectdReceiver;
+use crate::components::Components;
 use crate::config::Config;
 use crate::error::{RunError, TaskEnd};
 use crate::inbox::InboundEvent;
 use crate::metrics::Metrics;
 use crate::or_never;
-use crate::parts::Parts;
 use crate::recorder::CaptureDumper;
-use crate::startup::{collectd_in, reserve_resources, Sockets};
+use crate::stage_runs::StageRuns;
+use crate::startup::{load_receiver_settings, reserve_resources, Sockets};
 use std::future::Future;
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,18 +25,18 @@
 
 /// What a director starts with besides the platform's configuration.
 #[derive(Debug, Default)]
-pub struct Start {
+pub struct StartOptions {
     /// Local settings.
     pub local: LocalSettings,
     /// Where the slowest and the failed of each stage are kept, if they are.
-    pub causes: Option<Causes>,
+    pub stage_runs: Option<StageRuns>,
 }
 
 /// Serves as a director until `end` is ready: for programs that handle signals themselves. What `config` holds at the start
 /// is served; of later configurations, [`Config::with`] says what takes effect at once. `sinks` are the settings of sinks.
 pub async fn serve(
     config: watch::Receiver<Arc<Config>>,
-    mut start: Start,
+    mut start: StartOptions,
     sinks: watch::Receiver<Arc<SinkSettings>>,
     end: impl Future<Output = ()>,
 ) -> Result<(), RunError> {
@@ -45,12 +45,12 @@
     reserve_resources(&mut first, &mut start.local)?;
     let clock = Clock::start();
     let metrics = Arc::new(Metrics::default());
-    let collectd_in = collectd_in(&first, &start.local);
+    let load_receiver = load_receiver_settings(&first, &start.local);
     let sockets = tokio::select! {
         () = &mut end => return Ok(()),
-        sockets = Sockets::bind(&first, collectd_in, &metrics) => sockets?,
+        sockets = Sockets::bind(&first, load_receiver, &metrics) => sockets?,
     };
-    let parts = Parts::build(&first, start, sockets, config, clock, &metrics)?;
+    let parts = Components::build(&first, start, sockets, config, clock, &metrics)?;
     run_tasks(parts, first, metrics, sinks, end).await
 }
 
@@ -58,18 +58,18 @@
 /// fails is seen to end and takes the process with it: a director that no longer decides must not go on holding its
 /// proxies. They run until the runtime ends: nothing of them is owed once `end` is ready but the end of the capture.
 async fn run_tasks(
-    parts: Parts,
+    parts: Components,
     config: Config,
     metrics: Arc<Metrics>,
     sinks: watch::Receiver<Arc<SinkSettings>>,
     end: impl Future<Output = ()>,
 ) -> Result<(), RunError> {
-    let Parts { engine, inbox, engine_inbox, discovery, commands, admission, .. } = parts;
+    let Components { engine, inbox, engine_inbox, discovery, commands, admission, .. } = parts;
     if let Some(dispatcher) = parts.sinks {
         tokio::spawn(dispatcher.run(sinks));
     }
-    if let Some(known) = config.known {
-        inbox.send(InboundEvent::EndpointList { kind: EndpointListKind::Cached, list: known });
+    if let Some(list) = config.cached_list {
+        inbox.send(InboundEvent::EndpointList { kind: EndpointListKind::Cached, list });
     }
     tracing::info!(name = config.name, listen = %config.listen, "serving");
     let result = tokio::select! {
@@ -84,7 +84,7 @@
         () = or_never(parts.peers.map(|peers| async move { peers.receive(inbox).await })) => Ok(()),
         () = log_metrics(metrics) => Ok(()),
     };
-    Err(RunError::Ended(task_end(result)))
+    Err(RunError::TaskEnded(task_end(result)))
 }
 
 fn task_end(result: Result<(), JoinError>) -> TaskEnd {
--- a/crates/wingfold-node/src/sink.rs
+++ b/crates/wingfold-node/src/sink.rs
@@ -6,7 +6,7 @@
 mod tcp;
 mod udp;
 
-use self::group::{Group, GroupSettings};
+use self::group::{SinkGroup, SinkGroupSettings};
 use crate::reporting::{IntervalReceiver, SinkStats};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -67,7 +67,7 @@
 
 /// What a sink is given to send.
 #[derive(Clone, Debug)]
-enum Work {
+enum RenderedInterval {
     /// Bytes of an interval, for a connection.
     Bytes(Arc<[u8]>),
     /// Datagrams of an interval.
@@ -88,7 +88,7 @@
     intervals: IntervalReceiver,
     context: SinkContext,
     /// By the name of their block in the settings.
-    groups: BTreeMap<String, Group>,
+    groups: BTreeMap<String, SinkGroup>,
     random: ChaCha8Rng,
 }
 
@@ -137,10 +137,10 @@
     fn apply(&mut self, new: &SinkSettings) {
         let mut old = std::mem::take(&mut self.groups);
         for graphite in &new.graphite {
-            self.start_group(GroupSettings::graphite(graphite, &self.context), &mut old);
+            self.start_group(SinkGroupSettings::graphite(graphite, &self.context), &mut old);
         }
         for collectd in &new.collectd {
-            self.start_group(GroupSettings::collectd(collectd, &self.context), &mut old);
+            self.start_group(SinkGroupSettings::collectd(collectd, &self.context), &mut old);
         }
         for (name, group) in old {
             tracing::info!(receiver = name, "sink removed");
@@ -149,10 +149,10 @@
     }
 
     /// Starts a group; receivers of its predecessor go on where both render alike.
-    fn start_group(&mut self, settings: GroupSettings<'_>, old: &mut BTreeMap<String, Group>) {
+    fn start_group(&mut self, settings: SinkGroupSettings<'_>, old: &mut BTreeMap<String, SinkGroup>) {
         let name = settings.name.to_string();
         let predecessor = old.remove(&name).filter(|group| group.renders_like(&settings));
-        let group = Group::start(settings, predecessor, &self.context);
+        let group = SinkGroup::start(settings, predecessor, &self.context);
         self.groups.insert(name, group);
     }
 }
--- a/crates/wingfold-node/src/sink/group.rs
+++ b/crates/wingfold-node/src/sink/group.rs
@@ -3,7 +3,7 @@
 
 use super::tcp::TcpSink;
 use super::udp::UdpSink;
-use super::{ReceiverHealth, SinkContext, Work};
+use super::{ReceiverHealth, RenderedInterval, SinkContext};
 use crate::clock::micros;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
 }
 
 /// One block of the settings.
-pub(super) struct GroupSettings<'a> {
+pub(super) struct SinkGroupSettings<'a> {
     pub(super) name: &'a str,
     addresses: &'a [String],
     /// Assigns names to addresses, where each value goes to one of them.
@@ -45,7 +45,7 @@
     limits: &'a SinkLimits,
 }
 
-impl<'a> GroupSettings<'a> {
+impl<'a> SinkGroupSettings<'a> {
     pub(super) fn graphite(settings: &'a GraphiteSettings, context: &SinkContext) -> Self {
         let naming = Naming {
             prefix: settings.prefix.clone(),
@@ -58,7 +58,7 @@
             }
             SinkAssignment::Replicate => None,
         };
-        GroupSettings {
+        SinkGroupSettings {
             name: &settings.name,
             addresses: &settings.addresses,
             ring,
@@ -73,7 +73,7 @@
             packet_bytes: settings.max_packet_bytes,
             security: settings.security.clone(),
         };
-        GroupSettings {
+        SinkGroupSettings {
             name: &settings.name,
             addresses: std::slice::from_ref(&settings.address),
             ring: None,
@@ -95,14 +95,14 @@
 /// The task of one receiver, and the way to it. The task ends when it is aborted or its queue is closed.
 struct SinkHandle {
     address: String,
-    queue: Sender<Work>,
+    queue: Sender<RenderedInterval>,
     health: Arc<ReceiverHealth>,
     task: JoinHandle<()>,
 }
 
 impl SinkHandle {
     /// Starts the task of the receiver at position `index` of its block.
-    fn start(settings: &GroupSettings<'_>, address: &str, index: usize, context: &SinkContext) -> Self {
+    fn start(settings: &SinkGroupSettings<'_>, address: &str, index: usize, context: &SinkContext) -> Self {
         let label = settings.label(address);
         tracing::info!(receiver = &*label, address, "sink started");
         let (queue, work) = channel(QUEUE_INTERVALS);
@@ -121,7 +121,7 @@
         SinkHandle { address: address.to_string(), queue, health, task }
     }
 
-    fn give(&self, work: Work, context: &SinkContext) {
+    fn enqueue(&self, work: RenderedInterval, context: &SinkContext) {
         if self.queue.try_send(work).is_err() {
             // The task has not had a turn for many intervals: the whole runtime is late.
             let label = Arc::from(self.address.as_str());
@@ -138,21 +138,21 @@
 }
 
 /// A group of receivers, running.
-pub(super) struct Group {
+pub(super) struct SinkGroup {
     /// In the order of the settings.
     sinks: Vec<SinkHandle>,
     ring: Option<HashRing>,
     renderer: Renderer,
 }
 
-impl Group {
+impl SinkGroup {
     /// Starts the tasks of a group. Receivers of the predecessor at the same address go on, the others are aborted.
     pub(super) fn start(
-        settings: GroupSettings<'_>,
-        predecessor: Option<Group>,
+        settings: SinkGroupSettings<'_>,
+        predecessor: Option<SinkGroup>,
         context: &SinkContext,
-    ) -> Group {
-        let mut old = predecessor.map(Group::into_sinks_by_address).unwrap_or_default();
+    ) -> SinkGroup {
+        let mut old = predecessor.map(SinkGroup::into_sinks_by_address).unwrap_or_default();
         let mut sinks = Vec::new();
         for (index, address) in settings.addresses.iter().enumerate() {
             let sink = match old.remove(address) {
@@ -164,7 +164,7 @@
         for sink in old.into_values() {
             sink.task.abort();
         }
-        Group { sinks, ring: settings.ring, renderer: settings.renderer }
+        SinkGroup { sinks, ring: settings.ring, renderer: settings.renderer }
     }
 
     fn into_sinks_by_address(self) -> BTreeMap<String, SinkHandle> {
@@ -172,7 +172,7 @@
     }
 
     /// Whether intervals are written as these settings say.
-    pub(super) fn renders_like(&self, settings: &GroupSettings<'_>) -> bool {
+    pub(super) fn renders_like(&self, settings: &SinkGroupSettings<'_>) -> bool {
         self.renderer == settings.renderer
     }
 
@@ -193,7 +193,7 @@
                     .filter_map(|sample| ValueList::from_sample(director, interval, sample))
                     .collect();
                 let packets = collectd::encode_packets(&lists, *packet_bytes, security, random);
-                self.sinks[0].give(Work::Datagrams(Arc::new(packets)), context);
+                self.sinks[0].enqueue(RenderedInterval::Datagrams(Arc::new(packets)), context);
             }
             Renderer::Graphite { naming, protocol } => {
                 let points = naming.points(interval);
@@ -207,7 +207,7 @@
         let Some(ring) = &mut self.ring else {
             let work = render_points(&points, protocol);
             for sink in &self.sinks {
-                sink.give(work.clone(), context);
+                sink.enqueue(work.clone(), context);
             }
             return;
         };
@@ -221,16 +221,16 @@
         }
         for (sink, points) in self.sinks.iter().zip(&points_by_sink) {
             if !points.is_empty() {
-                sink.give(render_points(points, protocol), context);
+                sink.enqueue(render_points(points, protocol), context);
             }
         }
     }
 }
 
-fn render_points(points: &[Point], protocol: GraphiteProtocol) -> Work {
+fn render_points(points: &[Point], protocol: GraphiteProtocol) -> RenderedInterval {
     match protocol {
-        GraphiteProtocol::Plain => Work::Bytes(graphite::encode_lines(points)),
-        GraphiteProtocol::Pickle => Work::Bytes(graphite::encode_pickles(points)),
-        GraphiteProtocol::Udp => Work::Datagrams(Arc::new(graphite::encode_datagrams(points))),
+        GraphiteProtocol::Plain => RenderedInterval::Bytes(graphite::encode_lines(points)),
+        GraphiteProtocol::Pickle => RenderedInterval::Bytes(graphite::encode_pickles(points)),
+        GraphiteProtocol::Udp => RenderedInterval::Datagrams(Arc::new(graphite::encode_datagrams(points))),
     }
 }
--- a/crates/wingfold-node/src/sink/tcp.rs
+++ b/crates/wingfold-node/src/sink/tcp.rs
@@ -1,7 +1,7 @@
 //! The task of one receiver over TCP: carries out what the receiver's core says.
 
 use super::resolve::Resolver;
-use super::{ReceiverHealth, SinkClock, SinkContext, Work};
+use super::{ReceiverHealth, RenderedInterval, SinkClock, SinkContext};
 use crate::or_never;
 use crate::reporting::SinkStats;
 use std::future::Future;
@@ -39,7 +39,7 @@
 pub(super) struct TcpSink {
     label: Arc<str>,
     address: String,
-    queue: mpsc::Receiver<Work>,
+    queue: mpsc::Receiver<RenderedInterval>,
     core: Sink,
     clock: SinkClock,
     stats: Arc<SinkStats>,
@@ -54,7 +54,7 @@
     pub(super) fn new(
         label: Arc<str>,
         address: String,
-        queue: mpsc::Receiver<Work>,
+        queue: mpsc::Receiver<RenderedInterval>,
         core: Sink,
         context: &SinkContext,
         health: Arc<ReceiverHealth>,
@@ -93,8 +93,8 @@
             let deadline = self.core.next_deadline().map(|at| self.clock.instant(at));
             tokio::select! {
                 work = self.queue.recv() => match work {
-                    Some(Work::Bytes(bytes)) => return Some(SinkEvent::Interval(bytes)),
-                    Some(Work::Datagrams(_)) => {}
+                    Some(RenderedInterval::Bytes(bytes)) => return Some(SinkEvent::Interval(bytes)),
+                    Some(RenderedInterval::Datagrams(_)) => {}
                     None => return None,
                 },
                 connected = or_never(self.connecting.as_mut()) => return Some(self.finish_connecting(connected)),
--- a/crates/wingfold-node/src/sink/udp.rs
+++ b/crates/wingfold-node/src/sink/udp.rs
@@ -1,7 +1,7 @@
 //! The task of one receiver over UDP: sends groups of datagrams with a pause between them.
 
 use super::resolve::Resolver;
-use super::Work;
+use super::RenderedInterval;
 use crate::reporting::SinkStats;
 use std::io;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr};
@@ -12,9 +12,9 @@
 use tokio::time::{sleep, timeout};
 
 /// Datagrams of a group.
-const GROUP_DATAGRAMS: usize = 64;
+const DATAGRAMS_PER_BURST: usize = 64;
 /// Pause between two groups, so that the receiver's buffer is not overrun.
-const GROUP_PAUSE: Duration = Duration::from_millis(5);
+const BURST_PAUSE: Duration = Duration::from_millis(5);
 /// Time for the lookup of the receiver's name.
 const RESOLVE_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -23,7 +23,7 @@
 pub(super) struct UdpSink {
     label: Arc<str>,
     address: String,
-    queue: mpsc::Receiver<Work>,
+    queue: mpsc::Receiver<RenderedInterval>,
     stats: Arc<SinkStats>,
     resolver: Resolver,
     socket: Option<UdpSocket>,
@@ -33,7 +33,7 @@
     pub(super) fn new(
         label: Arc<str>,
         address: String,
-        queue: mpsc::Receiver<Work>,
+        queue: mpsc::Receiver<RenderedInterval>,
         stats: Arc<SinkStats>,
     ) -> Self {
         UdpSink { label, address, queue, stats, resolver: Resolver::default(), socket: None }
@@ -42,7 +42,7 @@
     /// Serves the receiver until the queue is closed.
     pub(super) async fn run(mut self) {
         while let Some(work) = self.queue.recv().await {
-            if let Work::Datagrams(datagrams) = work {
+            if let RenderedInterval::Datagrams(datagrams) = work {
                 self.send_interval(&datagrams).await;
             }
         }
@@ -73,8 +73,8 @@
     async fn send_datagrams(&self, socket: &UdpSocket, datagrams: &[Vec<u8>]) -> bool {
         let mut has_failed = false;
         for (index, datagram) in datagrams.iter().enumerate() {
-            if index > 0 && index % GROUP_DATAGRAMS == 0 {
-                sleep(GROUP_PAUSE).await;
+            if index > 0 && index % DATAGRAMS_PER_BURST == 0 {
+                sleep(BURST_PAUSE).await;
                 if !self.queue.is_empty() {
                     self.stats.update(&self.label, |counters| counters.count_dropped("late"));
                     break;
--- a/crates/wingfold-node/src/causes.rs
+++ b/crates/wingfold-node/src/stage_runs.rs
@@ -1,4 +1,4 @@
-//! Causes: the slowest and the failed of each stage, kept within a bound. The stages' spans are `tracing`'s; a layer of the
+//! StageRuns: the slowest and the failed of each stage, kept within a bound. The stages' spans are `tracing`'s; a layer of the
 //! subscriber observes them.
 
 use serde::Serialize;
@@ -13,15 +13,15 @@
 use tracing_subscriber::Layer;
 
 /// The target of stages' spans; no other span is observed.
-pub const TARGET: &str = "wingfold::stage";
+pub const SPAN_TARGET: &str = "wingfold::stage";
 /// Number of the slowest, and of the failed, that are kept of each stage.
-const KEPT: usize = 8;
+const MAX_RUNS_PER_LIST: usize = 8;
 /// A slow one that ended this long ago makes room for any newer one.
-const SLOW_EXPIRY: Duration = Duration::from_secs(300);
+const SLOW_RUN_EXPIRY: Duration = Duration::from_secs(300);
 
 /// One run of a stage that was slow or failed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Cause {
+pub struct StageRun {
     /// The stage: take in, admit, route, send, relay, book.
     pub stage: &'static str,
     /// The number of the decision module's call, where there is one.
@@ -36,45 +36,45 @@
 }
 
 #[derive(Clone, Debug)]
-struct KeptCause {
+struct KeptRun {
     ended: Instant,
-    cause: Cause,
+    cause: StageRun,
 }
 
 /// What is kept of one stage.
 #[derive(Debug, Default)]
-struct StageCauses {
+struct RunsOfStage {
     /// The slowest first.
-    slow: Vec<KeptCause>,
+    slow: Vec<KeptRun>,
     /// The oldest first.
-    failed: Vec<KeptCause>,
+    failed: Vec<KeptRun>,
 }
 
-impl StageCauses {
-    fn keep_failed(&mut self, cause: KeptCause) {
-        if self.failed.len() == KEPT {
+impl RunsOfStage {
+    fn keep_failed(&mut self, cause: KeptRun) {
+        if self.failed.len() == MAX_RUNS_PER_LIST {
             self.failed.remove(0);
         }
         self.failed.push(cause);
     }
 
-    fn keep_slow(&mut self, new: KeptCause) {
-        if self.slow.len() == KEPT {
-            self.slow.retain(|kept| new.ended.duration_since(kept.ended) < SLOW_EXPIRY);
+    fn keep_slow(&mut self, new: KeptRun) {
+        if self.slow.len() == MAX_RUNS_PER_LIST {
+            self.slow.retain(|kept| new.ended.duration_since(kept.ended) < SLOW_RUN_EXPIRY);
         }
-        let is_full = self.slow.len() == KEPT;
+        let is_full = self.slow.len() == MAX_RUNS_PER_LIST;
         if is_full && self.slow.last().is_some_and(|least| least.cause.took_us >= new.cause.took_us) {
             return;
         }
         self.slow.push(new);
         self.slow.sort_by_key(|kept| std::cmp::Reverse(kept.cause.took_us));
-        self.slow.truncate(KEPT);
+        self.slow.truncate(MAX_RUNS_PER_LIST);
     }
 }
 
 /// The causes kept, by stage: a layer for `tracing`'s subscriber.
 #[derive(Clone, Debug, Default)]
-pub struct Causes(Arc<Mutex<BTreeMap<&'static str, StageCauses>>>);
+pub struct StageRuns(Arc<Mutex<BTreeMap<&'static str, RunsOfStage>>>);
 
 /// What a span carries until it closes.
 struct OpenSpan {
@@ -92,20 +92,20 @@
 
     fn record_debug(&mut self, field: &Field, value: &dyn std::fmt::Debug) {
         if field.name() == "failed" {
-            self.failed = Some(crate::log::plain(&format!("{value:?}")));
+            self.failed = Some(crate::log::sanitize(&format!("{value:?}")));
         }
     }
 }
 
-impl Causes {
+impl StageRuns {
     /// All that is kept, stage by stage: the failed first, newest first, then the slowest.
-    pub fn list(&self) -> Vec<Cause> {
+    pub fn list(&self) -> Vec<StageRun> {
         let stages = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let kept = stages.values().flat_map(|stage| stage.failed.iter().rev().chain(&stage.slow));
         kept.map(|kept| kept.cause.clone()).collect()
     }
 
-    fn keep(&self, cause: KeptCause) {
+    fn keep(&self, cause: KeptRun) {
         let mut stages = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let stage = stages.entry(cause.cause.stage).or_default();
         if cause.cause.failed.is_some() {
@@ -116,9 +116,11 @@
     }
 }
 
-impl<S: Subscriber + for<'a> LookupSpan<'a>> Layer<S> for Causes {
+impl<S: Subscriber + for<'a> LookupSpan<'a>> Layer<S> for StageRuns {
     fn on_new_span(&self, attributes: &Attributes<'_>, id: &Id, context: Context<'_, S>) {
-        let Some(span) = context.span(id).filter(|span| span.metadata().target() == TARGET) else { return };
+        let Some(span) = context.span(id).filter(|span| span.metadata().target() == SPAN_TARGET) else {
+            return;
+        };
         let mut open = OpenSpan { started: Instant::now(), call: None, failed: None };
         attributes.record(&mut open);
         span.extensions_mut().insert(open);
@@ -135,14 +137,14 @@
         let Some(span) = context.span(&id) else { return };
         let Some(open) = span.extensions_mut().remove::<OpenSpan>() else { return };
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let cause = Cause {
+        let cause = StageRun {
             stage: span.metadata().name(),
             call: open.call,
             took_us: open.started.elapsed().as_micros() as u64,
             ended_at_s: unix.as_secs_f64(),
             failed: open.failed,
         };
-        self.keep(KeptCause { ended: Instant::now(), cause });
+        self.keep(KeptRun { ended: Instant::now(), cause });
     }
 }
 
@@ -150,13 +152,13 @@
 #[macro_export]
 macro_rules! stage {
     ($name:literal $(, $field:ident = $value:expr)*) => {
-        tracing::span!(target: $crate::causes::TARGET, tracing::Level::DEBUG, $name $(, $field = $value)*)
+        tracing::span!(target: $crate::stage_runs::SPAN_TARGET, tracing::Level::DEBUG, $name $(, $field = $value)*)
     };
 }
 
 /// Whether the layer observes a span.
 pub fn is_stage(metadata: &tracing::Metadata<'_>) -> bool {
-    metadata.is_span() && metadata.target() == TARGET && *metadata.level() <= Level::DEBUG
+    metadata.is_span() && metadata.target() == SPAN_TARGET && *metadata.level() <= Level::DEBUG
 }
 
 #[cfg(test)]
--- a/crates/wingfold-node/src/causes/tests.rs
+++ b/crates/wingfold-node/src/stage_runs/tests.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn the_slowest_and_the_failed_are_kept_within_a_bound() {
-    let causes = Causes::default();
+    let causes = StageRuns::default();
     let layer = causes.clone().with_filter(tracing_subscriber::filter::filter_fn(is_stage));
     let subscriber = tracing_subscriber::registry().with(layer);
     tracing::subscriber::with_default(subscriber, || {
@@ -21,7 +21,7 @@
     });
     let list = causes.list();
     let (failed, slow): (Vec<_>, Vec<_>) = list.iter().partition(|cause| cause.failed.is_some());
-    assert_eq!((failed.len(), slow.len()), (KEPT, KEPT));
+    assert_eq!((failed.len(), slow.len()), (MAX_RUNS_PER_LIST, MAX_RUNS_PER_LIST));
     assert_eq!((slow[0].call, slow[0].stage), (Some(50), "route"));
     assert!(slow[0].took_us >= 20_000 && slow.windows(2).all(|two| two[0].took_us >= two[1].took_us));
     assert_eq!(
--- a/crates/wingfold-node/src/startup.rs
+++ b/crates/wingfold-node/src/startup.rs
@@ -1,6 +1,6 @@
 //! The start of a director: resources that are reserved, and sockets that are bound, before anything is served.
 
-use crate::config::{Config, ConfigError, Peers};
+use crate::config::{Config, ConfigError, PeerAddresses};
 use crate::error::RunError;
 use crate::metrics::Metrics;
 use crate::peers::PeerSocket;
@@ -22,28 +22,28 @@
 /// Takes what the capture and the sinks need off the bounds: it comes out of the same limits, not on top of them. Where
 /// the descriptors do not suffice for both, the sinks are switched off.
 pub fn reserve_resources(config: &mut Config, local: &mut LocalSettings) -> Result<(), ConfigError> {
-    let bounds = config.bounds.less(local.reserved_memory_bytes(), local.file_descriptors())?;
-    let suffice_without = config.bounds.max_connections >= config.bounds.max_clients;
-    let suffice = bounds.max_connections >= bounds.max_clients;
-    if local.metrics.is_some() && suffice_without && !suffice {
+    let bounds = config.bounds.after_reserving(local.reserved_memory_bytes(), local.file_descriptors())?;
+    let suffices_without_metrics = config.bounds.max_connections >= config.bounds.max_clients;
+    let suffices = bounds.max_connections >= bounds.max_clients;
+    if local.metrics.is_some() && suffices_without_metrics && !suffices {
         // Clients go first: a director serves without metrics, and not without clients.
         tracing::warn!(
             "key `limits.sockets`: too few for all that may join and for figures, which are not sent"
         );
         local.metrics = None;
     }
-    config.bounds = config.bounds.less(local.reserved_memory_bytes(), local.file_descriptors())?;
+    config.bounds = config.bounds.after_reserving(local.reserved_memory_bytes(), local.file_descriptors())?;
     Ok(())
 }
 
 /// Where collectd's packets are received; `None` where they are not, or where the platform's own load reports go before.
-pub fn collectd_in(config: &Config, local: &LocalSettings) -> Option<LoadReceiverSettings> {
-    let collectd_in = local.metrics.as_ref()?.load_receiver.clone()?;
+pub fn load_receiver_settings(config: &Config, local: &LocalSettings) -> Option<LoadReceiverSettings> {
+    let load_receiver = local.metrics.as_ref()?.load_receiver.clone()?;
     if config.settings.load_report_source != LoadReportSource::Never {
         tracing::warn!("key `collectd_in`: not used, because the platform's load reports take precedence");
         return None;
     }
-    Some(collectd_in)
+    Some(load_receiver)
 }
 
 /// A socket that receives collectd's packets, and their settings.
@@ -68,12 +68,12 @@
     /// Binds all sockets, one after another.
     pub async fn bind(
         config: &Config,
-        collectd_in: Option<LoadReceiverSettings>,
+        load_receiver: Option<LoadReceiverSettings>,
         metrics: &Arc<Metrics>,
     ) -> Result<Sockets, RunError> {
         let deadline = Instant::now() + ADDRESS_IN_USE_TIMEOUT;
-        let listener = bind_waiting("listen", config.listen, deadline, TcpListener::bind).await?;
-        let collectd = match collectd_in {
+        let listener = bind_with_retry("listen", config.listen, deadline, TcpListener::bind).await?;
+        let collectd = match load_receiver {
             Some(settings) => Some(bind_collectd(settings, deadline).await?),
             None => None,
         };
@@ -89,22 +89,22 @@
     settings: LoadReceiverSettings,
     deadline: Instant,
 ) -> Result<CollectdSocket, RunError> {
-    let socket = bind_waiting("collectd_in.listen", settings.listen, deadline, UdpSocket::bind).await?;
+    let socket = bind_with_retry("collectd_in.listen", settings.listen, deadline, UdpSocket::bind).await?;
     Ok(CollectdSocket { socket, settings })
 }
 
 async fn bind_peers(
-    peers: Peers,
+    peers: PeerAddresses,
     deadline: Instant,
     metrics: Arc<Metrics>,
 ) -> Result<Arc<PeerSocket>, RunError> {
-    let socket = bind_waiting("peer_listen", peers.listen, deadline, UdpSocket::bind).await?;
+    let socket = bind_with_retry("peer_listen", peers.listen, deadline, UdpSocket::bind).await?;
     Ok(Arc::new(PeerSocket::new(socket, peers, metrics)))
 }
 
 /// Binds an address. The predecessor of a restart may hold it a moment longer, so one that is in use is retried until the
 /// deadline.
-async fn bind_waiting<T, F: Future<Output = io::Result<T>>>(
+async fn bind_with_retry<T, F: Future<Output = io::Result<T>>>(
     key: &'static str,
     address: SocketAddr,
     deadline: Instant,
--- a/crates/wingfold-node/src/stream.rs
+++ b/crates/wingfold-node/src/stream.rs
@@ -34,11 +34,11 @@
 ) -> CloseReason {
     let zone = match admission.zone(&hello.zone) {
         Ok(zone) if hello.proxy < admission.proxies => zone,
-        _ => return CloseReason::Invalid(InvalidReason::Name),
+        _ => return CloseReason::InvalidMessage(InvalidReason::Name),
     };
     let proxy = ProxyId(hello.proxy);
     let (sender, writer) =
-        outbox::channel(connection_id, admission.bounds.max_unread_bytes, admission.delays.clone());
+        outbox::channel(connection_id, admission.bounds.max_unread_bytes, admission.write_delays.clone());
     let _disconnect = DisconnectOnDrop { proxy, connection_id, inbox: admission.inbox.clone() };
     admission.inbox.send(InboundEvent::ProxyConnected {
         proxy,
--- a/crates/wingfold/src/replay/text.rs
+++ b/crates/wingfold/src/replay/text.rs
@@ -38,7 +38,7 @@
 }
 
 fn print_builds(report: &ReplayReport) {
-    let this_build = wingfold_node::build();
+    let this_build = wingfold_node::build_id();
     if report.builds.iter().any(|build| *build != this_build) {
         println!("recorded by {}, replayed by {this_build}", report.builds.join(", "));
     }
