--- a/crates/wingfold-node/src/accept.rs
+++ b/crates/wingfold-node/src/accept.rs
@@ -1,5 +1,5 @@
-//! Accepts connections and identifies their clients: the first four bytes distinguish frames from HTTP, and the first
-//! message names the client.
+//! Accepts connections and identifies their clients: the first four bytes distinguish frames from HTTP, and
+//! the first message names the client.
 
 use crate::admission::{Admission, ConnectionSlot, NoFreeSlot, UnidentifiedSlot};
 use crate::incoming::{CloseReason, MessageReader};
@@ -17,28 +17,31 @@
 use tokio::time::{sleep, timeout_at, Instant};
 use tokio_util::codec::FramedWrite;
 
-/// Pause after a failed accept. Where descriptors have run out, trying at once would spin until something closes.
+/// Pause after a failed accept. When file descriptors have run out, an immediate retry would spin until one
+/// is closed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections until the task is aborted. Each connection gets a task of its own, which ends with it.
+/// Accepts connections until this task is aborted. Each connection is served by its own task.
 pub async fn serve(listener: TcpListener, admission: Arc<Admission>) {
     let failure_log = log::RateLimitedLog::default();
     loop {
-        // The tasks of the last connections have not run yet, and a proxy's first message may be ready to be read: it
-        // must be identified before an unidentified connection is evicted. So silent connections evict only each other.
+        // The tasks of the connections accepted last have not run yet, and the first message of a proxy among
+        // them may have arrived. Yielding lets those tasks identify their clients first, so that only
+        // connections that have sent nothing are evicted.
         if admission.is_full() {
             yield_now().await;
         }
         match listener.accept().await {
             Ok((connection, address)) => admit(connection, address, &admission),
             Err(error) if concerns_one_connection(&error) => {
-                tracing::debug!(%error, "connection broke before it was accepted")
+                tracing::debug!(%error, "connection failed before it was accepted")
             }
             Err(error) => {
                 if let Some(suppressed) = failure_log.allow_line() {
                     tracing::warn!(%error, suppressed, "accept failed");
                 }
-                // If descriptors ran out, unidentified connections go before clients.
+                // If file descriptors ran out, closing an unidentified connection frees one without losing a
+                // client.
                 admission.evict_unidentified();
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
@@ -46,7 +49,7 @@
     }
 }
 
-/// Spawns the task of a connection, or drops the connection if there is no slot for it.
+/// Spawns the task that serves a connection, or closes the connection if there is no free slot.
 fn admit(connection: TcpStream, address: SocketAddr, admission: &Arc<Admission>) {
     admission.metrics.connections_total.increment();
     match admission.admit() {
@@ -57,7 +60,8 @@
     }
 }
 
-/// Whether a failed accept concerns that one connection alone, and not a resource that the process lacks.
+/// Whether an accept failed because of the connection being accepted, not because the process lacks a
+/// resource.
 fn concerns_one_connection(error: &io::Error) -> bool {
     use io::ErrorKind::*;
     matches!(
@@ -74,8 +78,8 @@
 
 /// Serves one connection from its first byte to its end, then counts and logs why it ended.
 ///
-/// It runs in a task of its own that nobody awaits. The task ends with the connection, at the latest when the runtime
-/// shuts down.
+/// Runs in its own task, which nothing awaits; the task ends with the connection, or when the runtime shuts
+/// down.
 async fn handle_connection(
     connection: TcpStream,
     address: SocketAddr,
@@ -83,7 +87,8 @@
     unidentified: UnidentifiedSlot,
     admission: Arc<Admission>,
 ) {
-    // Connections of one proxy are ordered by when they were accepted, not by when their first messages were read.
+    // Connections of one proxy are ordered by when they were accepted, not by when their first messages were
+    // read.
     let connection_id = unidentified.connection_id();
     let (client, reason) = match identify(connection, unidentified, &admission).await {
         Ok(Identified::Http) => return,
@@ -128,32 +133,35 @@
     if !reason.is_protocol_error() {
         tracing::info!(client = name, %address, %reason, "connection closed");
     } else if matches!(reason, CloseReason::InvalidMessage(_)) {
-        // The client named itself as one that does not exist, which anybody can do by the hundred.
+        // The first message named a proxy or zone that does not exist. Any peer can send many of those, so
+        // these lines share the rate limit of unidentified connections.
         log_protocol_error(name, address, reason, admission.unidentified_log.allow_line());
     } else {
         log_protocol_error(name, address, reason, Some(0));
     }
 }
 
-/// Logs a protocol error; `suppressed` is the number of lines suppressed before it, or `None` if this one is too.
+/// Logs a protocol error. `suppressed` is the number of lines suppressed before this one; `None` suppresses
+/// this one as well.
 fn log_protocol_error(client: &str, address: SocketAddr, reason: &CloseReason, suppressed: Option<u64>) {
     if let Some(suppressed) = suppressed {
         tracing::warn!(client, %address, %reason, suppressed, "connection closed");
     }
 }
 
-/// The client of a connection, with what it goes on with.
+/// The client of a connection, with its first message and both halves of the connection.
 enum Identified {
     /// A proxy.
     Proxy(ProxyHello, Box<MessageReader>, OwnedWriteHalf),
     /// A collector.
     Collector(CollectorHello, Box<MessageReader>, OwnedWriteHalf),
-    /// An HTTP client, which was served.
+    /// An HTTP client, whose requests have already been served.
     Http,
 }
 
-/// Identifies the client of a connection inside the time and the slot that unidentified connections have. The time runs
-/// from the accept on, whatever arrives meanwhile: single bytes, `PING`s, HTTP requests.
+/// Identifies the client of a connection. Fails when the identification timeout expires or the unidentified
+/// slot is needed for another connection. The timeout runs from the accept, and bytes of an incomplete
+/// message, `PING`s and HTTP requests do not extend it.
 async fn identify(
     connection: TcpStream,
     unidentified: UnidentifiedSlot,
@@ -162,8 +170,8 @@
     let deadline = Instant::now() + admission.bounds.identification_timeout;
     connection.set_nodelay(true)?;
     let (read_half, write_half) = connection.into_split();
-    // What is ready to be read goes first, also at the moment of the eviction or of the deadline: a proxy whose first
-    // message is complete is not unidentified any more.
+    // Bytes that are ready to be read take precedence over an eviction or an expired deadline: a proxy whose
+    // first message has arrived completely must be identified, not closed.
     let evicted = async {
         unidentified.evicted().await;
         yield_now().await;
@@ -177,7 +185,7 @@
     }
 }
 
-/// Serves HTTP, or reads up to the message that names the client.
+/// Serves HTTP, or reads messages up to the one that names the client.
 async fn read_hello(
     mut read_half: OwnedReadHalf,
     mut write_half: OwnedWriteHalf,
--- a/crates/wingfold-node/src/admission.rs
+++ b/crates/wingfold-node/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of connections: the limits that all connections are checked against, and the slots that they hold.
+//! Admission of connections: the limits on their number, the slots that connections hold, and the state that
+//! all of them share.
 
 use crate::config::{Bounds, Config};
 use crate::frame::FrameBudget;
@@ -16,12 +17,12 @@
 use tokio::sync::Notify;
 use wingfold_director::interface::{ClassId, Event, ProxyId};
 
-/// What all connections share.
+/// The limits and slots of connections, and the state that the tasks of all connections share.
 #[derive(Debug)]
 pub struct Admission {
     /// Limits of the transport.
     pub bounds: Bounds,
-    /// Number of proxies in the deployment; their identifiers are below it.
+    /// Number of proxies in the deployment; the identifier of each is below this number.
     pub proxies: u32,
     /// Sends events to the engine.
     pub inbox: InboundSender,
@@ -29,15 +30,16 @@
     pub metrics: Arc<Metrics>,
     /// The encoded answer to a `PING`.
     pub pong: Bytes,
-    /// Memory for long frames.
+    /// Memory budget for long frames.
     pub budget: FrameBudget,
-    /// Limits the log lines about unidentified connections.
+    /// Rate limit of log lines about unidentified connections.
     pub unidentified_log: RateLimitedLog,
-    /// Records the time from a decision to its last written byte, where metrics are exported.
+    /// Records the time from a decision until the last byte of its update is written; `None` unless metrics
+    /// are exported.
     pub write_delays: Option<WriteDelays>,
     /// Counts the messages of each zone's collector.
     pub collector_activity: CollectorActivity,
-    /// Serves HTTP.
+    /// Routes of the HTTP requests.
     pub router: Router,
     zones: Vec<Arc<str>>,
     classes: Vec<String>,
@@ -49,14 +51,15 @@
     collectors: Mutex<BTreeMap<Arc<str>, Vec<ConnectionSender>>>,
 }
 
-/// Rank of an unidentified connection: those that have sent nothing are evicted first, then the oldest.
+/// Eviction order of unidentified connections: those that have sent nothing first, and the oldest first among
+/// equals.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct EvictionRank {
     has_sent: bool,
     connection_id: u64,
 }
 
-/// Every slot is held by an identified client.
+/// All slots are held by identified clients, so no connection can be evicted.
 #[derive(Debug, PartialEq)]
 pub struct NoFreeSlot;
 
@@ -64,7 +67,7 @@
 #[derive(Debug)]
 pub struct ConnectionSlot(Arc<Admission>);
 
-/// A slot among the connections that have not identified their client yet, released when it is dropped.
+/// A slot among the connections whose client is not identified yet, released when it is dropped.
 #[derive(Debug)]
 pub struct UnidentifiedSlot {
     admission: Arc<Admission>,
@@ -80,7 +83,7 @@
     connection_id: u64,
 }
 
-/// Locks a mutex even after a panic: each critical section here leaves its data consistent.
+/// Locks a mutex, ignoring poisoning: each critical section of this module leaves its data consistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Looks a zone of the settings up by its name.
+    /// Looks up a zone of the settings by its name.
     pub fn zone(&self, name: &str) -> Result<Arc<str>, InvalidReason> {
         let zone = self.zones.iter().find(|zone| zone.as_ref() == name);
         zone.cloned().ok_or(InvalidReason::Name)
@@ -131,8 +134,8 @@
         Ok(Event::Usage { proxy: ProxyId(report.proxy), class: ClassId(class), requests: report.requests })
     }
 
-    /// Admits a connection as an unidentified one. Where there is no free slot, an unidentified connection is evicted
-    /// for it; fails if there is none.
+    /// Admits a connection whose client is not identified yet. If no slot is free, evicts another
+    /// unidentified connection; fails if there is none to evict.
     pub fn admit(self: &Arc<Self>) -> Result<(ConnectionSlot, UnidentifiedSlot), NoFreeSlot> {
         if self.is_full() && !self.evict_unidentified() {
             return Err(NoFreeSlot);
@@ -147,13 +150,13 @@
         Ok((ConnectionSlot(self.clone()), unidentified))
     }
 
-    /// Whether the next connection needs the slot of another.
+    /// Whether the next connection can be admitted only if another one is evicted.
     pub fn is_full(&self) -> bool {
         lock(&self.unidentified).len() >= self.bounds.max_unidentified
             || self.open_connections.load(Ordering::Relaxed) >= self.bounds.max_connections
     }
 
-    /// Closes one unidentified connection, by [`EvictionRank`]; returns false if there is none.
+    /// Evicts the first unidentified connection by [`EvictionRank`]; returns false if there is none.
     pub fn evict_unidentified(&self) -> bool {
         let Some((_, evicted)) = lock(&self.unidentified).pop_first() else { return false };
         evicted.notify_one();
@@ -161,7 +164,7 @@
         true
     }
 
-    /// Registers a collector of a zone; the zone's oldest one is closed if there are too many.
+    /// Registers a collector's connection; closes the zone's oldest one if it already has the maximum number.
     pub fn register_collector(&self, zone: &Arc<str>, connection: ConnectionSender) -> CollectorSlot<'_> {
         let connection_id = connection.connection_id;
         let mut collectors = lock(&self.collectors);
@@ -182,12 +185,13 @@
 }
 
 impl UnidentifiedSlot {
-    /// The number of the connection; one accepted later has a higher one.
+    /// The number of the connection; numbers rise in the order in which connections are accepted.
     pub fn connection_id(&self) -> u64 {
         self.connection_id
     }
 
-    /// Notes that the connection has sent the first bytes of a message, so that silent ones are evicted before it.
+    /// Records that the connection has sent the first bytes of a message, so that connections which have sent
+    /// nothing are evicted before it.
     pub fn mark_as_sending(&self) {
         let mut unidentified = lock(&self.admission.unidentified);
         if let Some(evicted) = unidentified.remove(&self.rank(false)) {
@@ -195,7 +199,7 @@
         }
     }
 
-    /// Waits until the slot is needed for another connection.
+    /// Waits until the connection is evicted.
     pub async fn evicted(&self) {
         self.evicted.notified().await;
     }
--- a/crates/wingfold-node/src/client.rs
+++ b/crates/wingfold-node/src/client.rs
@@ -1,4 +1,5 @@
-//! Serves a connection whose client is identified: reads and writes side by side, so that neither waits for the other.
+//! Serves a connection whose client is identified. Reading and writing run concurrently, so that neither
+//! blocks the other.
 
 use crate::admission::Admission;
 use crate::inbox::InboundEvent;
@@ -9,37 +10,38 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::task::yield_now;
 
-/// Messages of one client that are read before its task yields: a period's load reports of a large zone. A client that
-/// sends without a pause is slowed down, and delays neither the engine nor other clients.
+/// Messages read from one client before its task yields: the load reports of one period in a large zone.
+/// Without yielding, a client that sends continuously would delay the engine and the other clients.
 pub const MESSAGES_BETWEEN_YIELDS: usize = 256;
 
 /// A connection whose client is identified.
 pub struct ClientConnection<'a> {
-    /// What all connections share.
+    /// The limits, slots and state that all connections share.
     pub admission: &'a Admission,
-    /// Reads its messages.
+    /// Reads the client's messages.
     pub reader: MessageReader,
-    /// The socket's end to write to.
+    /// The half of the connection that messages are written to.
     pub write_half: OwnedWriteHalf,
-    /// Queues messages for it, and closes it.
+    /// Queues messages for the client, and closes the connection.
     pub sender: &'a ConnectionSender,
-    /// Writes what `sender` queues.
+    /// Writes the messages that `sender` queues.
     pub writer: ConnectionWriter,
-    /// The zone that it collects from, if it is a collector: each of its messages counts as a sign of life of that zone.
+    /// The zone whose collector the client is, if it is one. Each of its messages counts as activity of that
+    /// zone's collector.
     pub collects_from: Option<&'a str>,
 }
 
 /// Serves a connection until it ends, and returns why.
 ///
-/// `translate` turns a message into an event for the engine, or says why it is invalid. An invalid message is dropped
-/// and counted; the ones around it are valid.
+/// `translate` turns a message into an event for the engine, or returns why the message is invalid. An
+/// invalid message is dropped and counted; the connection stays open.
 pub async fn serve(
     connection: ClientConnection<'_>,
     translate: impl Fn(Inbound) -> Result<InboundEvent, InvalidReason>,
 ) -> CloseReason {
     let ClientConnection { admission, reader, write_half, sender, writer, collects_from } = connection;
     tokio::select! {
-        // After a requested close, nothing more is read or written.
+        // Once a close is requested, nothing more is read or written: the branches are polled in this order.
         biased;
         () = sender.close_requested() => CloseReason::ClosedByDirector,
         reason = read_messages(admission, reader, sender, collects_from, translate) => reason,
@@ -50,7 +52,7 @@
     }
 }
 
-/// Reads messages until there can be no more, and returns why.
+/// Reads messages until the connection must end, and returns the reason.
 async fn read_messages(
     admission: &Admission,
     mut reader: MessageReader,
@@ -69,7 +71,7 @@
             Ok(message) => message,
             Err(reason) => return reason,
         };
-        // Any message shows that the collector is alive, also an invalid one.
+        // An invalid message also shows that the collector is alive.
         if let Some(zone) = collects_from {
             admission.collector_activity.record(zone);
         }
@@ -86,7 +88,7 @@
     }
 }
 
-/// Translates a message inside the span of its stage, which records why it is invalid.
+/// Translates a message within the span of the stage `admit`, which records why a message is invalid.
 fn translate_in_stage(
     message: Result<Inbound, InvalidReason>,
     translate: impl Fn(Inbound) -> Result<InboundEvent, InvalidReason>,
--- a/crates/wingfold-node/src/clock.rs
+++ b/crates/wingfold-node/src/clock.rs
@@ -1,10 +1,11 @@
-//! The time: Unix time read once at the start, and monotonic time since then. It never goes back, whatever is done to the
-//! system's clock, and a host's start that discovery gives in Unix time lies on the same scale.
+//! The director's clock: Unix time read once at the start, plus the monotonic time elapsed since then. It
+//! never goes back, even if the system's clock is changed, and its values can be compared with the Unix times
+//! that discovery gives for the starts of hosts.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use wingfold_director::interface::{Micros, Timestamp};
 
-/// When a timer wakes that lies beyond the range of the system's clock: it looks again then.
+/// Delay of a timer whose time lies beyond the range of [`Instant`]; the timer is then set again.
 const FAR_FUTURE: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// The director's clock.
@@ -27,7 +28,8 @@
         Timestamp(self.started_at_us + self.started.elapsed().as_micros() as u64)
     }
 
-    /// The instant of a time on the runtime's clock; one before the start is that of the start.
+    /// The instant of a timestamp on the runtime's clock. A timestamp before the start gives the instant of
+    /// the start.
     pub fn instant(&self, at: Timestamp) -> tokio::time::Instant {
         let after_start = Duration::from_micros(at.0.saturating_sub(self.started_at_us));
         let instant = self.started.checked_add(after_start);
--- a/crates/wingfold-node/src/clock/tests.rs
+++ b/crates/wingfold-node/src/clock/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn time_is_unix_time_and_never_goes_back() {
+fn clock_starts_at_unix_time_and_is_monotonic() {
     let clock = Clock::start();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64;
     let mut before = clock.now();
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_time_long_past_is_due_at_once() {
+fn past_timestamp_is_due_and_largest_is_in_the_future() {
     let clock = Clock::start();
     assert!(clock.instant(Timestamp(0)) <= tokio::time::Instant::now());
     assert!(clock.instant(Timestamp(u64::MAX)) > tokio::time::Instant::now());
--- a/crates/wingfold-node/src/collectd.rs
+++ b/crates/wingfold-node/src/collectd.rs
@@ -1,5 +1,6 @@
-//! Receives collectd's packets, where that is switched on: the load of hosts that no load report brings. Loads go through the
-//! inbox like any report; packets of wrong senders are counted and dropped.
+//! Receives collectd packets, if enabled: they carry the load of hosts for which no load report does. Loads
+//! go through the inbox like load reports; packets that are malformed or fail authentication are counted and
+//! dropped.
 
 use crate::clock::Clock;
 use crate::inbox::{InboundEvent, InboundSender};
@@ -10,12 +11,12 @@
 use wingfold_director::interface::{Event, HealthCheckOutcome, HostId};
 use wingfold_metrics::collectd::{LoadReceiver, PacketRejection, ReportedLoad};
 
-/// Bytes of a packet: UDP has no longer ones.
+/// Size of the receive buffer: the largest UDP datagram.
 const MAX_PACKET_BYTES: usize = 65_535;
-/// Packets received in a row before other tasks get a turn.
+/// Packets received before the task yields to other tasks.
 const PACKETS_BETWEEN_YIELDS: u32 = 64;
 
-/// Receives collectd's packets.
+/// Receives collectd packets and passes the loads in them to the engine.
 pub struct CollectdReceiver {
     socket: UdpSocket,
     receiver: LoadReceiver,
@@ -25,14 +26,14 @@
 }
 
 impl CollectdReceiver {
-    /// Receives from a bound socket, by its settings.
+    /// Creates a receiver for a bound socket with its settings.
     pub fn new(collectd: CollectdSocket, clock: Clock, inbox: InboundSender, metrics: Arc<Metrics>) -> Self {
         let settings = collectd.settings;
         let receiver = LoadReceiver::new(settings.users, settings.requires_security, settings.hosts);
         CollectdReceiver { socket: collectd.socket, receiver, clock, inbox, metrics }
     }
 
-    /// Receives packets; never returns, and ends when it is dropped.
+    /// Receives packets; never returns, and stops when the future is dropped.
     pub async fn run(mut self) {
         let mut buffer = vec![0; MAX_PACKET_BYTES];
         let mut received: u32 = 0;
@@ -55,7 +56,8 @@
         }
     }
 
-    /// Delivers loads like the outcomes of health checks: no zone has reached the host, only its load is known.
+    /// Delivers loads as outcomes of health checks: a packet tells the load of a host, and does not
+    /// show that proxies can reach it.
     fn deliver(&self, loads: Vec<ReportedLoad>) {
         self.metrics.collectd_in_total.increment();
         for ReportedLoad { host, load } in loads {
--- a/crates/wingfold-node/src/config.rs
+++ b/crates/wingfold-node/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration: `GW_*` and the file `GW_CONFIG` are read, checked and given defaults here and nowhere else. A fault is
-//! reported by the key it is in.
+//! The configuration. Only this module reads the variables `GW_*` and the file that `GW_CONFIG` names, checks
+//! their values and fills in defaults. Each error names the key or variable that is wrong.
 
 mod bounds;
 
@@ -15,49 +15,50 @@
 use crate::list::EndpointListResponse;
 use crate::log;
 
-/// Most classes that the settings may have.
+/// Largest number of classes that the settings may have.
 const MAX_CLASSES: usize = 64;
 
-/// Everything a director is configured with at its start, checked.
+/// The checked configuration of a director, except for its local settings.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The director's name, the same after a restart.
+    /// The director's name, which stays the same across restarts.
     pub name: String,
-    /// Where proxies and collectors connect.
+    /// Address that proxies, collectors and HTTP clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of random numbers; new with each start.
+    /// Seed of random numbers; each start gets a new one.
     pub seed: u64,
-    /// The other directors; `None` where they have no way to reach each other.
+    /// Addresses of the directors; `None` if the directors do not exchange messages.
     pub peers: Option<PeerAddresses>,
-    /// The endpoint list as it was cached at the last run.
+    /// The endpoint list that the previous run cached.
     pub cached_list: Option<EndpointListResponse>,
     /// The settings of the decision module.
     pub settings: Settings,
-    /// Names that messages refer to.
+    /// Names of classes and load fields, to which messages refer.
     pub names: ReportNames,
     /// Bounds of the transport.
     pub bounds: Bounds,
 }
 
-/// Addresses of the datagrams between directors.
+/// Addresses of the datagrams that directors exchange.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerAddresses {
-    /// Where they arrive.
+    /// Address on which this director receives datagrams.
     pub listen: SocketAddr,
-    /// One address for each director, by number.
+    /// The address of each director, at the director's index.
     pub by_index: Vec<SocketAddr>,
-    /// Reaches every one of them.
+    /// The address that reaches all directors.
     pub broadcast: SocketAddr,
 }
 
-/// Which takes precedence where a variable and a key of the file say the same thing.
+/// Which value is used if both a variable and a key of the file give it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Precedence {
-    /// The variable: at the start.
+    /// That of the variable: at the start.
     Environment,
-    /// The file's key: once the file was replaced, while the variables are those of the start.
+    /// That of the file: at a reload, when the file may be new and the variables are still those of the
+    /// start.
     File,
 }
 
@@ -75,14 +76,14 @@
     /// The file cannot be read at all.
     #[error("key `GW_CONFIG`: the file `{path}` cannot be read: {problem}")]
     File {
-        /// Where it should be.
+        /// The path of the file.
         path: String,
-        /// Why not.
+        /// Why reading failed.
         problem: std::io::Error,
     },
 }
 
-/// The file as it stands.
+/// The configuration file as written, before its values are checked.
 #[derive(Debug, Deserialize)]
 struct ConfigFile {
     name: Option<String>,
@@ -99,9 +100,9 @@
     settings: PlatformSettings,
 }
 
-/// A value, and where it comes from.
+/// A value with its source, which error messages name.
 struct Sourced {
-    /// The file's key, or the variable.
+    /// The key of the file, or the name of the variable.
     source: &'static str,
     value: String,
 }
@@ -112,7 +113,7 @@
     }
 }
 
-/// Reads values that a variable or a key of the file may hold.
+/// Reads values that either a variable or a key of the file may give.
 struct Sources<Var> {
     first: Precedence,
     variable: Var,
@@ -136,13 +137,14 @@
 }
 
 impl Config {
-    /// Reads the process's environment and the file that it names by its path, as both stand now; `file` takes precedence
-    /// over the one that `GW_CONFIG` names.
+    /// Reads the environment of the process and the configuration file, which is `file` or else the one that
+    /// `GW_CONFIG` names.
     pub fn from_env(file: Option<&Path>, first: Precedence) -> Result<Config, ConfigError> {
         let path = match file {
             Some(path) => path.display().to_string(),
-            None => std::env::var("GW_CONFIG")
-                .map_err(|_| key_error("GW_CONFIG", "not set: it names the file"))?,
+            None => std::env::var("GW_CONFIG").map_err(|_| {
+                key_error("GW_CONFIG", "not set; the path of the configuration file is expected")
+            })?,
         };
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
@@ -151,7 +153,7 @@
         Config::read(&text, first, |key| std::env::var(key).ok())
     }
 
-    /// Reads the file's text; `variable` gives the value of a variable.
+    /// Reads the text of a configuration file; `variable` looks up the value of an environment variable.
     pub fn read(
         text: &str,
         first: Precedence,
@@ -177,8 +179,8 @@
         Ok(Config { name, listen, discovery, seed, peers, cached_list: file.known, settings, names, bounds })
     }
 
-    /// The keys that differ in `new` and take effect at a restart only. The seed and the cached list are for the start
-    /// alone.
+    /// The keys whose values differ in `new` and take effect only at a restart. The seed and the cached list
+    /// are not among them: they are used only at a start.
     pub fn changes_that_need_restart(&self, new: &Config) -> Vec<&'static str> {
         let settings = self.settings != new.settings || self.names != new.names;
         let differs = [
@@ -191,7 +193,7 @@
         differs.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
     }
 
-    /// This configuration with all of `new` that takes effect at once.
+    /// This configuration with those values of `new` that take effect without a restart.
     pub fn with_reloaded(&self, new: &Config) -> Config {
         Config { discovery: new.discovery, cached_list: None, ..self.clone() }
     }
@@ -222,7 +224,7 @@
         .map_err(|_| key_error("seed", &format!("`{seed}` is not a number of up to 16 hexadecimal digits")))
 }
 
-/// Checks what types alone do not say of the settings.
+/// Checks the constraints on the settings that their types do not express.
 fn check_settings(settings: &Settings, names: &ReportNames) -> Result<(), ConfigError> {
     let fault = |key: &str, problem: &str| Err(key_error(&format!("settings.{key}"), problem));
     if settings.classes.is_empty() || settings.classes.len() > MAX_CLASSES {
--- a/crates/wingfold-node/src/config/bounds.rs
+++ b/crates/wingfold-node/src/config/bounds.rs
@@ -1,4 +1,5 @@
-//! Bounds of the transport, each derived from the settings or the limits where they speak of it.
+//! Bounds of the transport, derived from the settings and from the limits of the process where these
+//! determine them.
 
 use super::{key_error, ConfigError};
 use serde::Deserialize;
@@ -6,97 +7,105 @@
 use wingfold_director::interface::{Micros, Settings};
 use wingfold_settings::TransportSettings;
 
-/// Bytes that one host takes, with its statistics and table entries.
+/// Memory that one host takes, with its statistics and table entries.
 const BYTES_PER_HOST: usize = 3 << 10;
-/// Hosts that are kept in any case.
+/// Least value of [`Bounds::max_hosts`].
 const MIN_HOSTS: usize = 1024;
-/// Memory that the bounds assume at least, in MiB.
+/// Least memory that bounds are derived from, in MiB, even if the limit is lower.
 const MIN_MEMORY_MB: usize = 8;
-/// Connections of one zone's collector.
+/// Value of [`Bounds::max_collectors_per_zone`].
 const COLLECTORS_PER_ZONE: usize = 4;
-/// Descriptors that are always open: the log, the listener, datagrams, the runtime's own, two calls to discovery and those
-/// they replace.
+/// File descriptors that are always open: the log, the listener, the socket for datagrams, those of the
+/// runtime, two calls to discovery, and the abandoned calls that these replace.
 const ALWAYS_OPEN_DESCRIPTORS: usize = 24;
-/// Connections in any case.
+/// Least number of connections, in all and of unidentified ones.
 const MIN_CONNECTIONS: usize = 16;
-/// Time in which discovery must be asked again where the settings name none.
+/// Longest time between two calls to discovery if the settings give none.
 const DEFAULT_POLL_DEADLINE: Duration = Duration::from_secs(10);
 /// Time from accepting a connection until it has named its client.
 const IDENTIFICATION_TIMEOUT: Duration = Duration::from_secs(1);
-/// Report periods without a message after which a client has ended.
+/// Report periods without a message after which a client is taken to have ended.
 const IDLE_TIMEOUT_PERIODS: u32 = 300;
-/// Least time without a message after which a client has ended.
+/// Least time without a message after which a client is taken to have ended.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(600);
-/// Bytes that the protocol lets a client leave unread.
+/// Bytes that the protocol allows a client to leave unread.
 const MAX_UNREAD_BYTES: usize = 128 << 10;
-/// Seconds of reports that may wait for the decision module.
+/// Length of the report queue, in seconds of reports at the highest rate of the settings.
 const REPORT_QUEUE_S: f64 = 10.0;
-/// Least number of reports that may wait.
+/// Least number of reports that may be queued.
 const MIN_QUEUED_REPORTS: f64 = 1e3;
-/// Largest number of reports that may wait.
+/// Largest number of reports that may be queued.
 const MAX_QUEUED_REPORTS: f64 = 1e5;
-/// Time for discovery's response beyond what the call itself waits, at most.
+/// Largest value of [`Bounds::list_response_time`].
 const MAX_LIST_RESPONSE_TIME: Duration = Duration::from_secs(2);
-/// Time for a connection to a host where the settings name none.
+/// Time for connecting to a host if the settings give none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Bounds of the transport.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// Connections at the listener: the descriptors less those for health checks and for what is always open.
+    /// Connections at the listener: the limit of descriptors less those for health checks and those that are
+    /// always open.
     pub max_connections: usize,
-    /// Proxies and collectors that may be here at once, by the settings.
+    /// Proxies and collectors that may be connected at once, by the settings.
     pub max_clients: usize,
-    /// Connections that have not named their client: what the clients leave of the above, no more than a quarter of it, and
-    /// a few in any case: a proxy is an unidentified connection until its first message is read.
+    /// Connections whose client is not identified yet: `max_connections` less `max_clients`, at most a
+    /// quarter of `max_connections`, and at least a few, because each proxy is an unidentified connection
+    /// until its first message is read.
     pub max_unidentified: usize,
-    /// Time from accepting a connection until it has named its client: the protocol lets one be closed that has not joined
-    /// within a second.
+    /// Time from accepting a connection until its first message names its client. The protocol allows a
+    /// connection to be closed whose client has not joined within a second.
     pub identification_timeout: Duration,
-    /// Connections of one zone's collector: it has one, and a broken one may not be seen to end at once.
+    /// Connections of one zone's collector. A collector has one connection, but the end of a broken one may
+    /// be noticed only after the collector has connected again.
     pub max_collectors_per_zone: usize,
-    /// A named connection on which nothing came for so long has ended silently. A proxy sends its usage each period, but only
-    /// where there was some, and one that is cut off for being idle must connect and be assigned again: this is hundreds
-    /// of periods. Meanwhile a silent one costs a descriptor that is reserved for it.
+    /// Time without a message after which the connection of an identified client is closed as dead. A proxy
+    /// reports its usage each period, but only if there was some, and a proxy whose connection is closed for
+    /// being idle must connect and be assigned again; so this is hundreds of periods. Until then a dead
+    /// connection costs only a descriptor, which is reserved for its client anyway.
     pub idle_timeout: Duration,
-    /// Bytes that may wait for one reader: as much as the protocol lets a client leave unread.
+    /// Bytes that may be queued for one client: as many as the protocol allows a client to leave unread.
     pub max_unread_bytes: usize,
-    /// Bytes of messages that are not short, on all connections together: a quarter of the memory.
+    /// Memory for long messages on all connections together (see `frame`): a quarter of the memory.
     pub max_long_message_bytes: usize,
-    /// Load reports and usage that may wait for the decision module: what the settings let arrive in ten seconds.
+    /// Load reports and usage reports that may be queued for the decision module: as many as may arrive in
+    /// ten seconds by the settings.
     pub max_queued_reports: usize,
-    /// How long a call of the watch waits at discovery: half of the time in which it must be asked again, so that a call
-    /// which falls silent is found out inside that time.
+    /// How long a watch call waits at discovery: half of the longest time between two calls, so that a call
+    /// which gets no response is detected within that time.
     pub watch_wait: Duration,
-    /// Time for discovery's response beyond what the call itself waits.
+    /// Time for discovery's response, beyond the time that the call itself waits at discovery.
     pub list_response_time: Duration,
-    /// Bytes of one endpoint list: an eighth of the memory.
+    /// Size of one endpoint list: an eighth of the memory.
     pub max_list_bytes: usize,
-    /// Hosts whose addresses and statistics are kept: what an eighth of the memory holds, and 1,024 in any case.
+    /// Hosts whose addresses and statistics are kept: as many as an eighth of the memory holds, and at least
+    /// 1,024.
     pub max_hosts: usize,
-    /// Time for a connection to a host for a health check: as long as proxies wait for one. One to discovery may take as
-    /// long as its response: a slow way there must not make the director blind.
+    /// Time for connecting to a host for a health check: the connect timeout of proxies. Connections to
+    /// discovery have the whole response time instead: over a slow network path the director must still get
+    /// endpoint lists.
     pub health_check_connect_timeout: Duration,
-    /// Time for a health check: a load report is stale once requests of the tightest class would have been given up on.
+    /// Time for a health check: the tightest latency objective of all classes. A load report that takes
+    /// longer is stale: requests of that class would have been given up meanwhile.
     pub health_check_timeout: Duration,
-    /// Health checks under way at once: an eighth of the descriptors.
+    /// Health checks that may run at once: an eighth of the descriptors.
     pub max_health_checks: usize,
-    /// The whole memory, in bytes.
+    /// The memory limit of the process, in bytes.
     pub memory_bytes: usize,
 }
 
-/// ProcessLimits of the process, as the file gives them.
+/// Limits of the process, as the configuration file gives them.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
 pub(super) struct ProcessLimits {
-    /// Memory in MiB.
+    /// Limit of memory, in MiB.
     memory_mb: usize,
-    /// Descriptors.
+    /// Limit of file descriptors.
     sockets: usize,
 }
 
 impl Default for ProcessLimits {
-    /// The least that deployments give.
+    /// The lowest limits that deployments set.
     fn default() -> Self {
         ProcessLimits { memory_mb: 192, sockets: 1024 }
     }
@@ -120,7 +129,7 @@
     ) -> Bounds {
         let clients = settings.proxies as usize + COLLECTORS_PER_ZONE * settings.zones.len();
         let max_health_checks = (limits.sockets / 8).max(1);
-        // With too few for all proxies it serves those that come first.
+        // If there are too few descriptors for all proxies, the director serves those that connect first.
         let connections =
             limits.sockets.saturating_sub(max_health_checks + ALWAYS_OPEN_DESCRIPTORS).max(MIN_CONNECTIONS);
         let poll_deadline = poll_deadline(settings);
@@ -146,22 +155,26 @@
         }
     }
 
-    /// The same bounds where something else takes so many bytes and descriptors of the limits.
+    /// The bounds that remain once the given memory and descriptors are reserved for the capture and the
+    /// sinks. Fails if they take more than half of the memory.
     pub fn after_reserving(&self, bytes: usize, descriptors: usize) -> Result<Bounds, ConfigError> {
         if bytes > self.memory_bytes / 2 {
             let needed_mb = bytes >> 20;
             let memory_mb = self.memory_bytes >> 20;
             return Err(key_error(
                 "capture",
-                &format!("its memory and queue take {needed_mb} MB of {memory_mb}; half at most may go"),
+                &format!(
+                    "the capture and the sinks need {needed_mb} of {memory_mb} MB of memory; \
+                     at most half is allowed"
+                ),
             ));
         }
-        let ratio_left = 1.0 - bytes as f64 / self.memory_bytes.max(1) as f64;
+        let remaining_ratio = 1.0 - bytes as f64 / self.memory_bytes.max(1) as f64;
         let min_connections = self.max_unidentified.min(self.max_connections);
         Ok(Bounds {
             max_connections: self.max_connections.saturating_sub(descriptors).max(min_connections),
-            max_long_message_bytes: (self.max_long_message_bytes as f64 * ratio_left) as usize,
-            max_list_bytes: (self.max_list_bytes as f64 * ratio_left) as usize,
+            max_long_message_bytes: (self.max_long_message_bytes as f64 * remaining_ratio) as usize,
+            max_list_bytes: (self.max_list_bytes as f64 * remaining_ratio) as usize,
             ..self.clone()
         })
     }
@@ -171,7 +184,7 @@
     Duration::from_micros(time.0)
 }
 
-/// The time in which discovery must be asked again.
+/// The longest time between two calls to discovery.
 fn poll_deadline(settings: &Settings) -> Duration {
     if settings.poll_within.0 == 0 {
         DEFAULT_POLL_DEADLINE
--- a/crates/wingfold-node/src/error.rs
+++ b/crates/wingfold-node/src/error.rs
@@ -1,11 +1,11 @@
-//! Why a director ended without being asked to.
+//! Errors that end a director.
 
 use crate::config::ConfigError;
 use std::io;
 use std::net::SocketAddr;
 use tokio::task::JoinError;
 
-/// Why a director ended without being asked to.
+/// Why a director ended without a request to shut down.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// An address of the configuration cannot be bound.
@@ -15,17 +15,17 @@
         key: &'static str,
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// Why binding failed.
         problem: io::Error,
     },
     /// A task that must run until the end of the process has ended.
-    #[error("a task that must run for good has ended: {0}")]
+    #[error("a task that must run until shutdown has ended: {0}")]
     TaskEnded(TaskEnd),
     /// The configuration is wrong.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The runtime cannot start.
-    #[error("the runtime cannot start: {0}")]
+    /// The runtime, the signal handlers or the capture cannot be started.
+    #[error("startup failed: {0}")]
     Startup(#[from] io::Error),
 }
 
@@ -33,12 +33,12 @@
 #[derive(Debug, thiserror::Error)]
 pub enum TaskEnd {
     /// The thread that reads the configuration panicked.
-    #[error("reading the configuration")]
+    #[error("the thread that reads the configuration panicked")]
     ReadingConfiguration,
     /// The task panicked or was cancelled.
     #[error(transparent)]
     Failed(#[from] JoinError),
     /// The task returned.
-    #[error("no reason given")]
+    #[error("it returned without an error")]
     Returned,
 }
--- a/crates/wingfold-node/src/frame.rs
+++ b/crates/wingfold-node/src/frame.rs
@@ -1,8 +1,9 @@
-//! Frames: a length of four bytes, most significant first, and that many bytes of one message.
+//! Frames: a length of four bytes in network byte order, followed by one message of that length.
 //!
-//! A message may hold 1 MiB, and hundreds of connections half-way through one would exceed the director's memory. So
-//! a connection whose frames are longer than [`SMALL_FRAME_BYTES`] takes permits from a budget that all connections
-//! share; once that is used up, the connection that needs more ends.
+//! A message may be up to 1 MiB long, and partly received messages on hundreds of connections would exceed
+//! the director's memory. So a connection with a frame longer than [`SMALL_FRAME_BYTES`] takes permits from a
+//! budget that all connections share. When the budget is used up, a connection that needs more permits is
+//! closed.
 
 use bytes::BytesMut;
 use std::io;
@@ -10,14 +11,14 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio_util::codec::{Decoder, LengthDelimitedCodec};
 
-/// Length of the header that holds a frame's length.
+/// Size of a frame's header, which holds the length of the message.
 pub const LENGTH_BYTES: usize = 4;
-/// The longest message that the protocol allows.
+/// Length of the longest message that the protocol allows.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
-/// Frames up to this length need no budget: the protocol's messages to a director are far shorter.
+/// Frames up to this length need no permits. Valid messages to a director are far shorter.
 pub const SMALL_FRAME_BYTES: usize = 4 << 10;
 
-/// The codec of outbound frames, which also splits inbound ones.
+/// The codec of frames in both directions; [`FrameDecoder`] adds the memory budget to it.
 pub fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .length_field_length(LENGTH_BYTES)
@@ -30,7 +31,7 @@
 pub struct FrameBudget(Arc<Semaphore>);
 
 impl FrameBudget {
-    /// Creates a budget of so many bytes.
+    /// Creates a budget of `bytes` bytes.
     pub fn new(bytes: usize) -> Self {
         FrameBudget(Arc::new(Semaphore::new(bytes.min(Semaphore::MAX_PERMITS))))
     }
@@ -42,7 +43,7 @@
     codec: LengthDelimitedCodec,
     budget: FrameBudget,
     is_at_header: bool,
-    /// Held as long as the connection, because the read buffer never shrinks.
+    /// Held until the connection ends, because its read buffer never shrinks.
     permit: Option<OwnedSemaphorePermit>,
 }
 
@@ -52,17 +53,17 @@
         FrameDecoder { codec: codec(), budget, is_at_header: true, permit: None }
     }
 
-    /// Reserves the memory for a frame of `length` bytes beyond what the connection holds.
+    /// Raises the reservation of the connection to `length` bytes if it is lower.
     fn reserve(&mut self, length: usize) -> io::Result<()> {
         let reserved = self.permit.as_ref().map_or(SMALL_FRAME_BYTES, OwnedSemaphorePermit::num_permits);
-        // The codec rejects a frame over the limit, with an error of its own.
+        // The codec returns its own error for a frame that exceeds the limit.
         if length <= reserved || length > MAX_FRAME_BYTES {
             return Ok(());
         }
         self.permit = None;
         let permit = self.budget.0.clone().try_acquire_many_owned(length as u32);
         let out_of_memory =
-            |_| io::Error::new(io::ErrorKind::OutOfMemory, "no memory left for long messages");
+            |_| io::Error::new(io::ErrorKind::OutOfMemory, "the memory budget for long messages is used up");
         self.permit = Some(permit.map_err(out_of_memory)?);
         Ok(())
     }
@@ -87,8 +88,8 @@
     }
 }
 
-/// Whether the first bytes of a connection begin an HTTP request. Read as a length, each of these would be
-/// far more than [`MAX_FRAME_BYTES`], so no frame can be taken for a request.
+/// Whether the first bytes of a connection begin an HTTP request. Read as a length, each of these byte
+/// strings exceeds [`MAX_FRAME_BYTES`], so no valid frame is taken for a request.
 pub fn is_http(first_bytes: &[u8; LENGTH_BYTES]) -> bool {
     matches!(first_bytes, b"GET " | b"HEAD" | b"POST" | b"PUT " | b"DELE" | b"OPTI" | b"PATC")
 }
--- a/crates/wingfold-node/src/http.rs
+++ b/crates/wingfold-node/src/http.rs
@@ -1,5 +1,5 @@
-//! Outgoing HTTP/1.1 requests, through hyper-util's client. Every request has a timeout and a bound on the size of its
-//! response: the other end may go silent, or send more than it should.
+//! Outgoing HTTP/1.1 requests, sent with hyper-util's client. Each request has a timeout and a limit on the
+//! size of the response body, because the server may stop responding or send an oversized body.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -13,16 +13,16 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Why a request has no usable response.
+/// Why a request has no usable response. The stage `relay` records these texts, which `/figures` shows.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The address does not make a URI.
+    /// Address and path do not form a valid URI.
     #[error("not an address: {0}")]
     Address(#[from] InvalidUri),
     /// The connection could not be opened, or broke before the head of the response.
     #[error("no answer: {}", root_cause(.0))]
     Broken(#[from] hyper_util::client::legacy::Error),
-    /// The body broke off, or exceeded its bound.
+    /// The body ended early or exceeded the size limit.
     #[error("answer broken off: {0}")]
     Body(Box<dyn Error + Send + Sync>),
     /// The timeout expired.
@@ -30,7 +30,8 @@
     Timeout,
 }
 
-/// The root cause of an error: "connection refused" says more than "client error".
+/// The innermost error of a chain of sources: "connection refused" says more than the "client error" around
+/// it.
 fn root_cause(error: &dyn Error) -> String {
     let mut inner = error;
     while let Some(source) = inner.source() {
@@ -56,8 +57,8 @@
 }
 
 impl HttpClient {
-    /// A client that gives up connecting after `connect_timeout`, closes connections that were idle for `idle_timeout`
-    /// and accepts response bodies of up to `max_body_bytes`.
+    /// Creates a client that stops connecting after `connect_timeout`, closes connections that have been idle
+    /// for `idle_timeout`, and accepts response bodies of up to `max_body_bytes`.
     pub fn new(connect_timeout: Duration, idle_timeout: Duration, max_body_bytes: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(connect_timeout));
@@ -69,7 +70,7 @@
         HttpClient { client: builder.build(connector), max_body_bytes }
     }
 
-    /// Sends `GET path` to `address` and reads the whole response within `within`.
+    /// Sends `GET path` to `address` and reads the whole response, all within the time `within`.
     pub async fn get(&self, address: &str, path: &str, within: Duration) -> Result<HttpResponse, CallError> {
         self.get_with_progress(address, path, within, &AtomicBool::new(false)).await
     }
--- a/crates/wingfold-node/src/incoming.rs
+++ b/crates/wingfold-node/src/incoming.rs
@@ -1,4 +1,4 @@
-//! Reads the messages of one connection, each decoded once, and says why there are no more.
+//! Reads and decodes the messages of one connection, and tells why reading ended.
 
 use crate::frame::{self, FrameBudget, FrameDecoder};
 use crate::message::{self, DecodeError, Inbound, InvalidReason};
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 use tokio_util::codec::FramedRead;
 
-/// The bytes of a connection: those already read to distinguish frames from HTTP, then the rest.
+/// The bytes of a connection: first those already read to distinguish frames from HTTP, then the rest.
 type ConnectionBytes = Chain<Cursor<[u8; frame::LENGTH_BYTES]>, OwnedReadHalf>;
 
 /// Why a connection ended.
@@ -21,29 +21,29 @@
     /// The client closed it.
     #[error("closed by the client")]
     ClosedByClient,
-    /// It broke, or a frame was too long.
+    /// The connection failed, a frame was too long, or the memory budget for long messages was used up.
     #[error("connection error: {0}")]
     ConnectionError(#[from] std::io::Error),
-    /// Bytes could not be decoded, so nothing after them can be relied on.
+    /// A frame did not hold a JSON object, so the frames after it cannot be relied on either.
     #[error("unreadable message: {0}")]
     Unreadable(String),
-    /// An unidentified connection sent an invalid message. Those of identified clients are dropped instead, and the
-    /// connection goes on.
+    /// The client was not identified yet and sent an invalid message, or its first message named a proxy or
+    /// zone that does not exist. Later invalid messages are dropped, and the connection stays open.
     #[error("invalid message: {0}")]
     InvalidMessage(#[from] InvalidReason),
-    /// The client sent nothing for too long.
+    /// The client did not identify itself in time, or sent no message for the idle timeout.
     #[error("idle timeout")]
     IdleTimeout,
-    /// The director closed it: a newer connection replaced it or needed its slot.
+    /// The director closed the connection: a newer connection replaced it or needed its slot.
     #[error("closed by the director")]
     ClosedByDirector,
-    /// The director closed it, because the client left too much unread.
+    /// The director closed the connection because the client left too many bytes unread.
     #[error("slow reader")]
     SlowReader,
 }
 
 impl CloseReason {
-    /// Whether the client sent what the protocol does not allow.
+    /// Whether the connection ended because the client violated the protocol.
     pub fn is_protocol_error(&self) -> bool {
         match self {
             CloseReason::Unreadable(_) | CloseReason::InvalidMessage(_) => true,
@@ -59,30 +59,31 @@
 #[derive(Debug)]
 pub struct MessageReader {
     frames: FramedRead<ConnectionBytes, FrameDecoder>,
-    max_silence: Duration,
+    idle_timeout: Duration,
     metrics: Arc<Metrics>,
 }
 
 impl MessageReader {
-    /// Creates the reader of a connection whose first bytes were read already; at most `max_silence` may pass between
-    /// two messages.
+    /// Creates the reader of a connection whose first bytes have already been read. At most `idle_timeout`
+    /// may pass between two messages.
     pub fn new(
         first_bytes: [u8; frame::LENGTH_BYTES],
         rest: OwnedReadHalf,
         budget: FrameBudget,
-        max_silence: Duration,
+        idle_timeout: Duration,
         metrics: Arc<Metrics>,
     ) -> Self {
         let bytes = Cursor::new(first_bytes).chain(rest);
         let frames = FramedRead::new(bytes, FrameDecoder::new(budget));
-        MessageReader { frames, max_silence, metrics }
+        MessageReader { frames, idle_timeout, metrics }
     }
 
-    /// Reads the next message, or says what is wrong with it; fails once there can be no more.
+    /// Reads the next message; the inner error says why a message is invalid, the outer one why the
+    /// connection ended.
     ///
-    /// Cancel safe: a frame that is read in part stays in the buffer.
+    /// Cancel safe: a partly read frame stays in the buffer.
     pub async fn next(&mut self) -> Result<Result<Inbound, InvalidReason>, CloseReason> {
-        let frame = timeout(self.max_silence, self.frames.next()).await;
+        let frame = timeout(self.idle_timeout, self.frames.next()).await;
         let frame = frame.map_err(|_| CloseReason::IdleTimeout)?;
         let bytes = frame.ok_or(CloseReason::ClosedByClient)??;
         self.metrics.messages_in_total.increment();
--- a/crates/wingfold-node/src/lib.rs
+++ b/crates/wingfold-node/src/lib.rs
@@ -1,6 +1,7 @@
-//! A wingfold director as a service on sockets, made to be embedded: [`Config`] is its configuration, [`run`] serves until
-//! the process is asked to end, [`serve`] until its caller says so. All decisions are those of `wingfold-director`; here
-//! messages are taken in, admitted, routed, sent, relayed and booked (docs/architecture.md maps these stages to modules).
+//! A wingfold director as a network service that programs can embed. [`Config`] is its configuration; [`run`]
+//! serves until SIGTERM or SIGINT, [`serve`] until the future that its caller passes is ready. All decisions
+//! are made by `wingfold-director`. This crate takes messages in, admits, routes, sends, relays and books
+//! them (docs/architecture.md maps these stages to modules).
 #![forbid(unsafe_code)]
 
 mod accept;
@@ -46,7 +47,7 @@
 
 use std::future::Future;
 
-/// Waits for a future where there is one; forever where there is none.
+/// Awaits the future; without one, waits forever. Disables a branch of `select!` whose future is absent.
 async fn or_never<T>(future: Option<impl Future<Output = T>>) -> T {
     match future {
         Some(future) => future.await,
--- a/crates/wingfold-node/src/log.rs
+++ b/crates/wingfold-node/src/log.rs
@@ -1,5 +1,5 @@
-//! The log: one line an event, to standard error, through a bounded queue that drops lines when it is full. A log that nobody
-//! reads can't hold the director up.
+//! The log: one line per event, written to standard error through a bounded queue that drops lines when it is
+//! full. So a blocked standard error does not block the director.
 
 use crate::stage_runs::{self, StageRuns};
 use std::sync::{Mutex, PoisonError};
@@ -10,23 +10,23 @@
 use tracing_subscriber::prelude::*;
 use wingfold_settings::local::{LogFormat, LogSettings};
 
-/// Lines that may wait to be written: at a few hundred bytes each, a small part of the memory.
+/// Lines that may be queued: at a few hundred bytes each, they take a small part of the memory.
 const MAX_WAITING_LINES: usize = 4096;
-/// Lines of a kind that anybody can cause, in each [`RATE_LIMIT_WINDOW`].
+/// Lines that a [`RateLimitedLog`] allows in each [`RATE_LIMIT_WINDOW`].
 const MAX_LINES_PER_WINDOW: u32 = 20;
-/// The time over which such lines are counted.
+/// The time over which a [`RateLimitedLog`] counts lines.
 const RATE_LIMIT_WINDOW: Duration = Duration::from_secs(10);
-/// Characters of a text from outside that one line may hold.
+/// Characters to which [`sanitize`] shortens a text.
 const MAX_TEXT_CHARS: usize = 200;
 
-/// Starts the log; it is written out when the guard that this returns is dropped. Panics go the same way: written straight
-/// to standard error, one could wait for a reader forever.
+/// Starts the log; dropping the returned guard flushes it. Panic messages are logged as well: written
+/// directly to standard error, a message could block forever if nothing reads it.
 pub fn start(log: &LogSettings, stage_runs: Option<StageRuns>) -> WorkerGuard {
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_WAITING_LINES);
     let (writer, guard) = builder.finish(std::io::stderr());
     let level: LevelFilter = log.level.parse().unwrap_or(LevelFilter::INFO);
     let lines = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(writer);
-    // The spans of stages are for the stage_runs alone: lines need not carry them.
+    // Spans of stages are only observed by `StageRuns`; they are not added to log lines.
     let is_shown =
         filter_fn(move |metadata| *metadata.level() <= level && metadata.target() != stage_runs::SPAN_TARGET);
     let lines = match log.format {
@@ -39,7 +39,8 @@
     guard
 }
 
-/// Lets a kind of line through that anybody can cause, a few times in each span, and counts those it suppresses.
+/// Rate limit for log lines that any peer can cause: allows a few lines in each window and counts the
+/// suppressed ones.
 #[derive(Debug, Default)]
 pub struct RateLimitedLog(Mutex<WindowCounts>);
 
@@ -51,7 +52,8 @@
 }
 
 impl RateLimitedLog {
-    /// Whether the line is to be written, and if so, how many before it were suppressed.
+    /// Returns `None` if the line must be suppressed, and otherwise how many were suppressed since the last
+    /// allowed one.
     pub fn allow_line(&self) -> Option<u64> {
         self.allow_line_at(Instant::now())
     }
@@ -71,7 +73,8 @@
     }
 }
 
-/// A text from outside as it may stand in a line: not too long, and nothing in it that ends a line.
+/// Makes a text from another process safe for a log line: shortens it and replaces control characters, such
+/// as line breaks, with spaces.
 pub fn sanitize(text: &str) -> String {
     let shown = text.chars().take(MAX_TEXT_CHARS).map(|char| if char.is_control() { ' ' } else { char });
     let mut shown: String = shown.collect();
--- a/crates/wingfold-node/src/log/tests.rs
+++ b/crates/wingfold-node/src/log/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn lines_that_anybody_can_cause_are_bounded_and_those_left_out_are_told() {
+fn rate_limited_log_bounds_lines_and_counts_suppressed_ones() {
     let (limited_log, start) = (RateLimitedLog::default(), Instant::now());
     let after = |secs: u64| limited_log.allow_line_at(start + Duration::from_secs(secs));
     let written = (0..1000).filter(|_| after(1).is_some()).count();
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_text_from_outside_is_short_and_of_one_line() {
+fn sanitized_text_is_short_and_on_one_line() {
     assert_eq!(sanitize("a\nb\u{1b}c"), "a b c");
     assert_eq!(sanitize(&"x".repeat(200)), "x".repeat(200));
     assert_eq!(sanitize(&"ü".repeat(1 << 20)), format!("{}...", "ü".repeat(200)));
