--- a/crates/wingfold-node/src/client.rs
+++ b/crates/wingfold-node/src/client.rs
@@ -1,4 +1,5 @@
-//! Serves a connection whose client is identified: reads and writes side by side, so that neither waits for the other.
+//! Serves a connection whose client is identified. Reading and writing run concurrently, so that neither
+//! blocks the other.
 
 use crate::admission::Admission;
 use crate::inbox::InboundEvent;
@@ -9,48 +10,49 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::task::yield_now;
 
-/// Messages of one client that are read before its task yields: a period's load reports of a large zone. A client that
-/// sends without a pause is slowed down, and delays neither the engine nor other clients.
-pub const MESSAGES_PER_TURN: usize = 256;
+/// Messages read from one client before its task yields: the load reports of one period in a large zone.
+/// Without yielding, a client that sends continuously would delay the engine and the other clients.
+pub const MESSAGES_BETWEEN_YIELDS: usize = 256;
 
 /// A connection whose client is identified.
 pub struct ClientConnection<'a> {
-    /// What all connections share.
+    /// The limits, slots and state that all connections share.
     pub admission: &'a Admission,
-    /// Reads its messages.
+    /// Reads the client's messages.
     pub reader: MessageReader,
-    /// The socket's end to write to.
+    /// The half of the connection that messages are written to.
     pub write_half: OwnedWriteHalf,
-    /// Queues messages for it, and closes it.
+    /// Queues messages for the client, and closes the connection.
     pub sender: &'a ConnectionSender,
-    /// Writes what `sender` queues.
+    /// Writes the messages that `sender` queues.
     pub writer: ConnectionWriter,
-    /// The zone that it collects from, if it is a collector: each of its messages counts as a sign of life of that zone.
+    /// The zone whose collector the client is, if it is one. Each of its messages counts as activity of that
+    /// zone's collector.
     pub collects_from: Option<&'a str>,
 }
 
 /// Serves a connection until it ends, and returns why.
 ///
-/// `translate` turns a message into an event for the engine, or says why it is invalid. An invalid message is dropped
-/// and counted; the ones around it are valid.
+/// `translate` turns a message into an event for the engine, or returns why the message is invalid. An
+/// invalid message is dropped and counted; the connection stays open.
 pub async fn serve(
     connection: ClientConnection<'_>,
     translate: impl Fn(Inbound) -> Result<InboundEvent, InvalidReason>,
 ) -> CloseReason {
     let ClientConnection { admission, reader, write_half, sender, writer, collects_from } = connection;
     tokio::select! {
-        // After a requested close, nothing more is read or written.
+        // Once a close is requested, nothing more is read or written: the branches are polled in this order.
         biased;
         () = sender.close_requested() => CloseReason::ClosedByDirector,
         reason = read_messages(admission, reader, sender, collects_from, translate) => reason,
         written = writer.write_to(write_half) => match written {
             Ok(()) => CloseReason::ClosedByDirector,
-            Err(error) => CloseReason::Broken(error),
+            Err(error) => CloseReason::ConnectionError(error),
         },
     }
 }
 
-/// Reads messages until there can be no more, and returns why.
+/// Reads messages until the connection must end, and returns the reason.
 async fn read_messages(
     admission: &Admission,
     mut reader: MessageReader,
@@ -58,20 +60,20 @@
     collects_from: Option<&str>,
     translate: impl Fn(Inbound) -> Result<InboundEvent, InvalidReason>,
 ) -> CloseReason {
-    let mut read_in_turn = 0;
+    let mut read_since_yield = 0;
     loop {
-        if read_in_turn == MESSAGES_PER_TURN {
-            read_in_turn = 0;
+        if read_since_yield == MESSAGES_BETWEEN_YIELDS {
+            read_since_yield = 0;
             yield_now().await;
         }
-        read_in_turn += 1;
+        read_since_yield += 1;
         let message = match reader.next().await {
             Ok(message) => message,
             Err(reason) => return reason,
         };
-        // Any message shows that the collector is alive, also an invalid one.
+        // An invalid message also shows that the collector is alive.
         if let Some(zone) = collects_from {
-            admission.pulse.record(zone);
+            admission.collector_activity.record(zone);
         }
         if let Ok(Inbound::Ping) = message {
             match sender.send(vec![admission.pong.clone()]) {
@@ -81,12 +83,12 @@
         }
         match translate_in_stage(message, &translate) {
             Ok(event) => admission.inbox.send(event),
-            Err(reason) => admission.metrics.invalid(reason),
+            Err(reason) => admission.metrics.count_invalid(reason),
         }
     }
 }
 
-/// Translates a message inside the span of its stage, which records why it is invalid.
+/// Translates a message within the span of the stage `admit`, which records why a message is invalid.
 fn translate_in_stage(
     message: Result<Inbound, InvalidReason>,
     translate: impl Fn(Inbound) -> Result<InboundEvent, InvalidReason>,
--- a/crates/wingfold-node/src/discovery.rs
+++ b/crates/wingfold-node/src/discovery.rs
@@ -82,7 +82,7 @@
             address: first.discovery,
             changes_are_pushed: !first.settings.endpoint_list_on_request,
             http: http_client(&first.bounds),
-            cached: CachedListState::new(first.known.as_ref()),
+            cached: CachedListState::new(first.cached_list.as_ref()),
             bounds: first.bounds.clone(),
             inbox,
             metrics,
@@ -97,7 +97,7 @@
     pub async fn run(mut self, mut commands: UnboundedReceiver<DiscoveryCommand>) {
         loop {
             tokio::select! {
-                config = reload::changed(&mut self.config) => self.apply_config(&config).await,
+                config = reload::next_config(&mut self.config) => self.apply_config(&config).await,
                 command = commands.recv() => match command {
                     Some(command) => self.execute(command).await,
                     None => return,
--- a/crates/wingfold-node/src/discovery/call.rs
+++ b/crates/wingfold-node/src/discovery/call.rs
@@ -17,13 +17,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
     /// The call ended without a complete response.
-    #[error("{}", log::plain(&.0.to_string()))]
+    #[error("{}", log::sanitize(&.0.to_string()))]
     Call(#[from] CallError),
     /// The response has a status other than 200.
     #[error("response status is {0}, expected 200")]
     Status(StatusCode),
     /// The body is not an endpoint list.
-    #[error("response body is not an endpoint list: {}", log::plain(&.0.to_string()))]
+    #[error("response body is not an endpoint list: {}", log::sanitize(&.0.to_string()))]
     UnreadableBody(#[from] serde_json::Error),
     /// The complete list is older than the cached one.
     #[error("complete endpoint list has version {version}, older than the cached version {cached}")]
@@ -47,7 +47,7 @@
         after: u64,
     },
     /// Some entries cannot be read.
-    #[error("endpoint list has {count} unreadable entries, the first is {}", log::plain(&.first.to_string()))]
+    #[error("endpoint list has {count} unreadable entries, the first is {}", log::sanitize(&.first.to_string()))]
     UnreadableEntries {
         /// The number of unreadable entries.
         count: usize,
--- a/crates/wingfold-node/src/engine/actions.rs
+++ b/crates/wingfold-node/src/engine/actions.rs
@@ -154,7 +154,7 @@
             // A notice may quote names from outside the process: `plain` limits the length of the text and
             // replaces control characters.
             Action::Notice(notice) => {
-                tracing::info!(call = self.calls, "{}", log::plain(&notice.to_string()))
+                tracing::info!(call = self.calls, "{}", log::sanitize(&notice.to_string()))
             }
             Action::SetEntry { .. }
             | Action::ClearTable(_)
--- a/crates/wingfold-node/src/peers/tests.rs
+++ b/crates/wingfold-node/src/peers/tests.rs
@@ -4,7 +4,7 @@
 
 async fn peer_socket(each: &[SocketAddr], number: usize, metrics: &Arc<Metrics>) -> PeerSocket {
     // The address of the second director serves as the address of all directors.
-    let peers = Peers { listen: each[number], each: each.to_vec(), all: each[1] };
+    let peers = PeerAddresses { listen: each[number], by_index: each.to_vec(), broadcast: each[1] };
     PeerSocket::new(UdpSocket::bind(peers.listen).await.unwrap(), peers, metrics.clone())
 }
 
