--- a/crates/wingfold-test-support/src/client.rs
+++ b/crates/wingfold-test-support/src/client.rs
@@ -1,4 +1,4 @@
-//! The director's clients: proxies, collectors and strangers.
+//! Clients of the director: proxies, collectors and clients that do not identify themselves.
 
 use crate::{frame, TEST_TIMEOUT};
 use serde_json::{json, Value};
@@ -6,14 +6,14 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Instant;
 
-/// A connection to the director, of a proxy, a collector or a stranger.
+/// A client's connection to the director.
 pub struct Client {
-    /// The connection itself, for tests that set its options or break it.
+    /// The TCP connection, for tests that set its options or break it.
     pub stream: TcpStream,
 }
 
 impl Client {
-    /// Connects to a director; `None` if it takes no connection.
+    /// Connects to a director; `None` if the connection attempt fails.
     pub fn connect(director: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(director).ok()?;
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -21,7 +21,7 @@
         Some(Client { stream })
     }
 
-    /// Encodes a message as it goes over the wire: its length, then its JSON.
+    /// Encodes a message as a frame: the length of its JSON, then the JSON.
     pub fn encode_frame(message: &Value) -> Vec<u8> {
         let mut bytes = Vec::new();
         frame::append(&mut bytes, message.to_string().as_bytes());
@@ -33,12 +33,12 @@
         self.stream.write_all(&Self::encode_frame(message)).unwrap();
     }
 
-    /// Sends bytes as they are.
+    /// Sends bytes without framing them.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// Joins as a proxy that holds no table.
+    /// Sends the `SUBSCRIBE` of a proxy that holds no table.
     pub fn subscribe(&mut self, proxy: u32, zone: &str) {
         self.send(&json!({"type": "SUBSCRIBE", "id": proxy, "site": zone, "rps": 5.0, "new": true}));
     }
@@ -67,13 +67,13 @@
     /// Receives the next update for a proxy: all `CONFIG` parts of one message.
     pub fn receive_update(&mut self) -> Vec<Value> {
         collect_parts(|| {
-            let part = self.receive().expect("an update, not the end of the stream");
+            let part = self.receive().expect("the stream ended before a complete update");
             assert_eq!(part["type"], "CONFIG");
             part
         })
     }
 
-    /// Receives the next update for a proxy, a byte with each read.
+    /// Receives the next update for a proxy, reading one byte per system call.
     pub fn receive_update_bytewise(&mut self) -> Vec<Value> {
         collect_parts(|| {
             let length = u32::from_be_bytes(self.read_bytewise(frame::HEADER_BYTES).try_into().unwrap());
@@ -81,22 +81,25 @@
         })
     }
 
-    /// Reads this many bytes, one with each read.
+    /// Reads `length` bytes, one byte per system call.
     fn read_bytewise(&mut self, length: usize) -> Vec<u8> {
         let mut byte = [0];
-        let read = |_| self.stream.read_exact(&mut byte).map(|()| byte[0]).expect("an update");
+        let read = |_| {
+            self.stream.read_exact(&mut byte).map(|()| byte[0]).expect("the stream ended inside an update")
+        };
         (0..length).map(read).collect()
     }
 
-    /// Returns whether the director ends the connection in time. Messages that arrive before are dropped.
+    /// Returns whether the director closes the connection within [`TEST_TIMEOUT`]. Messages that arrive before
+    /// are dropped.
     pub fn is_closed_in_time(&mut self) -> bool {
-        let begun = Instant::now();
+        let started = Instant::now();
         while self.receive().is_some() {}
-        begun.elapsed() < TEST_TIMEOUT
+        started.elapsed() < TEST_TIMEOUT
     }
 }
 
-/// Collects the parts of one message, up to the first that announces no further one.
+/// Collects the parts of one update, up to the first part whose field `more` is not true.
 fn collect_parts(mut next_part: impl FnMut() -> Value) -> Vec<Value> {
     let mut parts = Vec::new();
     loop {
--- a/crates/wingfold-test-support/src/config.rs
+++ b/crates/wingfold-test-support/src/config.rs
@@ -25,7 +25,8 @@
     })
 }
 
-/// Returns a director's configuration without peers; `known` is the endpoint list that it starts with.
+/// Returns a director's configuration without peers; `known` is the endpoint list that the director
+/// starts with.
 pub fn director_config(listen: SocketAddr, discovery: SocketAddr, known: Value) -> Value {
     json!({
         "name": "n0", "listen": listen.to_string(), "discovery": discovery.to_string(),
--- a/crates/wingfold-test-support/src/discovery.rs
+++ b/crates/wingfold-test-support/src/discovery.rs
@@ -9,9 +9,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a watch that waits checks whether its caller has closed the connection.
+/// How often discovery checks, while a watch waits for a change, whether the caller has closed the connection.
 const CLOSED_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// A version that no test reaches by changes.
+/// Far above the number of changes that any test makes, so that a director which applied the malformed list is
+/// recognised by its version.
 const MALFORMED_LIST_VERSION: u64 = 1_000_000;
 
 /// Returns an entry of the endpoint list: an active host with weight 1.
@@ -20,18 +21,18 @@
         "weight": 1.0, "started_ms": 0})
 }
 
-/// How discovery answers.
+/// How discovery responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryBehaviour {
-    /// As the protocol says.
+    /// With the list or the changes that were requested.
     Normal,
-    /// With 503.
+    /// With status 503.
     Unavailable,
-    /// With 200 and a malformed list: its second entry has no zone.
+    /// With status 200 and a malformed list, whose second entry has no zone.
     MalformedList,
-    /// Never: it reads requests and writes nothing.
+    /// Not at all: requests are read and nothing is written.
     Unresponsive,
-    /// With the beginning of a response, then it closes the connection.
+    /// With the beginning of a response, after which the connection is closed.
     TruncatedResponse,
     /// With a complete list of version 1 in which all hosts are active.
     StaleList,
@@ -39,7 +40,7 @@
     EmptyList,
 }
 
-/// An entry and the version of the list that changed it last.
+/// An entry and the version of the list in which the entry was changed last.
 struct VersionedEntry {
     version: u64,
     entry: Value,
@@ -49,15 +50,16 @@
     version: u64,
     entries: BTreeMap<String, VersionedEntry>,
     requests: Vec<String>,
-    /// Open connections, as far as their end was seen: that of a waiting watch is checked now and then.
+    /// Number of open connections. While a watch waits, its end is noticed after [`CLOSED_CHECK_INTERVAL`].
     open_connections: usize,
     behaviour: DiscoveryBehaviour,
-    /// Responses are written in chunks of this size.
+    /// Maximum number of bytes in each write of a response.
     chunk_bytes: usize,
 }
 
 impl State {
-    /// The entries newer than this version, or without one the complete list, which omits hosts that left.
+    /// The entries changed after version `after`; without `after` the complete list, which omits hosts in state
+    /// `left`.
     fn list_after(&self, after: Option<u64>) -> Value {
         let newer = self.entries.values().filter(|entry| after.is_none_or(|after| entry.version > after));
         let is_omitted = |entry: &Value| after.is_none() && entry["state"] == "left";
@@ -65,7 +67,7 @@
         json!({"version": self.version, "full": after.is_none(), "servers": servers})
     }
 
-    /// A complete list of version 1 with all entries ever listed as active.
+    /// A complete list of version 1 with every entry ever listed, each in state `active`.
     fn stale_list(&self) -> Value {
         let as_active = |entry: &VersionedEntry| {
             let mut entry = entry.entry.clone();
@@ -76,7 +78,7 @@
         json!({"version": 1, "full": true, "servers": servers})
     }
 
-    /// The response to a request for what is newer than `after`.
+    /// The response to a request for the changes after version `after`, or for the complete list.
     fn response(&self, after: Option<u64>) -> Response {
         let list = self.list_after(after);
         match self.behaviour {
@@ -85,7 +87,7 @@
             DiscoveryBehaviour::MalformedList => {
                 Response::List { status: "200 OK", list: malformed_list(list) }
             }
-            DiscoveryBehaviour::Unresponsive => Response::Nothing,
+            DiscoveryBehaviour::Unresponsive => Response::Missing,
             DiscoveryBehaviour::TruncatedResponse => Response::Truncated,
             DiscoveryBehaviour::StaleList => Response::List { status: "200 OK", list: self.stale_list() },
             DiscoveryBehaviour::EmptyList => {
@@ -96,18 +98,18 @@
     }
 }
 
-/// What a request gets.
+/// The response to a request.
 enum Response {
     List { status: &'static str, list: Value },
-    Nothing,
+    Missing,
     Truncated,
 }
 
-/// A newer list with one complete entry and one without a zone.
+/// A list of a newer version with one valid entry and one without a zone.
 fn malformed_list(mut list: Value) -> Value {
     list["version"] = json!(MALFORMED_LIST_VERSION);
-    let complete = endpoint("s-strange", "127.0.0.1:1".parse().unwrap(), "a");
-    list["servers"] = json!([complete, {"id": "s-half", "addr": "127.0.0.1:1"}]);
+    let valid = endpoint("s-unlisted", "127.0.0.1:1".parse().unwrap(), "a");
+    list["servers"] = json!([valid, {"id": "s-incomplete", "addr": "127.0.0.1:1"}]);
     list
 }
 
@@ -116,21 +118,21 @@
     changed: Condvar,
 }
 
-/// A discovery service.
+/// A discovery service with a scripted endpoint list.
 #[derive(Clone)]
 pub struct Discovery {
-    /// The address it listens on.
+    /// The listening address.
     pub addr: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Discovery {
-    /// Serves these entries at a free port of this address.
+    /// Starts a service that lists `entries`, at a free port of this address.
     pub fn start(ip: IpAddr, entries: Vec<Value>) -> Self {
         Discovery::start_at(SocketAddr::new(ip, 0), entries)
     }
 
-    /// Serves these entries at this address.
+    /// Starts a service that lists `entries`, at this address.
     pub fn start_at(addr: SocketAddr, entries: Vec<Value>) -> Self {
         let listener = TcpListener::bind(addr).unwrap();
         let addr = listener.local_addr().unwrap();
@@ -145,12 +147,12 @@
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
         let discovery = Discovery { addr, shared };
         entries.into_iter().for_each(|entry| discovery.upsert(entry));
-        let accepting = discovery.clone();
-        thread::spawn(move || accepting.accept(listener));
+        let service = discovery.clone();
+        thread::spawn(move || service.accept(listener));
         discovery
     }
 
-    /// Adds or changes an entry, under the next version.
+    /// Adds or replaces an entry; the list gets its next version.
     pub fn upsert(&self, entry: Value) {
         let mut state = self.lock();
         state.version += 1;
@@ -159,20 +161,20 @@
         self.shared.changed.notify_all();
     }
 
-    /// Changes the state of a host (`active`, `leaving` or `left`), under the next version.
+    /// Changes the state of a host (`active`, `leaving` or `left`); the list gets its next version.
     pub fn set_host_state(&self, id: &str, host_state: &str) {
         let mut entry = self.lock().entries[id].entry.clone();
         entry["state"] = json!(host_state);
         self.upsert(entry);
     }
 
-    /// Changes how requests are answered, waiting watches included.
+    /// Changes how requests are answered, those of waiting watches included.
     pub fn set_behaviour(&self, behaviour: DiscoveryBehaviour) {
         self.lock().behaviour = behaviour;
         self.shared.changed.notify_all();
     }
 
-    /// Writes responses in chunks of this size from now on.
+    /// Limits each write of a response to this many bytes from now on.
     pub fn set_chunk_bytes(&self, bytes: usize) {
         self.lock().chunk_bytes = bytes;
     }
@@ -182,12 +184,12 @@
         self.lock().requests.clone()
     }
 
-    /// Returns how many connections callers hold open.
+    /// Returns the number of connections that callers hold open.
     pub fn open_connections(&self) -> usize {
         self.lock().open_connections
     }
 
-    /// Returns the list as it stands, hosts that left included, as a director's configuration carries it.
+    /// Returns the current list, hosts in state `left` included, in the form of the configuration key `known`.
     pub fn known_list(&self) -> Value {
         let state = self.lock();
         let servers: Vec<&Value> = state.entries.values().map(|entry| &entry.entry).collect();
@@ -201,16 +203,16 @@
     /// Accepts connections, each on a thread of its own.
     fn accept(self, listener: TcpListener) {
         for connection in listener.incoming().flatten() {
-            let serving = self.clone();
+            let service = self.clone();
             thread::spawn(move || {
-                serving.lock().open_connections += 1;
-                serving.serve(connection);
-                serving.lock().open_connections -= 1;
+                service.lock().open_connections += 1;
+                service.serve(connection);
+                service.lock().open_connections -= 1;
             });
         }
     }
 
-    /// Answers the requests of one connection until it ends.
+    /// Answers the requests of one connection until the connection ends.
     fn serve(&self, connection: TcpStream) {
         let mut reader = BufReader::new(connection.try_clone().unwrap());
         let mut writer = connection;
@@ -226,7 +228,7 @@
                 Response::List { status, list } => {
                     write_response(&mut writer, status, &list.to_string(), chunk_bytes)
                 }
-                Response::Nothing => continue,
+                Response::Missing => continue,
                 Response::Truncated => {
                     let _ = writer.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 4000\r\n\r\n{\"version\":");
                     return;
@@ -238,7 +240,7 @@
         }
     }
 
-    /// Waits at most this long for a version newer than `after`; `None` once the caller has closed the connection.
+    /// Waits for a version newer than `after`, for `wait` at most; `None` once the caller has closed the connection.
     fn wait_for_change<'a>(
         &'a self,
         mut state: MutexGuard<'a, State>,
@@ -261,7 +263,7 @@
     }
 }
 
-/// Returns whether the other end has closed a connection on which nothing waits to be read.
+/// Returns whether the remote end has closed the connection; also true while unread bytes wait.
 fn is_closed(connection: &TcpStream) -> bool {
     connection.set_nonblocking(true).unwrap();
     let closed = !matches!(connection.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
--- a/crates/wingfold-test-support/src/frame.rs
+++ b/crates/wingfold-test-support/src/frame.rs
@@ -1,6 +1,7 @@
-//! The frames at a director's address: a length of four bytes, most significant first, and that many bytes of JSON.
+//! The frames of the client protocol: a length of four bytes, most significant first, then that many bytes of
+//! JSON.
 
-/// Length of the header that holds a frame's length.
+/// Number of bytes in which a frame states its length.
 pub const HEADER_BYTES: usize = 4;
 
 /// Appends a frame with this body.
--- a/crates/wingfold-test-support/src/host.rs
+++ b/crates/wingfold-test-support/src/host.rs
@@ -7,16 +7,17 @@
 use std::sync::Arc;
 use std::thread;
 
-/// A host that takes health checks, and answers them if it has a load report.
+/// A host that receives health checks and answers them if the test gave it a load report.
 pub struct Host {
-    /// The address it listens on.
+    /// The listening address.
     pub addr: SocketAddr,
-    /// How many health checks have arrived.
+    /// Number of health checks received.
     pub health_checks: Arc<AtomicUsize>,
 }
 
 impl Host {
-    /// Starts a host at a free port of this address. Without a load report it reads health checks and never answers.
+    /// Starts a host at a free port of this address. Without a load report, health checks are read and never
+    /// answered.
     pub fn start(ip: IpAddr, load_report: Option<&'static str>) -> Self {
         let listener = TcpListener::bind((ip, 0)).unwrap();
         let host =
@@ -32,7 +33,7 @@
     }
 }
 
-/// Serves the health checks of one connection.
+/// Answers the health checks of one connection until the connection ends.
 fn serve(connection: TcpStream, health_checks: &AtomicUsize, load_report: Option<&str>) {
     let mut reader = BufReader::new(connection.try_clone().unwrap());
     let mut writer = connection;
--- a/crates/wingfold-test-support/src/http.rs
+++ b/crates/wingfold-test-support/src/http.rs
@@ -1,4 +1,5 @@
-//! The HTTP/1.1 that discovery and hosts speak: requests without a body, responses with a length.
+//! The subset of HTTP/1.1 between director, discovery and hosts: requests without a body, responses with a
+//! `content-length`.
 
 use std::io::{BufRead, Write};
 use std::net::TcpStream;
@@ -14,19 +15,19 @@
     request_line.split(' ').nth(1).map(str::to_string)
 }
 
-/// Returns the number that a key has in the query of a request target, if it has one.
+/// Returns the number at this key in the query of a request target; `None` without the key or a valid number.
 pub fn query_number(target: &str, key: &str) -> Option<u64> {
     let query = target.split_once('?')?.1;
     let value = query.split('&').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('='));
     value?.parse().ok()
 }
 
-/// Encodes a response; `status` is the code and its reason.
+/// Encodes a response; `status` is the status code and the reason phrase.
 pub fn encode_response(status: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// Writes a response in chunks of this many bytes.
+/// Writes a response, at most `chunk_bytes` bytes per write.
 pub(crate) fn write_response(
     stream: &mut TcpStream,
     status: &str,
--- a/crates/wingfold-test-support/src/lib.rs
+++ b/crates/wingfold-test-support/src/lib.rs
@@ -1,5 +1,6 @@
-//! Scripted peers of a director, for tests: discovery, hosts, proxies and collectors, metric receivers, and an HTTP
-//! server whose every byte the test writes. They speak the published protocol and share no code with the product.
+//! Scripted peers of a director, for tests: discovery, hosts, proxies and collectors, metric receivers, and an
+//! HTTP server whose responses the test writes byte by byte. They implement the published protocols and share no
+//! code with the director.
 #![forbid(unsafe_code)]
 
 mod client;
@@ -20,5 +21,5 @@
 
 use std::time::Duration;
 
-/// Every wait for a condition fails after this time. It is far above what a condition needs that comes true at all.
+/// Timeout of every wait for a condition. A condition that is ever met needs far less.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
--- a/crates/wingfold-test-support/src/receivers.rs
+++ b/crates/wingfold-test-support/src/receivers.rs
@@ -1,4 +1,4 @@
-//! Receivers of metrics: a Graphite server that behaves well or in one of several bad ways, and a datagram socket.
+//! Receivers of metrics: a Graphite server that reads normally or shows a scripted fault, and a datagram receiver.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read};
@@ -8,48 +8,49 @@
 use std::thread;
 use std::time::Duration;
 
-/// The receive buffer of a Graphite receiver: small, so that one that reads nothing is soon full.
+/// The receive buffer of a Graphite receiver: small, so that the buffer of a frozen receiver fills soon.
 const RECEIVE_BUFFER_BYTES: usize = 4096;
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 64;
 /// How long a read blocks before the behaviour is checked again.
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
 /// How often a frozen receiver checks its behaviour.
 const FROZEN_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How often a slow receiver reads, and how much.
+/// Interval between the reads of a slow receiver.
 const SLOW_READ_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of bytes in each read of a slow receiver.
 const SLOW_READ_BYTES: usize = 2;
-/// A closing receiver closes once more than this of a line is pending.
+/// A closing receiver closes the connection once it has read more than this many bytes of an unfinished line.
 const CLOSE_AFTER_BYTES: usize = 30;
 
-/// How a receiver treats its connections.
+/// How a Graphite receiver treats its connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReceiverBehaviour {
-    /// Reads what arrives.
+    /// Reads everything that arrives.
     Normal,
-    /// Accepts, and reads nothing.
+    /// Accepts connections and reads nothing.
     Frozen,
-    /// Reads a few bytes a second.
+    /// Reads 10 bytes a second from each connection.
     Slow,
-    /// Resets each connection at its first bytes.
+    /// Resets each connection when its first bytes arrive.
     Resetting,
     /// Closes each connection in the middle of a line.
     Closing,
 }
 
-/// A sample as a Graphite receiver gets it.
+/// A sample received by a Graphite receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sample {
     /// The metric's path.
     pub path: String,
     /// The metric's value.
     pub value: f64,
-    /// The Unix time it stands for.
+    /// The Unix time of the sample.
     pub timestamp_s: u64,
 }
 
 impl Sample {
-    /// Parses a line of Graphite's plaintext protocol.
+    /// Parses a line of Graphite's plaintext protocol: path, value and time.
     fn parse(line: &str) -> Option<Sample> {
         let mut fields = line.split(' ');
         let sample = Sample {
@@ -64,9 +65,9 @@
 /// A Graphite receiver over TCP.
 #[derive(Clone)]
 pub struct GraphiteReceiver {
-    /// The address it listens on.
+    /// The listening address.
     pub addr: SocketAddr,
-    /// How many connections it has accepted.
+    /// Number of connections accepted so far.
     pub connections: Arc<AtomicUsize>,
     behaviour: Arc<Mutex<ReceiverBehaviour>>,
     /// The complete lines of all connections.
@@ -75,12 +76,12 @@
 }
 
 impl GraphiteReceiver {
-    /// Listens at a free port of this address.
+    /// Starts a receiver at a free port of this address.
     pub fn start(ip: IpAddr, behaviour: ReceiverBehaviour) -> GraphiteReceiver {
         GraphiteReceiver::start_at(SocketAddr::new(ip, 0), behaviour)
     }
 
-    /// Listens at this address.
+    /// Starts a receiver at this address.
     pub fn start_at(addr: SocketAddr, behaviour: ReceiverBehaviour) -> GraphiteReceiver {
         let listener = listen_with_small_buffer(addr);
         let receiver = GraphiteReceiver {
@@ -90,24 +91,24 @@
             received: Arc::default(),
             is_stopped: Arc::default(),
         };
-        let accepting = receiver.clone();
-        thread::spawn(move || accepting.accept(listener));
+        let accepting_receiver = receiver.clone();
+        thread::spawn(move || accepting_receiver.accept(listener));
         receiver
     }
 
-    /// Changes the behaviour, also on connections that are open.
+    /// Changes the behaviour, on open connections as well.
     pub fn set_behaviour(&self, behaviour: ReceiverBehaviour) {
         *self.behaviour.lock().unwrap() = behaviour;
     }
 
-    /// Ends its connections and accepts no more.
+    /// Closes all connections and accepts no more.
     pub fn stop(&self) {
         self.is_stopped.store(true, Ordering::Relaxed);
-        // The listener is dropped once it has been woken.
+        // This connection wakes the accepting thread, which then drops the listener.
         let _ = TcpStream::connect(self.addr);
     }
 
-    /// Returns all samples so far, in the order of their arrival.
+    /// Returns all samples received so far, in the order of their arrival.
     pub fn samples(&self) -> Vec<Sample> {
         let bytes = self.received.lock().unwrap();
         let text = String::from_utf8_lossy(&bytes);
@@ -115,7 +116,7 @@
         complete.lines().filter_map(Sample::parse).collect()
     }
 
-    /// Returns the last value of a path at each time.
+    /// Returns the samples of a path by their time; of several at one time, the last received.
     pub fn series(&self, path: &str) -> BTreeMap<u64, f64> {
         let samples = self.samples().into_iter().filter(|sample| sample.path == path);
         samples.map(|sample| (sample.timestamp_s, sample.value)).collect()
@@ -128,12 +129,12 @@
                 return;
             }
             self.connections.fetch_add(1, Ordering::Relaxed);
-            let serving = self.clone();
-            thread::spawn(move || serving.serve(connection));
+            let receiver = self.clone();
+            thread::spawn(move || receiver.serve(connection));
         }
     }
 
-    /// Reads one connection as the behaviour says, until it or the receiver ends.
+    /// Reads one connection as the current behaviour requires, until the connection ends or the receiver is stopped.
     fn serve(&self, mut connection: TcpStream) {
         let mut buffer = [0; 4096];
         connection.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
@@ -153,7 +154,7 @@
             };
             match connection.read(&mut buffer[..read_bytes]) {
                 Ok(0) => return,
-                // What was read is dropped; what was not read makes the end a reset.
+                // The bytes just read are dropped. Closing a socket with unread bytes sends a reset.
                 Ok(_) if behaviour == ReceiverBehaviour::Resetting => return,
                 Ok(count) => {
                     pending.extend(&buffer[..count]);
@@ -168,7 +169,8 @@
         }
     }
 
-    /// Moves complete lines out of what is pending: a line that its connection does not end is not received.
+    /// Moves the complete lines from `pending` to the received ones. A line that the connection leaves unfinished is
+    /// not received.
     fn take_complete_lines(&self, pending: &mut Vec<u8>) {
         let complete_bytes = pending.iter().rposition(|byte| *byte == b'\n').map_or(0, |end| end + 1);
         self.received.lock().unwrap().extend(pending.drain(..complete_bytes));
@@ -185,16 +187,16 @@
     TcpListener::from(socket)
 }
 
-/// A receiver of datagrams.
+/// A UDP receiver that keeps every datagram.
 #[derive(Clone)]
 pub struct DatagramReceiver {
-    /// The address it listens on.
+    /// The listening address.
     pub addr: SocketAddr,
     datagrams: Arc<Mutex<Vec<Vec<u8>>>>,
 }
 
 impl DatagramReceiver {
-    /// Listens at a free port of this address.
+    /// Starts a receiver at a free port of this address.
     pub fn start(ip: IpAddr) -> DatagramReceiver {
         let socket = UdpSocket::bind((ip, 0)).unwrap();
         let receiver = DatagramReceiver { addr: socket.local_addr().unwrap(), datagrams: Arc::default() };
@@ -208,13 +210,13 @@
         receiver
     }
 
-    /// Returns all datagrams so far.
+    /// Returns all datagrams received so far.
     pub fn datagrams(&self) -> Vec<Vec<u8>> {
         self.datagrams.lock().unwrap().clone()
     }
 }
 
-/// Sends a datagram from an address of its own.
+/// Sends a datagram from a newly bound port.
 pub fn send_datagram(to: SocketAddr, bytes: &[u8]) {
     let socket = UdpSocket::bind((to.ip(), 0)).unwrap();
     socket.send_to(bytes, to).unwrap();
--- a/crates/wingfold-test-support/src/scripted_server.rs
+++ b/crates/wingfold-test-support/src/scripted_server.rs
@@ -1,6 +1,5 @@
-//! An HTTP server whose every byte the test writes: it reads requests and answers nothing until it is told to. A test
-//! brings both sides to an instant (so much of a response written, and read by the other end) and lets them go on in
-//! the order it wants.
+//! An HTTP server whose responses the test writes byte by byte: the server only reads requests and hands them to
+//! the test. So a test can force an order of events, such as a reload after the director has read half a response.
 
 use crate::http::{encode_response, read_request_target};
 use crate::TEST_TIMEOUT;
@@ -10,12 +9,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often the kernel's socket table is read while a test waits for it.
+/// Interval between reads of the kernel's socket table while a test waits for a socket's queues to empty.
 const SOCKET_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A server that stands for discovery or for a host.
+/// A server that takes the place of discovery or of a host.
 pub struct ScriptedServer {
-    /// The address it listens on.
+    /// The listening address.
     pub addr: SocketAddr,
     requests: Receiver<PendingRequest>,
 }
@@ -24,7 +23,7 @@
 pub struct PendingRequest {
     /// The request target: path and query.
     pub target: String,
-    /// When it arrived.
+    /// When the request arrived.
     pub received_at: Instant,
     connection: TcpStream,
 }
@@ -35,7 +34,7 @@
         ScriptedServer::from_listener(TcpListener::bind((ip, 0)).unwrap())
     }
 
-    /// Accepts the connections of this listener from now on.
+    /// Starts a server that accepts the connections of this listener.
     pub fn from_listener(listener: TcpListener) -> ScriptedServer {
         let addr = listener.local_addr().unwrap();
         let (sender, requests) = channel();
@@ -50,11 +49,11 @@
 
     /// Waits for the next request.
     pub fn next_request(&self) -> PendingRequest {
-        self.requests.recv_timeout(TEST_TIMEOUT).expect("a request arrives")
+        self.requests.recv_timeout(TEST_TIMEOUT).expect("no request arrived in time")
     }
 }
 
-/// Passes on the requests of one connection until it ends.
+/// Hands the requests of one connection to the test until the connection ends.
 fn read_requests(connection: TcpStream, sender: &Sender<PendingRequest>) {
     connection.set_nodelay(true).unwrap();
     let mut reader = BufReader::new(connection.try_clone().unwrap());
@@ -73,12 +72,12 @@
 }
 
 impl PendingRequest {
-    /// Writes some bytes of the response.
+    /// Writes bytes of the response.
     pub fn write(&mut self, bytes: &[u8]) {
         self.connection.write_all(bytes).unwrap();
     }
 
-    /// Writes some bytes of the response where the other end may have gone.
+    /// Writes bytes of the response; fails if the director has closed the connection.
     pub fn try_write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.connection.write_all(bytes)
     }
@@ -94,31 +93,31 @@
         self.close();
     }
 
-    /// Closes the connection in good order.
+    /// Closes the connection without a reset.
     pub fn close(self) {
         let _ = self.connection.shutdown(Shutdown::Both);
     }
 
-    /// Resets the connection at once, with what was not read yet.
+    /// Resets the connection at once; unread bytes are dropped.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(&self.connection);
         socket.set_linger(Some(Duration::ZERO)).unwrap();
-        // The reading thread's handle shares the socket: this ends both.
+        // The reading thread holds a handle of the same socket; the shutdown ends its read, so both handles close.
         let _ = self.connection.shutdown(Shutdown::Read);
         drop(self.connection);
     }
 
-    /// Waits until the other end has read all that was written.
+    /// Waits until the other end has read everything that was written to this connection.
     pub fn wait_until_read(&self) {
         wait_until_read(&self.connection);
     }
 }
 
-/// Waits until the other end of a loopback connection has read all that was written here: nothing waits in this
-/// socket's send queue, nor in the other's receive queue, as the kernel lists them.
+/// Waits until the other end of a loopback connection has read everything that was written here: until, in the
+/// kernel's socket table, the send queue of this end and the receive queue of the other end are empty.
 pub fn wait_until_read(connection: &TcpStream) {
     let (local, remote) = (connection.local_addr().unwrap(), connection.peer_addr().unwrap());
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         let (ours, theirs) = (socket_queues(local, remote), socket_queues(remote, local));
         let is_sent = ours.as_ref().is_none_or(|queues| queues.send_bytes == 0);
@@ -126,39 +125,39 @@
         if is_sent && is_received {
             return;
         }
-        assert!(begun.elapsed() < TEST_TIMEOUT, "the other end does not read: {ours:?} {theirs:?}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "the other end has unread bytes: {ours:?} {theirs:?}");
         thread::sleep(SOCKET_POLL_INTERVAL);
     }
 }
 
-/// Returns whether a connection to this loopback address is being attempted and has had no answer.
-pub fn is_being_dialled(address: SocketAddr) -> bool {
+/// Returns whether a connection attempt to this loopback address is waiting for an answer (state SYN_SENT).
+pub fn is_connection_attempt_pending(address: SocketAddr) -> bool {
     const SYN_SENT: &str = "02";
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     table.lines().any(|line| {
         let mut fields = line.split_whitespace().skip(2);
-        fields.next() == Some(kernel_notation(address).as_str()) && fields.next() == Some(SYN_SENT)
+        fields.next() == Some(proc_net_tcp_notation(address).as_str()) && fields.next() == Some(SYN_SENT)
     })
 }
 
 /// An address as `/proc/net/tcp` lists it.
-fn kernel_notation(address: SocketAddr) -> String {
+fn proc_net_tcp_notation(address: SocketAddr) -> String {
     match address.ip() {
         IpAddr::V4(ip) => format!("{:08X}:{:04X}", u32::from_le_bytes(ip.octets()), address.port()),
         IpAddr::V6(_) => unreachable!("tests use IPv4"),
     }
 }
 
-/// What waits in a socket.
+/// The bytes that wait in a socket's queues.
 #[derive(Debug)]
 struct SocketQueues {
     send_bytes: u64,
     receive_bytes: u64,
 }
 
-/// The queues of the socket between these addresses, if the kernel lists one.
+/// The queues of the socket between these addresses, if the kernel's table holds such a socket.
 fn socket_queues(local: SocketAddr, remote: SocketAddr) -> Option<SocketQueues> {
-    let (local, remote) = (kernel_notation(local), kernel_notation(remote));
+    let (local, remote) = (proc_net_tcp_notation(local), proc_net_tcp_notation(remote));
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     table.lines().find_map(|line| {
         let mut fields = line.split_whitespace().skip(1);
--- a/crates/wingfold/tests/crossings.rs
+++ b/crates/wingfold/tests/race_conditions.rs
@@ -7,7 +7,7 @@
     acknowledgement, entries, is_complete, load_report_over, usage_report, with_field, DRAINING, REMOVED,
 };
 use common::scripted_server::{
-    is_being_dialled, ok_response, wait_until_read, PendingRequest, ScriptedServer,
+    is_connection_attempt_pending, ok_response, wait_until_read, PendingRequest, ScriptedServer,
 };
 use common::{
     endpoint, unique_loopback_ip, wait_until, Client, Director, DirectorSetup, Discovery, Host, ProxyTables,
@@ -415,7 +415,7 @@
     let mut setup = DirectorSetup::new(ip, addr, json!({"version": 5, "full": true, "servers": hosts}));
     setup.config["settings"]["rules"]["ask_within"] = json!(12_000_000);
     let director = setup.start();
-    wait_until("the director dials", || is_being_dialled(addr));
+    wait_until("the director dials", || is_connection_attempt_pending(addr));
     let gate = ScriptedServer::from_listener(listener);
     next_watch(&gate, 5).respond(&endpoint_list(6, false, &[endpoint_in_state(&hosts[0], DRAINING)]));
     let (mut proxy, mut tables) = (director.connect_proxy(0, "a"), ProxyTables::default());
