--- a/crates/wingfold-test-support/src/client.rs
+++ b/crates/wingfold-test-support/src/client.rs
@@ -90,8 +90,8 @@
         (0..length).map(read).collect()
     }
 
-    /// Returns whether the director closes the connection within [`TEST_TIMEOUT`]. Messages that arrive before
-    /// are dropped.
+    /// Returns whether the director closes the connection within [`TEST_TIMEOUT`]. Messages that arrive
+    /// before are dropped.
     pub fn is_closed_in_time(&mut self) -> bool {
         let started = Instant::now();
         while self.receive().is_some() {}
--- a/crates/wingfold-test-support/src/discovery.rs
+++ b/crates/wingfold-test-support/src/discovery.rs
@@ -9,10 +9,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often discovery checks, while a watch waits for a change, whether the caller has closed the connection.
+/// How often discovery checks, while a watch waits for a change, whether the caller has closed the
+/// connection.
 const CLOSED_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Far above the number of changes that any test makes, so that a director which applied the malformed list is
-/// recognised by its version.
+/// The version of a malformed list: far above the number of changes that any test makes, so that the metric
+/// `list_version` shows whether a director applied the list.
 const MALFORMED_LIST_VERSION: u64 = 1_000_000;
 
 /// Returns an entry of the endpoint list: an active host with weight 1.
@@ -50,7 +51,8 @@
     version: u64,
     entries: BTreeMap<String, VersionedEntry>,
     requests: Vec<String>,
-    /// Number of open connections. While a watch waits, its end is noticed after [`CLOSED_CHECK_INTERVAL`].
+    /// Number of open connections. While a watch waits, the end of its connection is
+    /// noticed within [`CLOSED_CHECK_INTERVAL`].
     open_connections: usize,
     behaviour: DiscoveryBehaviour,
     /// Maximum number of bytes in each write of a response.
@@ -58,8 +60,8 @@
 }
 
 impl State {
-    /// The entries changed after version `after`; without `after` the complete list, which omits hosts in state
-    /// `left`.
+    /// The entries changed after version `after`; without `after` the complete list, which omits hosts in
+    /// state `left`.
     fn list_after(&self, after: Option<u64>) -> Value {
         let newer = self.entries.values().filter(|entry| after.is_none_or(|after| entry.version > after));
         let is_omitted = |entry: &Value| after.is_none() && entry["state"] == "left";
@@ -189,7 +191,8 @@
         self.lock().open_connections
     }
 
-    /// Returns the current list, hosts in state `left` included, in the form of the configuration key `known`.
+    /// Returns the current list, hosts in state `left` included, in the form of the configuration key
+    /// `known`.
     pub fn known_list(&self) -> Value {
         let state = self.lock();
         let servers: Vec<&Value> = state.entries.values().map(|entry| &entry.entry).collect();
@@ -240,7 +243,8 @@
         }
     }
 
-    /// Waits for a version newer than `after`, for `wait` at most; `None` once the caller has closed the connection.
+    /// Waits for a version newer than `after`, for `wait` at most; `None` once the caller has closed the
+    /// connection.
     fn wait_for_change<'a>(
         &'a self,
         mut state: MutexGuard<'a, State>,
--- a/crates/wingfold-test-support/src/lib.rs
+++ b/crates/wingfold-test-support/src/lib.rs
@@ -1,6 +1,6 @@
-//! Scripted peers of a director, for tests: discovery, hosts, proxies and collectors, metric receivers, and an
-//! HTTP server whose responses the test writes byte by byte. They implement the published protocols and share no
-//! code with the director.
+//! Scripted peers of a director, for tests: discovery, hosts, proxies and collectors, metric receivers, and
+//! an HTTP server whose responses the test writes byte by byte. They implement the published protocols and
+//! share no code with the director.
 #![forbid(unsafe_code)]
 
 mod client;
--- a/crates/wingfold-test-support/src/loopback.rs
+++ b/crates/wingfold-test-support/src/loopback.rs
@@ -10,8 +10,8 @@
     IpAddr::V4(Ipv4Addr::new(127, (10 + pid % 200) as u8, (1 + pid / 200 % 250) as u8, (1 + test) as u8))
 }
 
-/// Returns a port of this address that is free now. It stays free: clients of the tests connect from 127.0.0.1,
-/// so the kernel does not assign the port to any of them.
+/// Returns a port of this address that is free now. It stays free: clients of the tests connect from
+/// 127.0.0.1, so the kernel does not assign the port to any of them.
 pub fn free_address(ip: IpAddr) -> SocketAddr {
     TcpListener::bind((ip, 0)).unwrap().local_addr().unwrap()
 }
--- a/crates/wingfold-test-support/src/receivers.rs
+++ b/crates/wingfold-test-support/src/receivers.rs
@@ -1,4 +1,5 @@
-//! Receivers of metrics: a Graphite server that reads normally or shows a scripted fault, and a datagram receiver.
+//! Receivers of metrics: a Graphite server that reads normally or shows a scripted fault, and a datagram
+//! receiver.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read};
@@ -134,7 +135,8 @@
         }
     }
 
-    /// Reads one connection as the current behaviour requires, until the connection ends or the receiver is stopped.
+    /// Reads one connection as the current behaviour requires, until the connection ends or the receiver is
+    /// stopped.
     fn serve(&self, mut connection: TcpStream) {
         let mut buffer = [0; 4096];
         connection.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
@@ -169,8 +171,8 @@
         }
     }
 
-    /// Moves the complete lines from `pending` to the received ones. A line that the connection leaves unfinished is
-    /// not received.
+    /// Moves the complete lines from `pending` to the received ones. A line that the connection leaves
+    /// unfinished is not received.
     fn take_complete_lines(&self, pending: &mut Vec<u8>) {
         let complete_bytes = pending.iter().rposition(|byte| *byte == b'\n').map_or(0, |end| end + 1);
         self.received.lock().unwrap().extend(pending.drain(..complete_bytes));
--- a/crates/wingfold-test-support/src/scripted_server.rs
+++ b/crates/wingfold-test-support/src/scripted_server.rs
@@ -1,5 +1,6 @@
-//! An HTTP server whose responses the test writes byte by byte: the server only reads requests and hands them to
-//! the test. So a test can force an order of events, such as a reload after the director has read half a response.
+//! An HTTP server whose responses the test writes byte by byte: the server only reads requests and hands them
+//! to the test. So a test can force an order of events, such as a reload after the director has read half a
+//! response.
 
 use crate::http::{encode_response, read_request_target};
 use crate::TEST_TIMEOUT;
@@ -102,7 +103,8 @@
     pub fn reset(self) {
         let socket = socket2::SockRef::from(&self.connection);
         socket.set_linger(Some(Duration::ZERO)).unwrap();
-        // The reading thread holds a handle of the same socket; the shutdown ends its read, so both handles close.
+        // The reading thread holds a handle of the same socket; the shutdown ends its read, so both handles
+        // close.
         let _ = self.connection.shutdown(Shutdown::Read);
         drop(self.connection);
     }
@@ -113,8 +115,8 @@
     }
 }
 
-/// Waits until the other end of a loopback connection has read everything that was written here: until, in the
-/// kernel's socket table, the send queue of this end and the receive queue of the other end are empty.
+/// Waits until the other end of a loopback connection has read everything that was written here: until, in
+/// the kernel's socket table, the send queue of this end and the receive queue of the other end are empty.
 pub fn wait_until_read(connection: &TcpStream) {
     let (local, remote) = (connection.local_addr().unwrap(), connection.peer_addr().unwrap());
     let started = Instant::now();
--- a/crates/wingfold/examples/local_deployment.rs
+++ b/crates/wingfold/examples/local_deployment.rs
@@ -1,6 +1,6 @@
-//! A small deployment to try the director with: discovery and three hosts on 127.0.0.1, and a proxy that joins and
-//! prints every message it receives. `cargo run --example local_deployment` prints the command that starts the
-//! director.
+//! A small deployment to try the director with: discovery and three hosts on 127.0.0.1, and a proxy that
+//! joins and prints every message it receives. `cargo run --example local_deployment` prints the command that
+//! starts the director.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
--- a/crates/wingfold/tests/capture.rs
+++ b/crates/wingfold/tests/capture.rs
@@ -1,18 +1,18 @@
-//! The program with a capture: replays of what it served, kills and restarts, dumps from memory, two directors in one
-//! folder, and what the commands say and exit with.
+//! Captures of the running program: replay after a reload, a restart and a kill, dumps from memory, two
+//! directors with one directory, an unwritable disk, and the output and exit codes of the commands.
 
 mod common;
 
 use common::messages::{load_report, DRAINING};
 use common::{
-    printed, three_host_deployment, wait_until, wingfold, Client, Director, DirectorSetup, Discovery,
+    output_text, run_wingfold, three_host_deployment, wait_until, Client, Director, DirectorSetup, Discovery,
 };
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
 
-/// A directory of this test's own.
+/// An empty directory for one test.
 fn test_directory(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
@@ -20,87 +20,90 @@
     path
 }
 
-/// Starts the program with own settings.
-fn start(setup: &DirectorSetup, directory: &Path, own: &str) -> Director {
+/// Starts the program with these local settings.
+fn start(setup: &DirectorSetup, directory: &Path, local_settings: &str) -> Director {
     let path = directory.join("own.hcl");
-    std::fs::write(&path, own).unwrap();
-    setup.start_with_variables(&setup.config.to_string(), &[("WINGFOLD_OWN", path.display().to_string())])
+    std::fs::write(&path, local_settings).unwrap();
+    setup.start_with_environment(&setup.config.to_string(), &[("WINGFOLD_OWN", path.display().to_string())])
 }
 
-/// Lets a director hear some sums: s-2 answers nothing.
-fn some_traffic(director: &Director, collector: &mut Client) {
+/// Sends load reports in which every attempt at s-2 failed, so that s-2 is ejected.
+fn report_failing_host(director: &Director, collector: &mut Client) {
     for _ in 0..3 {
         let before = director.metric("answers_total");
         for (target, fail) in [("s-1", 0), ("s-2", 9), ("s-3", 0)] {
             collector.send(&load_report("a", target, 9, fail));
         }
-        wait_until("it has answered", || director.metric("answers_total") > before + 2);
+        wait_until("the load reports are processed", || director.metric("answers_total") > before + 2);
     }
 }
 
 #[test]
-fn a_directors_day_replays_over_a_reload_a_restart_and_a_kill() {
-    let directory = test_directory("day");
+fn capture_replays_equal_after_reload_restart_and_kill() {
+    let directory = test_directory("replay");
     let (discovery, setup) = three_host_deployment();
-    let own = format!(
-        "log {{\n  form = \"json\"\n}}\ncapture {{\n  enabled = true\n  directory = \"{}\"\n  flush = \"50ms\"\n}}\n",
+    let local_settings = format!(
+        "log {{\n  form = \"json\"\n}}\n\
+         capture {{\n  enabled = true\n  directory = \"{}\"\n  flush = \"50ms\"\n}}\n",
         directory.join("captures").display()
     );
     let capture = directory.join("captures").display().to_string();
 
-    let first = start(&setup, &directory, &own);
+    let first = start(&setup, &directory, &local_settings);
     let drain_call = serve_a_reload_and_a_drain(first, &discovery);
-    let report = assert_complete_and_equal(&capture);
-    assert!(report["calls"].as_u64().unwrap() >= drain_call, "{report}");
+    let first_report = assert_complete_and_equal(&capture);
+    assert!(first_report["calls"].as_u64().unwrap() >= drain_call, "{first_report}");
     assert_ejection_is_explained(&capture);
 
-    let second = start(&setup, &directory, &own);
+    let second = start(&setup, &directory, &local_settings);
     serve_until_killed(second);
-    let report_of_both = assert_killed_and_equal(&capture);
-    assert!(report_of_both["calls"].as_u64() > report["calls"].as_u64());
+    let second_report = assert_killed_and_equal(&capture);
+    assert!(second_report["calls"].as_u64() > first_report["calls"].as_u64());
 
     assert_can_be_kept_as_a_case(&capture, &directory.join("cases"));
     std::fs::remove_dir_all(directory).unwrap();
 }
 
-/// Lets a director serve a reload and a drain, and ends it: the number of the call that drained the host.
+/// Sends the director a reload, a drain of s-3 and SIGTERM. Returns the number of the call that drained s-3.
 fn serve_a_reload_and_a_drain(mut director: Director, discovery: &Discovery) -> u64 {
     let _proxy = director.connect_proxy_with_tables(0, "a");
     let mut collector = director.connect_collector("a");
-    some_traffic(&director, &mut collector);
+    report_failing_host(&director, &mut collector);
     director.send_signal("HUP");
-    wait_until("the reload is told", || director.log().contains("configuration read"));
+    wait_until("the reload is logged", || director.log().contains("configuration read"));
     discovery.set_host_state("s-3", DRAINING);
-    wait_until("the decision is in the log", || director.log().contains("host draining host=s-3"));
+    wait_until("the drain is logged", || director.log().contains("host draining host=s-3"));
     let line =
         director.log().lines().find(|line| line.contains("host draining host=s-3")).unwrap().to_string();
-    let line: Value = serde_json::from_str(&line).expect("each line is a JSON object");
-    let call = line["call"].as_u64().expect("a decision's line bears the number of its call");
+    let line: Value = serde_json::from_str(&line).expect("the log line is not a JSON object");
+    let call = line["call"].as_u64().expect("the line of a decision lacks the number of its call");
     director.send_signal("TERM");
     assert_eq!(director.wait_for_exit().code(), Some(0));
     call
 }
 
-/// Checks that a capture ended well, is complete and replays equal: the report of the replay.
+/// Checks that a capture is complete, was ended by its director and replays equal. Returns the replay's
+/// report.
 fn assert_complete_and_equal(capture: &str) -> Value {
-    let checked = wingfold(&["capture", "check", capture]);
-    assert_eq!(checked.status.code(), Some(0), "{}", printed(&checked));
+    let checked = run_wingfold(&["capture", "check", capture]);
+    assert_eq!(checked.status.code(), Some(0), "{}", output_text(&checked));
     assert_replays_equal(capture)
 }
 
+/// Checks that a capture replays without differences. Returns the replay's report.
 fn assert_replays_equal(capture: &str) -> Value {
-    let replayed = wingfold(&["replay", capture, "--json"]);
-    assert_eq!(replayed.status.code(), Some(0), "{}", printed(&replayed));
+    let replayed = run_wingfold(&["replay", capture, "--json"]);
+    assert_eq!(replayed.status.code(), Some(0), "{}", output_text(&replayed));
     let report: Value = serde_json::from_slice(&replayed.stdout).unwrap();
     assert!(report["differences"] == 0, "{report}");
     report
 }
 
-/// Checks that a capture explains why s-2 is ejected and that s-3 drains.
+/// Checks that `explain` shows why s-2 is ejected, and that s-3 drains.
 fn assert_ejection_is_explained(capture: &str) {
-    let explained = wingfold(&["explain", capture, "--host", "s-2", "--zone", "a"]);
-    assert_eq!(explained.status.code(), Some(0), "{}", printed(&explained));
-    let text = printed(&explained);
+    let explained = run_wingfold(&["explain", capture, "--host", "s-2", "--zone", "a"]);
+    assert_eq!(explained.status.code(), Some(0), "{}", output_text(&explained));
+    let text = output_text(&explained);
     for part in [
         "s-2 of a",
         "out until",
@@ -111,126 +114,130 @@
     ] {
         assert!(text.contains(part), "{part}: {text}");
     }
-    let explained = wingfold(&["explain", capture, "--host", "s-3", "--json"]);
+    let explained = run_wingfold(&["explain", capture, "--host", "s-3", "--json"]);
     let answer: Value = serde_json::from_slice(&explained.stdout).unwrap();
     assert_eq!(answer["hosts"][0]["view"]["standing"], "leaving");
 }
 
-/// Lets a director serve and kills it.
+/// Kills the director once its capture holds some calls.
 fn serve_until_killed(mut director: Director) {
     let _proxy = director.connect_proxy_with_tables(0, "a");
     let mut collector = director.connect_collector("a");
-    some_traffic(&director, &mut collector);
-    wait_until("calls are written", || director.metric("capture_bytes_total") > 2000);
+    report_failing_host(&director, &mut collector);
+    wait_until("the capture holds more than 2000 bytes", || director.metric("capture_bytes_total") > 2000);
     director.send_signal("KILL");
     director.wait_for_exit();
 }
 
-/// Checks that a capture shows that its director was killed, and replays equal: the report of the replay.
+/// Checks that a capture shows that its director was killed, and replays equal. Returns the replay's report.
 fn assert_killed_and_equal(capture: &str) -> Value {
-    let checked = wingfold(&["capture", "check", capture]);
-    assert_eq!(checked.status.code(), Some(1), "{}", printed(&checked));
-    assert!(printed(&checked).contains("not ended: its director was killed"), "{}", printed(&checked));
+    let checked = run_wingfold(&["capture", "check", capture]);
+    assert_eq!(checked.status.code(), Some(1), "{}", output_text(&checked));
+    assert!(
+        output_text(&checked).contains("not ended: its director was killed"),
+        "{}",
+        output_text(&checked)
+    );
     assert_replays_equal(capture)
 }
 
-/// Checks that a capture can be kept as a case, which then holds, and holds after it was accepted.
+/// Checks that a capture can be kept as a case, and that the case passes before and after `capture accept`.
 fn assert_can_be_kept_as_a_case(capture: &str, cases: &Path) {
     let cases = cases.display().to_string();
-    let keep = ["capture", "keep", capture, "--name", "a-day", "--into", &cases];
-    let kept = wingfold(&keep);
-    assert_eq!(kept.status.code(), Some(0), "{}", printed(&kept));
-    assert_eq!(wingfold(&keep).status.code(), Some(2), "a case is not written over");
-    let tested = wingfold(&["capture", "test", &cases]);
-    assert_eq!(tested.status.code(), Some(0), "{}", printed(&tested));
-    let accepted = wingfold(&["capture", "accept", &format!("{cases}/a-day")]);
-    assert_eq!(accepted.status.code(), Some(0), "{}", printed(&accepted));
-    assert_eq!(wingfold(&["capture", "test", &cases]).status.code(), Some(0));
+    let keep = ["capture", "keep", capture, "--name", "ejection", "--into", &cases];
+    let kept = run_wingfold(&keep);
+    assert_eq!(kept.status.code(), Some(0), "{}", output_text(&kept));
+    assert_eq!(run_wingfold(&keep).status.code(), Some(2), "an existing case must not be overwritten");
+    let tested = run_wingfold(&["capture", "test", &cases]);
+    assert_eq!(tested.status.code(), Some(0), "{}", output_text(&tested));
+    let accepted = run_wingfold(&["capture", "accept", &format!("{cases}/ejection")]);
+    assert_eq!(accepted.status.code(), Some(0), "{}", output_text(&accepted));
+    assert_eq!(run_wingfold(&["capture", "test", &cases]).status.code(), Some(0));
 }
 
-fn post(director: &Director, token: Option<&str>) -> String {
+/// Requests a dump with this token. Returns the complete response.
+fn request_dump(director: &Director, token: Option<&str>) -> String {
     let mut connection = TcpStream::connect(director.listen).unwrap();
     let token = token.map_or(String::new(), |token| format!("authorization: Bearer {token}\r\n"));
-    let head = format!(
+    let request = format!(
         "POST /capture/dump HTTP/1.1\r\nhost: d\r\n{token}content-length: 0\r\nconnection: close\r\n\r\n"
     );
-    connection.write_all(head.as_bytes()).unwrap();
-    let mut answer = String::new();
-    connection.read_to_string(&mut answer).unwrap();
-    answer
+    connection.write_all(request.as_bytes()).unwrap();
+    let mut response = String::new();
+    connection.read_to_string(&mut response).unwrap();
+    response
 }
 
 #[test]
-fn a_capture_in_memory_is_written_out_for_those_who_know_the_token() {
+fn memory_capture_is_dumped_only_with_the_right_token() {
     let directory = test_directory("dump");
     let (_discovery, setup) = three_host_deployment();
-    let token = "a word that nobody guesses";
-    let own = format!(
-        "capture {{\n  enabled = true\n  memory_mb = 2\n  flush = \"50ms\"\n  dump_directory = \"{}\"\n  dump_token = \"{token}\"\n}}\n",
+    let token = "a sufficiently long token";
+    let local_settings = format!(
+        "capture {{\n  enabled = true\n  memory_mb = 2\n  flush = \"50ms\"\n  \
+         dump_directory = \"{}\"\n  dump_token = \"{token}\"\n}}\n",
         directory.join("dumps").display()
     );
-    let director = start(&setup, &directory, &own);
+    let director = start(&setup, &directory, &local_settings);
     let _proxy = director.connect_proxy_with_tables(0, "a");
     let mut collector = director.connect_collector("a");
-    some_traffic(&director, &mut collector);
-    for wrong in [
-        None,
-        Some(""),
-        Some("a word that nobody guesse"),
-        Some("a word that nobody guessez"),
-        Some("Bearer"),
-    ] {
-        let answer = post(&director, wrong);
-        assert!(answer.starts_with("HTTP/1.1 401"), "{wrong:?}: {answer}");
+    report_failing_host(&director, &mut collector);
+    for wrong_token in
+        [None, Some(""), Some("a sufficiently long toke"), Some("a sufficiently long tokem"), Some("Bearer")]
+    {
+        let response = request_dump(&director, wrong_token);
+        assert!(response.starts_with("HTTP/1.1 401"), "{wrong_token:?}: {response}");
     }
-    assert!(!directory.join("dumps").exists(), "strangers cause nothing");
-    let answer = post(&director, Some(token));
-    assert!(answer.starts_with("HTTP/1.1 202"), "{answer}");
-    wait_until("it is written", || director.metric("capture_dumps_total") == 1);
-    let answer = post(&director, Some(token));
-    assert!(answer.starts_with("HTTP/1.1 429"), "{answer}");
-    let replayed = wingfold(&["replay", &directory.join("dumps").display().to_string()]);
-    assert_eq!(replayed.status.code(), Some(0), "{}", printed(&replayed));
+    assert!(!directory.join("dumps").exists(), "a request with a wrong token wrote a dump");
+    let response = request_dump(&director, Some(token));
+    assert!(response.starts_with("HTTP/1.1 202"), "{response}");
+    wait_until("the dump is written", || director.metric("capture_dumps_total") == 1);
+    let response = request_dump(&director, Some(token));
+    assert!(response.starts_with("HTTP/1.1 429"), "{response}");
+    let replayed = run_wingfold(&["replay", &directory.join("dumps").display().to_string()]);
+    assert_eq!(replayed.status.code(), Some(0), "{}", output_text(&replayed));
     assert!(director.http_get("/healthz").contains("200 OK"));
-    // Where nobody may ask there is no such page.
+    // Without a token in the settings the path does not exist.
     let (_discovery, other) = three_host_deployment();
     let director = start(&other, &directory, "capture {\n  enabled = true\n  memory_mb = 2\n}\n");
-    assert!(post(&director, Some(token)).starts_with("HTTP/1.1 404"));
+    assert!(request_dump(&director, Some(token)).starts_with("HTTP/1.1 404"));
     std::fs::remove_dir_all(directory).unwrap();
 }
 
 #[test]
-fn of_two_directors_with_one_name_and_folder_the_second_serves_without_a_capture() {
+fn second_director_with_same_name_and_directory_runs_uncaptured() {
     let directory = test_directory("two");
-    let own = format!(
+    let local_settings = format!(
         "capture {{\n  enabled = true\n  directory = \"{}\"\n}}\n",
         directory.join("captures").display()
     );
-    let (_one, first) = three_host_deployment();
-    let (_other, second) = three_host_deployment();
-    let first = start(&first, &directory, &own);
+    let (_first_discovery, first) = three_host_deployment();
+    let (_second_discovery, second) = three_host_deployment();
+    let first = start(&first, &directory, &local_settings);
     let _proxy = first.connect_proxy_with_tables(0, "a");
-    let second = start(&second, &directory, &own);
-    wait_until("the second says why", || second.log().contains("is written by another director"));
+    let second = start(&second, &directory, &local_settings);
+    wait_until("the second director logs the reason", || {
+        second.log().contains("is written by another director")
+    });
     let mut proxy = second.connect_proxy_with_tables(0, "a");
-    assert!(proxy.ping(), "it serves");
+    assert!(proxy.ping(), "the second director does not serve");
     assert!(second.metric("capture_failures_total") <= second.metric("answers_total"));
     std::fs::remove_dir_all(directory).unwrap();
 }
 
 #[test]
-fn a_disk_that_cannot_be_written_to_holds_no_director_up() {
+fn director_serves_when_the_capture_directory_is_unwritable() {
     let directory = test_directory("bad-disk");
-    // A file stands where the folder should be.
-    std::fs::write(directory.join("captures"), "in the way").unwrap();
-    let own = format!(
+    // A file has the name of the capture directory.
+    std::fs::write(directory.join("captures"), "not a directory").unwrap();
+    let local_settings = format!(
         "capture {{\n  enabled = true\n  directory = \"{}\"\n}}\n",
         directory.join("captures").display()
     );
     let (_discovery, setup) = three_host_deployment();
-    let mut director = start(&setup, &directory, &own);
+    let mut director = start(&setup, &directory, &local_settings);
     let mut proxy = director.connect_proxy_with_tables(0, "a");
-    wait_until("it says so", || director.log().contains("capture: cannot begin"));
+    wait_until("the failure is logged", || director.log().contains("capture: cannot begin"));
     assert!(proxy.ping());
     director.send_signal("TERM");
     assert_eq!(director.wait_for_exit().code(), Some(0));
@@ -238,70 +245,78 @@
 }
 
 #[test]
-fn own_settings_that_are_wrong_are_told_all_at_once_and_start_nothing() {
+fn invalid_local_settings_are_all_reported_and_prevent_the_start() {
     let directory = test_directory("own");
     let path = directory.join("own.hcl");
     std::fs::write(&path, "log {\n  form = \"xml\"\n}\ncapture {\n  enabled = true\n  memori_mb = 3\n}\n")
         .unwrap();
     let path = path.display().to_string();
     for arguments in [&["settings", "check", &path][..], &["serve", "--own", &path]] {
-        let output = wingfold(arguments);
-        let text = printed(&output);
+        let output = run_wingfold(arguments);
+        let text = output_text(&output);
         assert!(!output.status.success());
-        for part in [
+        for fault in [
             "own.hcl:2:3: key `log.form`",
             "own.hcl:6:3: key `capture.memori_mb`: is not known; did you mean `memory_mb`?",
             "own.hcl:4:1: key `capture`: needs `directory`",
         ] {
-            assert!(text.contains(part), "{part}: {text}");
+            assert!(text.contains(fault), "{fault}: {text}");
         }
     }
-    assert!(printed(&wingfold(&["serve", "--own", "no-such-file.hcl"])).contains("no-such-file.hcl"));
-    // More memory than half of what there is.
+    assert!(output_text(&run_wingfold(&["serve", "--own", "no-such-file.hcl"])).contains("no-such-file.hcl"));
+    // The capture may use half of the director's memory budget of 192 MB at most.
     let (_discovery, setup) = three_host_deployment();
-    let own = "capture {\n  enabled = true\n  memory_mb = 4000\n}\n";
-    std::fs::write(directory.join("large.hcl"), own).unwrap();
-    let vars = [("WINGFOLD_OWN", directory.join("large.hcl").display().to_string())];
+    let local_settings = directory.join("large.hcl");
+    std::fs::write(&local_settings, "capture {\n  enabled = true\n  memory_mb = 4000\n}\n").unwrap();
     let config = directory.join("config.json");
     std::fs::write(&config, setup.config.to_string()).unwrap();
     let mut director = Director::spawn(
         setup.listen,
         None,
-        &[vars[0].clone(), ("GW_CONFIG", config.display().to_string())],
+        &[
+            ("WINGFOLD_OWN", local_settings.display().to_string()),
+            ("GW_CONFIG", config.display().to_string()),
+        ],
         true,
     );
     assert!(!director.wait_for_exit().success());
-    wait_until("it has said why", || director.log().contains("key `capture`: its memory and queue take"));
+    wait_until("the reason is logged", || {
+        director.log().contains("key `capture`: its memory and queue take")
+    });
     std::fs::remove_dir_all(directory).unwrap();
 }
 
 #[test]
-fn commands_tell_by_their_exit_codes_what_came_of_them() {
+fn commands_return_the_documented_exit_codes() {
     let directory = test_directory("codes");
-    let nothing = directory.join("nothing").display().to_string();
+    let missing = directory.join("no-such-capture").display().to_string();
     let garbage = directory.join("garbage.wfcap");
     std::fs::write(&garbage, vec![7; 4000]).unwrap();
     let garbage = garbage.display().to_string();
-    let kept = concat!(env!("CARGO_MANIFEST_DIR"), "/../../captures/overload/capture.wfcap");
+    let capture = concat!(env!("CARGO_MANIFEST_DIR"), "/../../captures/overload/capture.wfcap");
     for (arguments, code, part) in [
-        (vec!["replay", &nothing], 2, "nothing"),
+        (vec!["replay", &missing], 2, "no-such-capture"),
         (vec!["replay", &garbage], 2, "no call could be replayed"),
         (vec!["capture", "check", &garbage], 1, "no sound head"),
-        (vec!["replay", kept], 0, "equal: every answer, every table, every state"),
-        (vec!["replay", kept, "--from", "+10s", "--until", "+20s"], 0, "equal"),
-        (vec!["replay", kept, "--from", "soon"], 2, "is no time"),
-        (vec!["explain", kept, "--host", "nobody"], 2, "no host `nobody`"),
-        (vec!["explain", kept, "--class", "video"], 2, "here are score, verdict"),
-        (vec!["explain", kept, "--proxy", "999"], 2, "not joined"),
-        (vec!["explain", kept, "--at", "+25s", "--proxy", "0", "--class", "verdict"], 0, "levels: verdict 1"),
+        (vec!["replay", capture], 0, "equal: every answer, every table, every state"),
+        (vec!["replay", capture, "--from", "+10s", "--until", "+20s"], 0, "equal"),
+        (vec!["replay", capture, "--from", "soon"], 2, "is no time"),
+        (vec!["explain", capture, "--host", "nobody"], 2, "no host `nobody`"),
+        (vec!["explain", capture, "--class", "video"], 2, "here are score, verdict"),
+        (vec!["explain", capture, "--proxy", "999"], 2, "not joined"),
+        (
+            vec!["explain", capture, "--at", "+25s", "--proxy", "0", "--class", "verdict"],
+            0,
+            "levels: verdict 1",
+        ),
         (vec!["emulate", "check", "no-such.hcl"], 2, "no-such.hcl"),
         (vec!["--help"], 0, "Examples:"),
         (vec!["completions", "bash"], 0, "_wingfold"),
         (vec!["fly"], 2, "unrecognized subcommand"),
     ] {
-        let output = wingfold(&arguments);
-        assert_eq!(output.status.code(), Some(code), "{arguments:?}: {}", printed(&output));
-        assert!(printed(&output).contains(part), "{arguments:?}: {}", printed(&output));
+        let output = run_wingfold(&arguments);
+        assert_eq!(output.status.code(), Some(code), "{arguments:?}: {}", output_text(&output));
+        assert!(output_text(&output).contains(part), "{arguments:?}: {}", output_text(&output));
     }
     std::fs::remove_dir_all(directory).unwrap();
 }
--- a/crates/wingfold/tests/common/mod.rs
+++ b/crates/wingfold/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Starts the program with scripted peers around it, each on a loopback address that no other test uses, and speaks to
-//! it as proxies, collectors and strangers do.
-#![allow(dead_code)] // Each test file uses a part of this.
+//! Starts the director program with scripted peers, on a loopback address that no other test uses, and
+//! connects to the director as proxies, collectors, operators and unidentified clients.
+#![allow(dead_code)] // Each test file uses only some of these items.
 
 pub mod messages;
 
@@ -17,75 +17,82 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Waits until something is so.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !holds() {
-        assert!(begun.elapsed() < TEST_TIMEOUT, "not seen in time: {what}");
+/// Polls a condition until it holds; panics with its description after `TEST_TIMEOUT`.
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(started.elapsed() < TEST_TIMEOUT, "condition not met in time: {description}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A director to be started: its addresses and its configuration.
+/// The listening address and the configuration of a director that is not started yet.
 pub struct DirectorSetup {
+    /// The address for proxies, collectors and operators.
     pub listen: SocketAddr,
+    /// The content of the configuration file.
     pub config: Value,
 }
 
 impl DirectorSetup {
+    /// A director with one peer; `known` is the endpoint list that the director starts with.
     pub fn new(ip: IpAddr, discovery: SocketAddr, known: Value) -> Self {
-        let (listen, peer, all) = (free_address(ip), free_address(ip), free_address(ip));
-        let other = free_address(ip);
+        let (listen, peer_listen) = (free_address(ip), free_address(ip));
+        let (peer, all_peers) = (free_address(ip), free_address(ip));
         let mut config = director_config(listen, discovery, known);
-        config["peer_listen"] = json!(peer.to_string());
-        config["peers"] = json!([peer.to_string(), other.to_string()]);
-        config["peers_all"] = json!(all.to_string());
+        config["peer_listen"] = json!(peer_listen.to_string());
+        config["peers"] = json!([peer_listen.to_string(), peer.to_string()]);
+        config["peers_all"] = json!(all_peers.to_string());
         DirectorSetup { listen, config }
     }
 
-    /// Starts the program and waits until it answers.
+    /// Starts the program and waits until a `PING` is answered.
     pub fn start(&self) -> Director {
         let director = self.spawn(&self.config.to_string(), true);
-        wait_until("the director answers", || {
-            Client::connect(self.listen).is_some_and(|mut client| client.ping())
-        });
+        self.wait_until_ready();
         director
     }
 
-    /// Starts the program with a configuration's text.
-    pub fn spawn(&self, text: &str, reads_log: bool) -> Director {
-        Director::spawn(self.listen, Some(self.write(text)), &[], reads_log)
+    /// Starts the program with this text as its configuration file.
+    pub fn spawn(&self, config_text: &str, read_log: bool) -> Director {
+        Director::spawn(self.listen, Some(self.write_config(config_text)), &[], read_log)
     }
 
-    /// Starts the program with variables besides, and waits until it answers.
-    pub fn start_with_variables(&self, text: &str, vars: &[(&str, String)]) -> Director {
-        let director = Director::spawn(self.listen, Some(self.write(text)), vars, true);
-        wait_until("the director answers", || {
-            Client::connect(self.listen).is_some_and(|mut client| client.ping())
-        });
+    /// Starts the program with this text as its configuration file and with further environment variables,
+    /// and waits until a `PING` is answered.
+    pub fn start_with_environment(&self, config_text: &str, environment: &[(&str, String)]) -> Director {
+        let config = self.write_config(config_text);
+        let director = Director::spawn(self.listen, Some(config), environment, true);
+        self.wait_until_ready();
         director
     }
 
-    /// Starts the program where the system gives it so many descriptors, and waits until it answers.
-    pub fn start_with_descriptor_limit(&self, most: u32) -> Director {
+    /// Starts the program with a limit on its open file descriptors, and waits until a `PING` is answered.
+    pub fn start_with_descriptor_limit(&self, max_descriptors: u32) -> Director {
         let mut command = Command::new("/bin/sh");
         command.args([
             "-c",
             "ulimit -n \"$1\" && exec \"$0\"",
             env!("CARGO_BIN_EXE_wingfold"),
-            &most.to_string(),
+            &max_descriptors.to_string(),
         ]);
-        let director =
-            Director::run(command, self.listen, Some(self.write(&self.config.to_string())), &[], true);
-        wait_until("the director answers", || {
+        let config = self.write_config(&self.config.to_string());
+        let director = Director::run(command, self.listen, Some(config), &[], true);
+        self.wait_until_ready();
+        director
+    }
+
+    /// Waits until the director answers a `PING`.
+    pub fn wait_until_ready(&self) {
+        wait_until("the director answers a PING", || {
             Client::connect(self.listen).is_some_and(|mut client| client.ping())
         });
-        director
     }
 
-    fn write(&self, text: &str) -> PathBuf {
-        static NEXT: AtomicU32 = AtomicU32::new(0);
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    /// Writes a configuration file under a name that no other test uses.
+    fn write_config(&self, text: &str) -> PathBuf {
+        static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let name = format!("config-{}-{number}.json", std::process::id());
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::write(&path, text).unwrap();
@@ -93,69 +100,77 @@
     }
 }
 
-/// The program, running.
+/// A running director process; killed when dropped.
 pub struct Director {
+    /// The address for proxies, collectors and operators.
     pub listen: SocketAddr,
     child: Child,
     log: Arc<Mutex<Vec<String>>>,
-    config: Option<PathBuf>,
+    config_path: Option<PathBuf>,
 }
 
 impl Director {
+    /// Starts the program. Without `read_log` nobody reads its standard error, to which it writes its log.
     pub fn spawn(
         listen: SocketAddr,
-        config: Option<PathBuf>,
-        vars: &[(&str, String)],
-        reads_log: bool,
+        config_path: Option<PathBuf>,
+        environment: &[(&str, String)],
+        read_log: bool,
     ) -> Self {
-        Director::run(Command::new(env!("CARGO_BIN_EXE_wingfold")), listen, config, vars, reads_log)
+        let command = Command::new(env!("CARGO_BIN_EXE_wingfold"));
+        Director::run(command, listen, config_path, environment, read_log)
     }
 
+    /// Runs a command that starts the program.
     fn run(
         mut command: Command,
         listen: SocketAddr,
-        config: Option<PathBuf>,
-        vars: &[(&str, String)],
-        reads_log: bool,
+        config_path: Option<PathBuf>,
+        environment: &[(&str, String)],
+        read_log: bool,
     ) -> Self {
-        command.env_clear().envs(vars.iter().cloned()).stdin(Stdio::null()).stderr(Stdio::piped());
-        if let Some(path) = &config {
+        command.env_clear().envs(environment.iter().cloned()).stdin(Stdio::null()).stderr(Stdio::piped());
+        if let Some(path) = &config_path {
             command.env("GW_CONFIG", path);
         }
         let mut child = command.spawn().unwrap();
         let log = Arc::new(Mutex::new(Vec::new()));
-        if reads_log {
+        if read_log {
             let (lines, stderr) = (log.clone(), BufReader::new(child.stderr.take().unwrap()));
             thread::spawn(move || {
-                stderr.lines().map_while(Result::ok).for_each(|l| lines.lock().unwrap().push(l))
+                stderr.lines().map_while(Result::ok).for_each(|line| lines.lock().unwrap().push(line))
             });
         }
-        Director { listen, child, log, config }
+        Director { listen, child, log, config_path }
     }
 
-    /// Replaces the configuration's file by another one of the same name.
+    /// Replaces the configuration file by a new file of the same name with this text.
     pub fn rewrite_config(&self, text: &str) {
-        let path = self.config.as_ref().expect("it has a file");
-        let new = path.with_extension("new");
-        std::fs::write(&new, text).unwrap();
-        std::fs::rename(new, path).unwrap();
+        let path = self.config_path.as_ref().expect("the director has no configuration file");
+        let new_path = path.with_extension("new");
+        std::fs::write(&new_path, text).unwrap();
+        std::fs::rename(new_path, path).unwrap();
     }
 
-    /// Puts another file in the configuration's place, and says where that is.
-    pub fn replace_config(&self, by: &std::path::Path) -> PathBuf {
-        let place = self.config.clone().expect("it has a file");
-        std::fs::rename(by, &place).unwrap();
-        place
+    /// Moves another file to the path of the configuration file, and returns that path.
+    pub fn replace_config(&self, replacement: &std::path::Path) -> PathBuf {
+        let path = self.config_path.clone().expect("the director has no configuration file");
+        std::fs::rename(replacement, &path).unwrap();
+        path
     }
 
+    /// Deletes the configuration file.
     pub fn remove_config(&self) {
-        std::fs::remove_file(self.config.as_ref().expect("it has a file")).unwrap();
+        let path = self.config_path.as_ref().expect("the director has no configuration file");
+        std::fs::remove_file(path).unwrap();
     }
 
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
+    /// The log lines read so far. A line arrives through a pipe, so it may show up after the effects of its
+    /// event.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().join("\n")
     }
@@ -164,70 +179,71 @@
         self.child.try_wait().unwrap().is_none()
     }
 
-    /// Waits for its end.
+    /// Waits until the process exits.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_until("the program ends", || {
+        wait_until("the program exits", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
         status.unwrap()
     }
 
+    /// Sends a signal, named without its `SIG`.
     pub fn send_signal(&self, name: &str) {
-        let kill = format!("kill -{name} {}", self.pid());
-        assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
+        let command = format!("kill -{name} {}", self.pid());
+        assert!(Command::new("sh").args(["-c", &command]).status().unwrap().success());
     }
 
-    /// Opens a connection.
+    /// Opens a connection that has not identified itself.
     pub fn connect(&self) -> Client {
-        Client::connect(self.listen).expect("the director takes connections")
+        Client::connect(self.listen).expect("the director refused a connection")
     }
 
-    /// A proxy that has joined.
+    /// Opens a connection and sends the `SUBSCRIBE` of a proxy.
     pub fn connect_proxy(&self, id: u32, zone: &str) -> Client {
         let mut client = self.connect();
         client.subscribe(id, zone);
         client
     }
 
-    /// A proxy that has joined and heard its first orders.
+    /// Connects a proxy and receives its first update.
     pub fn connect_proxy_with_tables(&self, id: u32, zone: &str) -> Client {
         let mut client = self.connect_proxy(id, zone);
         client.receive_update();
         client
     }
 
-    /// A collector that has named its zone.
+    /// Opens a connection and identifies it as a collector of a zone.
     pub fn connect_collector(&self, zone: &str) -> Client {
         let mut client = self.connect();
         client.send(&messages::collector_hello(zone));
         client
     }
 
-    /// An HTTP page of the director.
-    pub fn http_get(&self, page: &str) -> String {
+    /// The complete response, head included, to an HTTP request for this path.
+    pub fn http_get(&self, path: &str) -> String {
         let mut connection = TcpStream::connect(self.listen).unwrap();
         connection.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-        write!(connection, "GET {page} HTTP/1.1\r\nhost: d\r\nconnection: close\r\n\r\n").unwrap();
+        write!(connection, "GET {path} HTTP/1.1\r\nhost: d\r\nconnection: close\r\n\r\n").unwrap();
         let mut text = String::new();
         connection.read_to_string(&mut text).unwrap();
         text
     }
 
-    /// A figure of `/metrics`.
+    /// The value of a metric on `/metrics`; the name is given without `wingfold_`.
     pub fn metric(&self, name: &str) -> u64 {
-        let (text, start) = (self.http_get("/metrics"), format!("wingfold_{name} "));
-        let value = text.lines().find_map(|line| line.strip_prefix(&start));
-        value.unwrap_or_else(|| panic!("no figure {name} in {text}")).parse().unwrap()
+        let (text, prefix) = (self.http_get("/metrics"), format!("wingfold_{name} "));
+        let value = text.lines().find_map(|line| line.strip_prefix(&prefix));
+        value.unwrap_or_else(|| panic!("metric {name} is missing in {text}")).parse().unwrap()
     }
 
-    /// Descriptors that the process holds.
+    /// The number of file descriptors that the process has open.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.pid())).unwrap().count()
     }
 
-    /// Memory that the process holds, in KiB.
+    /// The resident memory of the process, in KiB.
     pub fn resident_memory_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
@@ -239,7 +255,7 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        if let Some(path) = &self.config {
+        if let Some(path) = &self.config_path {
             let _ = std::fs::remove_file(path);
         }
         if thread::panicking() {
@@ -248,20 +264,23 @@
     }
 }
 
-/// What a proxy holds after orders: the table and the level of each class. It refuses what a proxy refuses.
+/// The state of a proxy after updates. Panics at an update that a proxy would refuse.
 #[derive(Debug, Default, PartialEq)]
 pub struct ProxyTables {
+    /// The table of each class: the weight of each host.
     pub entries: BTreeMap<String, BTreeMap<String, f64>>,
+    /// The admission level of each class and the code of its retry policy.
     pub levels: BTreeMap<String, (f64, u64)>,
 }
 
 impl ProxyTables {
+    /// Applies the parts of an update. A part that names no class applies to all classes.
     pub fn apply(&mut self, parts: &[Value]) {
-        let words = |value: &Value| -> Vec<String> {
+        let strings = |value: &Value| -> Vec<String> {
             value.as_array().into_iter().flatten().map(|v| v.as_str().unwrap().to_string()).collect()
         };
         for part in parts {
-            let named = words(&part["classes"]);
+            let named = strings(&part["classes"]);
             let classes = if named.is_empty() { vec!["lookup".into(), "order".into()] } else { named };
             for class in classes {
                 let table = self.entries.entry(class.clone()).or_default();
@@ -271,15 +290,19 @@
                 }
                 for entry in part["lines"].as_array().into_iter().flatten() {
                     let (host, weight) = (entry[0].as_str().unwrap(), entry[1].as_f64().unwrap());
-                    assert!(weight >= 0.0);
+                    assert!(weight >= 0.0, "negative weight: {part}");
                     match weight > 0.0 {
                         true => table.insert(host.into(), weight),
                         false => table.remove(host),
                     };
                 }
-                assert_eq!(part["level"].is_null(), part["retry"].is_null(), "level and retry come together");
+                assert_eq!(
+                    part["level"].is_null(),
+                    part["retry"].is_null(),
+                    "level without retry, or retry without level: {part}"
+                );
                 if let Some(level) = part["level"].as_f64() {
-                    assert!(level >= 0.0);
+                    assert!(level >= 0.0, "negative level: {part}");
                     self.levels.insert(class, (level, part["retry"].as_u64().unwrap()));
                 }
             }
@@ -292,7 +315,7 @@
     }
 }
 
-/// Three hosts in zone a, and a director that remembers them.
+/// Three hosts in zone a, and a director that starts with their endpoint list.
 pub fn three_host_deployment() -> (Discovery, DirectorSetup) {
     let ip = unique_loopback_ip();
     let hosts = ["s-1", "s-2", "s-3"].map(|id| endpoint(id, Host::start(ip, Some("{}")).addr, "a"));
@@ -301,12 +324,12 @@
     (discovery, setup)
 }
 
-/// Runs a command of the program.
-pub fn wingfold(arguments: &[&str]) -> Output {
+/// Runs the program with these arguments until it exits.
+pub fn run_wingfold(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_wingfold")).args(arguments).env_clear().output().unwrap()
 }
 
-/// What a command has printed: its output, then its errors.
-pub fn printed(output: &Output) -> String {
+/// The standard output of a command, followed by its standard error.
+pub fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
