--- a/crates/wingfold/tests/commands.rs
+++ b/crates/wingfold/tests/commands.rs
@@ -1,18 +1,19 @@
-//! The words of the command line: commands that were renamed still answer to their earlier words.
+//! Names of commands: commands that were renamed still run under their earlier names.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// Each renamed command: its word and its earlier word.
+/// Each renamed command: its name and its earlier name.
 const RENAMED: [(&str, &str); 4] =
     [("emulate", "lab"), ("explain", "why"), ("metrics", "figures"), ("settings", "own")];
 
-fn wingfold(arguments: &[&str]) -> Output {
+/// Runs the program with these arguments until it exits.
+fn run_wingfold(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_wingfold")).args(arguments).env_clear().output().unwrap()
 }
 
-/// What a command prints, and whether it printed on standard output or on standard error.
-fn printed(output: &Output) -> (String, String) {
+/// The standard output and the standard error of a command.
+fn output_texts(output: &Output) -> (String, String) {
     let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).unwrap();
     (text(&output.stdout), text(&output.stderr))
 }
@@ -22,20 +23,21 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..").join(name).display().to_string()
 }
 
-/// Checks that a command exits with this code and prints this, and does both in the same way by its earlier word.
-fn assert_same_by_both_words(word: &str, arguments: &[&str], code: i32, part: &str) {
-    let (_, earlier_word) = RENAMED.into_iter().find(|(new, _)| *new == word).unwrap();
-    let output = wingfold(&[&[word], arguments].concat());
-    let earlier_output = wingfold(&[&[earlier_word], arguments].concat());
-    let text = printed(&output);
-    assert_eq!(output.status.code(), Some(code), "{word} {arguments:?}: {text:?}");
-    assert!(text.0.contains(part) || text.1.contains(part), "{word} {arguments:?}: {text:?}");
-    assert_eq!(earlier_output.status.code(), Some(code), "{earlier_word} {arguments:?}");
-    assert_eq!(printed(&earlier_output), text, "{earlier_word} {arguments:?}");
+/// Checks the exit code of a command and a part of its output, and that the command has the same exit code
+/// and output under its earlier name.
+fn assert_same_under_both_names(name: &str, arguments: &[&str], code: i32, part: &str) {
+    let (_, earlier_name) = RENAMED.into_iter().find(|(new, _)| *new == name).unwrap();
+    let output = run_wingfold(&[&[name], arguments].concat());
+    let earlier_output = run_wingfold(&[&[earlier_name], arguments].concat());
+    let texts = output_texts(&output);
+    assert_eq!(output.status.code(), Some(code), "{name} {arguments:?}: {texts:?}");
+    assert!(texts.0.contains(part) || texts.1.contains(part), "{name} {arguments:?}: {texts:?}");
+    assert_eq!(earlier_output.status.code(), Some(code), "{earlier_name} {arguments:?}");
+    assert_eq!(output_texts(&earlier_output), texts, "{earlier_name} {arguments:?}");
 }
 
 #[test]
-fn earlier_words_of_commands_do_and_print_the_same() {
+fn renamed_commands_behave_the_same_under_their_earlier_names() {
     let capture = repository_file("captures/overload/capture.wfcap");
     let settings = repository_file("deploy/wingfold.hcl");
     let scenario = repository_file("crates/wingfold-emulator/scenarios/example.hcl");
@@ -54,32 +56,32 @@
         ("settings", &["check", &scenario], 2, "is not known"),
         ("settings", &["check"], 2, "Usage: wingfold settings check <FILE>"),
     ];
-    for (word, arguments, code, part) in cases {
-        assert_same_by_both_words(word, arguments, code, part);
+    for (name, arguments, code, part) in cases {
+        assert_same_under_both_names(name, arguments, code, part);
     }
 }
 
 #[test]
-fn help_is_the_same_by_both_words_and_names_both() {
-    let (help, _) = printed(&wingfold(&["--help"]));
-    for (word, earlier_word) in RENAMED {
-        assert_same_by_both_words(word, &["--help"], 0, &format!("Usage: wingfold {word}"));
-        let line = help.lines().find(|line| line.trim_start().starts_with(word)).unwrap();
-        assert!(line.contains(&format!("[alias: {earlier_word}]")), "{line}");
+fn help_is_the_same_under_both_names_and_shows_both() {
+    let (help, _) = output_texts(&run_wingfold(&["--help"]));
+    for (name, earlier_name) in RENAMED {
+        assert_same_under_both_names(name, &["--help"], 0, &format!("Usage: wingfold {name}"));
+        let line = help.lines().find(|line| line.trim_start().starts_with(name)).unwrap();
+        assert!(line.contains(&format!("[alias: {earlier_name}]")), "{line}");
     }
 }
 
 #[test]
-fn completions_know_both_words() {
-    let (bash, _) = printed(&wingfold(&["completions", "bash"]));
-    for word in RENAMED.into_iter().flat_map(|(word, earlier_word)| [word, earlier_word]) {
-        assert!(bash.contains(&format!("wingfold,{word})")), "bash: {word}");
+fn completions_include_both_names() {
+    let (bash, _) = output_texts(&run_wingfold(&["completions", "bash"]));
+    for name in RENAMED.into_iter().flat_map(|(name, earlier_name)| [name, earlier_name]) {
+        assert!(bash.contains(&format!("wingfold,{name})")), "bash: {name}");
     }
     for shell in ["bash", "elvish", "fish", "powershell", "zsh"] {
-        let (script, _) = printed(&wingfold(&["completions", shell]));
-        for word in RENAMED.into_iter().flat_map(|(word, earlier_word)| [word, earlier_word]) {
-            let mut words = script.split(|c: char| !c.is_ascii_alphanumeric());
-            assert!(words.any(|found| found == word), "{shell}: {word}");
+        let (script, _) = output_texts(&run_wingfold(&["completions", shell]));
+        for name in RENAMED.into_iter().flat_map(|(name, earlier_name)| [name, earlier_name]) {
+            let mut tokens = script.split(|c: char| !c.is_ascii_alphanumeric());
+            assert!(tokens.any(|token| token == name), "{shell}: {name}");
         }
     }
 }
--- a/crates/wingfold/tests/scale.rs
+++ b/crates/wingfold/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The smallest step of a scale run, on this build of the program: simulated directors do as the real ones, every
-//! change reaches all of them, what fails is named, and nothing is left running.
+//! The smallest step of a scale run with this build of the program: simulated directors behave like real
+//! ones, every change reaches all directors, failures are named, and no process is left running.
 
 use std::future::pending;
 use std::os::unix::fs::symlink;
@@ -15,39 +15,40 @@
 use wingfold_scale::run::{Run, RunError, Timeouts};
 use wingfold_scale::script::FaultPlan;
 
-const REAL: usize = 2;
+/// Number of real directors in each run.
+const REAL_DIRECTORS: usize = 2;
 
-/// One run at a time: a plan counts the descriptors of the whole process.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::const_new(());
+/// Lets one run proceed at a time, because a plan counts the descriptors of the whole process.
+static RUN_LOCK: Mutex<()> = Mutex::const_new(());
 
-/// A run on the smallest step, of the program under a name of its own.
-fn smallest(name: &str, seconds: u64, fault: Fault) -> Run {
+/// A run of the smallest step. The program gets a path of its own, by which the test finds its processes.
+fn smallest_run(name: &str, seconds: u64, fault: Fault) -> Run {
     let program = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("scale-{name}"));
     let _ = std::fs::remove_file(&program);
     symlink(env!("CARGO_BIN_EXE_wingfold"), &program).unwrap();
     Run {
-        plan: Plan::new(Step::Sixteenth, REAL, Duration::from_secs(seconds), 1).unwrap(),
+        plan: Plan::new(Step::Sixteenth, REAL_DIRECTORS, Duration::from_secs(seconds), 1).unwrap(),
         program,
         fault: FaultPlan { fault, duration: Duration::from_secs(600) },
         timeouts: Timeouts::default(),
     }
 }
 
-/// The processes that run this program.
+/// The ids of the processes that run this program.
 fn processes_of(program: &Path) -> Vec<u32> {
-    let runs = |pid: &u32| {
+    let runs_program = |pid: &u32| {
         let line = std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
         line.split(|byte| *byte == 0).next() == Some(program.as_os_str().as_encoded_bytes())
     };
-    let all = std::fs::read_dir("/proc").unwrap().flatten();
-    all.filter_map(|entry| entry.file_name().to_str()?.parse().ok()).filter(runs).collect()
+    let processes = std::fs::read_dir("/proc").unwrap().flatten();
+    processes.filter_map(|entry| entry.file_name().to_str()?.parse().ok()).filter(runs_program).collect()
 }
 
-/// Waits until all real directors run.
-async fn all_run(program: &Path) -> Vec<u32> {
+/// Waits until all real directors run, and returns their process ids.
+async fn wait_for_real_directors(program: &Path) -> Vec<u32> {
     loop {
         let processes = processes_of(program);
-        if processes.len() == REAL {
+        if processes.len() == REAL_DIRECTORS {
             return processes;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -55,28 +56,28 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn on_the_smallest_step_hollow_directors_do_as_real_ones_and_every_change_arrives() {
-    let _alone = ONE_AT_A_TIME.lock().await;
-    let run = smallest("calm", 6, Fault::None);
+async fn simulated_and_real_directors_agree_and_receive_every_change() {
+    let _run_guard = RUN_LOCK.lock().await;
+    let run = smallest_run("without-fault", 6, Fault::None);
     let report = run.play(pending()).await.unwrap();
     println!("{report}");
     assert_eq!(report.differences(), Vec::<&Comparison>::new());
     let (simulated, changes) = (report.fleet_size.simulated_directors(), report.list_changes as usize);
-    assert!(changes >= 5, "{changes} changes of the list");
+    assert!(changes >= 5, "only {changes} changes of the list");
     assert_eq!(report.delays.start.count, simulated);
-    assert_eq!(report.delays.list_to_real.count, REAL * changes);
+    assert_eq!(report.delays.list_to_real.count, REAL_DIRECTORS * changes);
     assert_eq!(report.delays.configuration_to_simulated.count, simulated);
-    assert_eq!(report.delays.configuration_to_real.count, REAL);
+    assert_eq!(report.delays.configuration_to_real.count, REAL_DIRECTORS);
     assert!(report.delays.list_to_proxies.count > 0);
     assert_eq!(report.delays.stale_uses, 0);
     assert!(
         report.health_checks.mean_per_host > 1.0,
-        "{} probes a second at a host",
+        "{} health checks a second at a host",
         report.health_checks.mean_per_host
     );
-    let (held, planned) = (report.simulation_process.peak_descriptors, report.estimate.descriptors);
-    assert!(held <= planned, "{held} descriptors where {planned} were planned");
-    assert_eq!(report.real.len(), REAL);
+    let (peak, planned) = (report.simulation_process.peak_descriptors, report.estimate.descriptors);
+    assert!(peak <= planned, "{peak} descriptors where {planned} were planned");
+    assert_eq!(report.real.len(), REAL_DIRECTORS);
     for real in &report.real {
         assert!(
             real.processor_s > 0.0 && real.peak_memory_mib > 1.0 && real.peak_descriptors > 48,
@@ -88,9 +89,9 @@
 }
 
 #[tokio::test]
-async fn a_quarter_of_the_directors_restarts_and_all_have_the_list_again() {
-    let _alone = ONE_AT_A_TIME.lock().await;
-    let run = smallest("restarted", 4, Fault::RestartQuarter);
+async fn restarted_quarter_of_the_directors_gets_the_list_again() {
+    let _run_guard = RUN_LOCK.lock().await;
+    let run = smallest_run("restarted", 4, Fault::RestartQuarter);
     let report = run.play(pending()).await.unwrap();
     let (simulated, restarted) = (report.fleet_size.simulated_directors(), 7);
     assert_eq!(report.delays.start.count, simulated + restarted);
@@ -98,15 +99,15 @@
 }
 
 #[tokio::test]
-async fn a_real_director_that_dies_is_named_and_nothing_is_left_running() {
-    let _alone = ONE_AT_A_TIME.lock().await;
-    let run = smallest("killed", 20, Fault::None);
-    let kills_one = async {
-        let victim = all_run(&run.program).await[0].to_string();
-        assert!(Command::new("kill").args(["-KILL", &victim]).status().unwrap().success());
+async fn killed_real_director_is_named_and_no_process_is_left() {
+    let _run_guard = RUN_LOCK.lock().await;
+    let run = smallest_run("killed", 20, Fault::None);
+    let kill_one = async {
+        let process = wait_for_real_directors(&run.program).await[0].to_string();
+        assert!(Command::new("kill").args(["-KILL", &process]).status().unwrap().success());
         pending().await
     };
-    match run.play(kills_one).await {
+    match run.play(kill_one).await {
         Err(RunError::Fleet(FleetError::Real(RealDirectorError::Ended { name, .. }))) => {
             assert!(name.starts_with('n'))
         }
@@ -116,22 +117,25 @@
 }
 
 #[tokio::test]
-async fn an_interrupted_run_leaves_nothing_running() {
-    let _alone = ONE_AT_A_TIME.lock().await;
-    let run = smallest("interrupted", 20, Fault::None);
-    let interrupted = async { drop(all_run(&run.program).await) };
+async fn interrupted_run_leaves_no_process() {
+    let _run_guard = RUN_LOCK.lock().await;
+    let run = smallest_run("interrupted", 20, Fault::None);
+    let interrupted = async { drop(wait_for_real_directors(&run.program).await) };
     assert!(matches!(run.play(interrupted).await, Err(RunError::Interrupted)));
     assert_eq!(processes_of(&run.program), Vec::<u32>::new());
 }
 
 #[tokio::test]
-async fn a_discovery_that_stays_down_fails_the_run_by_the_directors_behind() {
-    let _alone = ONE_AT_A_TIME.lock().await;
-    let mut run = smallest("down", 2, Fault::DiscoveryDown);
+async fn run_with_discovery_down_fails_with_the_directors_behind() {
+    let _run_guard = RUN_LOCK.lock().await;
+    let mut run = smallest_run("down", 2, Fault::DiscoveryDown);
     run.timeouts.settle = Duration::from_secs(1);
     match run.play(pending()).await {
         Err(RunError::Behind { behind, rejected, .. }) => {
-            assert!(behind == 30 && rejected > 0, "{behind}, {rejected}")
+            assert!(
+                behind == 30 && rejected > 0,
+                "{behind} directors behind, discovery rejected the last request of {rejected}"
+            )
         }
         other => panic!("{other:?}"),
     }
@@ -139,16 +143,16 @@
 }
 
 #[tokio::test]
-async fn a_program_that_is_missing_or_never_answers_is_named() {
-    let _alone = ONE_AT_A_TIME.lock().await;
-    let mut run = smallest("unready", 5, Fault::None);
+async fn missing_exiting_or_unresponsive_program_is_reported() {
+    let _run_guard = RUN_LOCK.lock().await;
+    let mut run = smallest_run("unready", 5, Fault::None);
     std::fs::remove_file(&run.program).unwrap();
     let missing = run.play(pending()).await;
     assert!(
         matches!(missing, Err(RunError::Fleet(FleetError::Real(RealDirectorError::Start { .. })))),
         "{missing:?}"
     );
-    // One that runs and listens nowhere.
+    // Without arguments `sleep` exits at once.
     symlink("/bin/sleep", &run.program).unwrap();
     let ended = run.play(pending()).await;
     assert!(
@@ -156,17 +160,17 @@
         "{ended:?}"
     );
     std::fs::remove_file(&run.program).unwrap();
-    silent_program(&run.program);
+    write_unresponsive_program(&run.program);
     run.timeouts.ready = Duration::from_millis(300);
     let unready = run.play(pending()).await;
-    let named = |error: &RunError| error.to_string().starts_with("n0 was not ready");
-    assert!(unready.as_ref().is_err_and(named), "{unready:?}");
+    let is_not_ready = |error: &RunError| error.to_string().starts_with("n0 was not ready");
+    assert!(unready.as_ref().is_err_and(is_not_ready), "{unready:?}");
     assert_eq!(processes_of(&run.program), Vec::<u32>::new());
 }
 
-/// Writes a program that runs for a minute and does nothing.
-fn silent_program(at: &Path) {
+/// Writes a program that runs for a minute and never listens.
+fn write_unresponsive_program(path: &Path) {
     use std::os::unix::fs::PermissionsExt;
-    std::fs::write(at, "#!/bin/sh\nexec /bin/sleep 60\n").unwrap();
-    std::fs::set_permissions(at, std::fs::Permissions::from_mode(0o755)).unwrap();
+    std::fs::write(path, "#!/bin/sh\nexec /bin/sleep 60\n").unwrap();
+    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o755)).unwrap();
 }
