--- a/crates/wingfold-director/src/policy/admission.rs
+++ b/crates/wingfold-director/src/policy/admission.rs
@@ -12,7 +12,8 @@
 pub(crate) const SATURATED_UTILIZATION: f64 = 0.92;
 /// Queueing delay at the target utilization, as a ratio of the tightest latency objective.
 const TARGET_QUEUEING_DELAY_RATIO: f64 = 0.2;
-/// Largest median loss ratio that is added to the offered load of saturated hosts.
+/// Upper bound of the median loss ratio by which the load of saturated hosts counts as higher than their
+/// utilization shows.
 const MAX_HIDDEN_LOAD_RATIO: f64 = 0.5;
 /// Ratio of the requests of each class that is always admitted.
 const MIN_CLASS_QUOTA: f64 = 0.05;
@@ -90,8 +91,8 @@
         capacity
     }
 
-    /// Updates the latency without load, and returns the present queueing delay (the latency beyond it) as a
-    /// ratio of the tightest latency objective.
+    /// Updates the latency without load. Returns the queueing delay, by which the present latency exceeds the
+    /// latency without load, as a ratio of the tightest latency objective.
     fn update_queueing_delay_ratio(&mut self, latency_ms: f64) -> f64 {
         let unloaded_ms = self.unloaded_latency_ms.map_or(latency_ms, |known| known.min(latency_ms));
         self.unloaded_latency_ms = Some(unloaded_ms);
@@ -144,14 +145,14 @@
         }
         let classes = 0..self.settings.classes.len();
         let total_load: f64 = classes.clone().map(|other| self.class_load(other)).sum();
-        let prior_load: f64 = classes
+        let higher_priority_load: f64 = classes
             .filter(|other| self.priority_per_load(*other) > self.priority_per_load(class))
             .map(|other| self.class_load(other))
             .sum();
         // Without reported usage no class is limited.
         let total_load = if total_load <= 0.0 { f64::INFINITY } else { total_load };
-        let quota =
-            (self.admission_ratio * total_load - prior_load) / self.class_load(class).max(MIN_DIVISOR);
+        let quota = (self.admission_ratio * total_load - higher_priority_load)
+            / self.class_load(class).max(MIN_DIVISOR);
         quota.clamp(MIN_CLASS_QUOTA, 1.0)
     }
 
--- a/crates/wingfold-director/src/policy/capacity.rs
+++ b/crates/wingfold-director/src/policy/capacity.rs
@@ -8,7 +8,7 @@
 use crate::statistics::median;
 use std::collections::BTreeMap;
 
-/// Median utilization of a machine type from which its speed is estimated: below it, the cost of health
+/// Median utilization of a machine type from which its speed is estimated: at a lower utilization, health
 /// checks and chance outweigh the effect of the load.
 const MIN_MEANINGFUL_UTILIZATION: f64 = 0.25;
 /// Number of hosts of a machine type with comparable utilization from which its speed is estimated.
@@ -53,7 +53,8 @@
             .collect()
     }
 
-    /// The speed of a machine type by the utilization of its hosts; `None` if their median is too low.
+    /// The speed of a machine type by the utilization of its hosts; `None` if the median utilization is too
+    /// low for an estimate.
     fn speed_estimate(&self, machine_type: &str, utilizations: Vec<f64>) -> Option<SpeedEstimate> {
         let utilization = median(utilizations.into_iter())?;
         let is_meaningful = utilization >= MIN_MEANINGFUL_UTILIZATION;
--- a/crates/wingfold-director/src/policy/endpoint_list.rs
+++ b/crates/wingfold-director/src/policy/endpoint_list.rs
@@ -130,7 +130,7 @@
         let poll = if self.settings.endpoint_list_on_request {
             Action::WatchEndpoints(true)
         } else {
-            // Later changes are pushed unasked, but the cached list may be outdated.
+            // Changes are pushed without a request, but the cached list may be outdated.
             Action::FetchEndpoints
         };
         actions.push(poll);
@@ -156,7 +156,7 @@
         (growth * self.settings.poll_within.secs() / 2.0).max(MIN_LONGEST_BACKOFF_S)
     }
 
-    /// Makes the endpoint list be polled at once, since discovery has another address.
+    /// Schedules an immediate poll of the endpoint list, since discovery has another address.
     pub(crate) fn restart_endpoint_list_poll(&mut self) {
         self.endpoint_list_requested = false;
         self.next_poll_at = self.now;
--- a/crates/wingfold-director/src/policy/locality.rs
+++ b/crates/wingfold-director/src/policy/locality.rs
@@ -80,7 +80,7 @@
     }
 
     /// Demand of a zone's proxies. Where proxies connect to directors of their own zone, a director gets
-    /// usage reports from one zone only, so that its usage can't be compared with other zones'. The listed
+    /// usage reports from its own zone only, which would count as the demand of the whole fleet. The listed
     /// weight of a zone's hosts stands for its demand then, since machines are placed where requests arrive.
     fn zone_demand(&self, name: &ZoneId, own_hosts: &[(&HostId, &Host)]) -> f64 {
         let sees_own_zone_only = self.settings.local_first && self.settings.directors > 1;
--- a/crates/wingfold-director/src/policy/outlier_detection.rs
+++ b/crates/wingfold-director/src/policy/outlier_detection.rs
@@ -70,7 +70,8 @@
 pub(crate) struct HostUsage {
     /// Whether the host is healthy and has too few consecutive failures to be ejected.
     pub(crate) is_in_use: bool,
-    /// Ratio of its recent attempts that failed; `None` if there were too few, or if it is not in use.
+    /// Ratio of the host's recent attempts that failed; `None` if there were too few attempts, or if the host
+    /// is not in use.
     pub(crate) loss_ratio: Option<f64>,
 }
 
@@ -96,12 +97,12 @@
         }
     }
 
-    /// Whether at least as many hosts respond as fail, and any was reported.
+    /// Whether at least one host was reported, and at least as many hosts respond as fail.
     fn mostly_responds(&self) -> bool {
         self.responding_hosts + self.failing_hosts > 0 && self.responding_hosts >= self.failing_hosts
     }
 
-    /// Whether all reported hosts fail, with enough failures in all.
+    /// Whether all reported hosts fail, with enough failures in total to call the zone unreachable.
     fn is_unreachable(&self) -> bool {
         self.consecutive_failures >= UNREACHABLE_ZONE_FAILURES && self.responding_hosts == 0
     }
--- a/crates/wingfold-director/src/policy/push.rs
+++ b/crates/wingfold-director/src/policy/push.rs
@@ -124,22 +124,22 @@
     fn push_changes(
         &mut self,
         zone: &mut Zone,
-        shared: &ZoneTableInputs,
+        zone_inputs: &ZoneTableInputs,
         group: usize,
         subset_index: usize,
         out: &mut Vec<Action>,
     ) {
-        let conditions = self.push_conditions(zone, shared, group);
+        let conditions = self.push_conditions(zone, zone_inputs, group);
         let subset = &zone.subsets[subset_index];
         let table = &subset.tables[group];
         let loss_is_common = zone.baseline_loss >= COMMON_LOSS_RATIO;
-        let inputs = TableInputs::new(shared, subset, table, loss_is_common, conditions.with_standby);
+        let inputs = TableInputs::new(zone_inputs, subset, table, loss_is_common, conditions.with_standby);
         if table.up_to_date.is_current(&inputs, self.now) {
             return;
         }
-        let plan = self.plan_table(zone, shared, group, subset, table.peak_weight);
-        let levels = self.planned_admission_levels(shared, group);
-        let proxies = &shared.proxies_by_subset[subset_index];
+        let plan = self.plan_table(zone, zone_inputs, group, subset, table.peak_weight);
+        let levels = self.planned_admission_levels(zone_inputs, group);
+        let proxies = &zone_inputs.proxies_by_subset[subset_index];
         let pending = PendingPush {
             proxies,
             plan: &plan,
@@ -148,7 +148,7 @@
             admission_levels: levels,
         };
         let is_up_to_date = pending.is_empty();
-        let Some(push) = self.select_push(zone, shared, &conditions, pending) else { return };
+        let Some(push) = self.select_push(zone, zone_inputs, &conditions, pending) else { return };
         if push.replaces_table {
             zone.standby_paused_until = self.seconds_from_now(RANKING_COOLDOWN_S);
         }
@@ -167,46 +167,46 @@
     }
 
     /// The conditions that all tables of a zone and a group of classes share.
-    fn push_conditions(&self, zone: &Zone, shared: &ZoneTableInputs, group: usize) -> PushConditions {
-        let is_join_burst = self.is_join_burst(shared, group);
+    fn push_conditions(&self, zone: &Zone, zone_inputs: &ZoneTableInputs, group: usize) -> PushConditions {
+        let is_join_burst = self.is_join_burst(zone_inputs, group);
         PushConditions {
             is_join_burst,
-            with_standby: !is_join_burst && self.allows_standby_entries(zone, shared, group),
-            least_priority: self.least_priority(shared, is_join_burst),
+            with_standby: !is_join_burst && self.allows_standby_entries(zone, zone_inputs, group),
+            least_priority: self.least_priority(zone_inputs, is_join_burst),
         }
     }
 
     /// Whether the tables that waiting proxies need would exceed the in-flight limit of ordinary changes.
-    fn is_join_burst(&self, shared: &ZoneTableInputs, group: usize) -> bool {
-        let table_lines = shared.eligible[group].len() * self.class_groups.len();
-        let needed_lines = self.send_queue.queued_lines + (shared.waiting_proxies * table_lines) as f64;
-        shared.waiting_proxies > 0 && needed_lines > self.in_flight_limit(PushPriority::ORDINARY)
+    fn is_join_burst(&self, zone_inputs: &ZoneTableInputs, group: usize) -> bool {
+        let table_lines = zone_inputs.eligible[group].len() * self.class_groups.len();
+        let needed_lines = self.send_queue.queued_lines + (zone_inputs.waiting_proxies * table_lines) as f64;
+        zone_inputs.waiting_proxies > 0 && needed_lines > self.in_flight_limit(PushPriority::ORDINARY)
     }
 
     /// Whether a zone's tables may have standby entries. Not where hosts have refused connections, since
     /// standby entries need more of them; and not where sending all entries takes longer than a cooldown,
     /// since standby entries would never be complete and would delay all other changes.
-    fn allows_standby_entries(&self, zone: &Zone, shared: &ZoneTableInputs, group: usize) -> bool {
-        let all_entries = self.proxies.len() * shared.eligible[group].len() * self.class_groups.len();
+    fn allows_standby_entries(&self, zone: &Zone, zone_inputs: &ZoneTableInputs, group: usize) -> bool {
+        let all_entries = self.proxies.len() * zone_inputs.eligible[group].len() * self.class_groups.len();
         let send_time_s = all_entries as f64 / self.settings.send_rate_lines_per_s;
         send_time_s <= RANKING_COOLDOWN_S && zone.requests_per_connection <= MIN_REQUESTS_PER_CONNECTION
     }
 
     /// The admission level of each class of a group.
-    fn planned_admission_levels(&self, shared: &ZoneTableInputs, group: usize) -> Vec<ClassAdmission> {
+    fn planned_admission_levels(&self, zone_inputs: &ZoneTableInputs, group: usize) -> Vec<ClassAdmission> {
         let group = &self.class_groups[group];
         (0..self.settings.classes.len())
             .filter(|class| group.classes >> class & 1 == 1)
-            .map(|class| ClassAdmission { class: ClassId(class), level: shared.admission_levels[class] })
+            .map(|class| ClassAdmission { class: ClassId(class), level: zone_inputs.admission_levels[class] })
             .collect()
     }
 
     /// The lowest priority that changes of tables are sent at. In a join burst this is the priority of
     /// assignments, since outdated tables overload hosts, until the first of the waiting proxies has waited
     /// for [`JOIN_PRIORITY_AFTER_GRACE_RATIO`] of the drain grace.
-    fn least_priority(&self, shared: &ZoneTableInputs, is_join_burst: bool) -> PushPriority {
+    fn least_priority(&self, zone_inputs: &ZoneTableInputs, is_join_burst: bool) -> PushPriority {
         let join_priority_after_s = JOIN_PRIORITY_AFTER_GRACE_RATIO * self.settings.drain_grace.secs();
-        if is_join_burst && shared.longest_wait_s < join_priority_after_s {
+        if is_join_burst && zone_inputs.longest_wait_s < join_priority_after_s {
             PushPriority::ASSIGNMENT
         } else {
             PushPriority::ORDINARY
@@ -248,14 +248,14 @@
     fn select_push(
         &self,
         zone: &Zone,
-        shared: &ZoneTableInputs,
+        zone_inputs: &ZoneTableInputs,
         conditions: &PushConditions,
         mut pending: PendingPush,
     ) -> Option<TablePush> {
         let proxies = pending.proxies;
         let standby = std::mem::take(&mut pending.standby);
         let mut push = self.select_missing_changes(zone, conditions, pending)?;
-        let no_proxy_waits = shared.waiting_proxies == 0;
+        let no_proxy_waits = zone_inputs.waiting_proxies == 0;
         if no_proxy_waits && !push.replaces_table && self.now >= zone.standby_paused_until {
             self.add_standby_entries(&mut push.changes, standby, proxies);
         }
--- a/crates/wingfold-director/src/policy/ranking.rs
+++ b/crates/wingfold-director/src/policy/ranking.rs
@@ -12,15 +12,16 @@
 /// Smallest margin between a laggard (a host outside the leading group) and the leading group, in
 /// milliseconds.
 const MIN_SCORE_MARGIN_MS: f64 = 20.0;
-/// The same margin as a ratio of the score.
+/// Smallest margin as a ratio of the laggard's score.
 pub(crate) const SCORE_MARGIN_RATIO: f64 = 0.15;
-/// The same margin as a ratio of the tightest latency objective: latencies well inside it are worth the same.
+/// Smallest margin as a ratio of the tightest latency objective: small differences between latencies don't
+/// matter if all latencies are well within the objective.
 const OBJECTIVE_MARGIN_RATIO: f64 = 0.1;
 /// Consecutive scoring rounds that must call for a change of weight.
 pub(crate) const CONFIRMING_ROUNDS: u32 = 3;
 /// Shortest interval of scoring rounds, in seconds.
 const MIN_SCORING_INTERVAL_S: f64 = 2.0;
-/// Seconds between two changes of the ranking of one zone.
+/// Shortest time in seconds between two changes of the ranking of one zone.
 pub(crate) const RANKING_COOLDOWN_S: f64 = 8.0;
 /// Largest number of times that the weight of a laggard is halved.
 pub(crate) const MAX_WEIGHT_HALVINGS: u32 = 2;
@@ -28,7 +29,7 @@
 const MIN_FRESH_ATTEMPTS: f64 = 6.0;
 /// Fresh attempts in all zones that a host needs to count for the medians.
 const MIN_MEDIAN_ATTEMPTS: f64 = 3.0;
-/// Number of attempts that the mean of all zones counts as when it is averaged with a zone's own attempts.
+/// Weight of the mean of all zones, as a number of attempts, in its average with a zone's own attempts.
 const PRIOR_ATTEMPTS: f64 = 6.0;
 /// Weight of the latest value in the exponential smoothing of a host's loss.
 const SMOOTHING_FACTOR: f64 = 0.5;
--- a/crates/wingfold-director/src/policy/send_capacity.rs
+++ b/crates/wingfold-director/src/policy/send_capacity.rs
@@ -12,7 +12,7 @@
 /// Longest time in seconds that a barrier's lines are given to leave the send queue.
 const MAX_DRAIN_WAIT_S: f64 = 15.0;
 /// Seconds after its delivery within which a barrier must be acknowledged if acknowledgements are expected.
-/// Single ones may be lost.
+/// Single acknowledgements may be lost, and the acknowledgement of a later barrier makes up for them.
 const ACKNOWLEDGEMENT_TIMEOUT_S: f64 = 6.0;
 /// Seconds after its delivery after which a barrier expires if no acknowledgement is expected.
 const SILENT_ACKNOWLEDGEMENT_TIMEOUT_S: f64 = 1.0;
@@ -99,8 +99,8 @@
         recent_messages + 1.0 <= max_messages
     }
 
-    /// Lines that each message counts for in addition to its changes: its overhead and one for a barrier,
-    /// whether or not it carries one.
+    /// Lines that each message counts for in addition to its changes: its overhead, and one line for a
+    /// barrier, whether or not the message carries one.
     pub(crate) fn lines_per_message(&self) -> f64 {
         self.settings.message_overhead_lines + 1.0
     }
--- a/crates/wingfold-director/src/policy/subsetting.rs
+++ b/crates/wingfold-director/src/policy/subsetting.rs
@@ -26,17 +26,17 @@
 const PROXIES_PER_FINE_SUBSET: f64 = 2.0;
 /// Arcs are assigned again once one would move by more than this ratio of its length.
 const SUBSET_CHANGE_RATIO: f64 = 0.25;
-/// Ratio of the ready hosts with recent attempts from which a zone's baseline loss is meaningful.
+/// Ratio of the ready hosts that must have recent attempts for a zone's baseline loss to be meaningful.
 const MIN_REPORTED_HOST_RATIO: f64 = 0.2;
 /// Number of hosts that is a sufficient sample of a fleet of any size.
 pub(crate) const MIN_SAMPLE_HOSTS: f64 = 16.0;
-/// Recent attempts at a host from which it counts towards [`MIN_REPORTED_HOST_RATIO`].
+/// Number of recent attempts from which a host counts for [`MIN_REPORTED_HOST_RATIO`].
 const MIN_REPORTED_ATTEMPTS: f64 = 2.0;
 /// Baseline loss below which hosts count as refusing no connections.
 const LOW_LOSS_RATIO: f64 = COMMON_LOSS_RATIO / 5.0;
 /// Consecutive admission updates at low loss after which subsets grow by one step.
 const LOW_LOSS_ROUNDS: u32 = 2 * CONFIRMING_ROUNDS;
-/// Lower bound of the requests per second of a zone: it keeps the total load, which is divided by, above 0.
+/// Lower bound of the requests per second of a zone: it prevents a division by a total load of 0.
 const MIN_ZONE_REQUESTS_PER_S: f64 = 1e-9;
 /// Load that is added to that of each subset's proxies, as a ratio of the mean load of the zone's subsets.
 /// A subset without proxies must have an arc before the first proxy is assigned to it.
--- a/crates/wingfold-director/src/policy/table_plan.rs
+++ b/crates/wingfold-director/src/policy/table_plan.rs
@@ -41,18 +41,19 @@
     position: usize,
 }
 
-/// A table while it is planned: entries in the order of their hosts, and sums over them.
+/// A table while it is planned: entries in the order of their hosts, and sums over the active hosts (on the
+/// arc, or all hosts where no warm host on the arc is in use).
 #[derive(Default)]
 struct DraftTable<'a> {
     /// The entries.
     entries: Vec<PlannedEntry<'a>>,
     /// The entries of hosts that are warming up.
     warming_up: Vec<WarmingEntry<'a>>,
-    /// Listed weight of all hosts on the arc, whatever their health and warm-up.
+    /// Listed weight of the active hosts, whatever their health and warm-up.
     listed_weight: f64,
-    /// Listed weight of the hosts on the arc that are not warming up.
+    /// Listed weight of the active hosts that are not warming up.
     warm_weight: f64,
-    /// Weight of the hosts on the arc that are not warming up, reduced by their health factors.
+    /// Weight of the active hosts that are not warming up, multiplied by their health factors.
     healthy_warm_weight: f64,
 }
 
@@ -116,11 +117,11 @@
     }
 
     /// The planned entry of a host.
-    fn planned(&self, entry: &EligibleEntry, weight: f64, is_standby: bool) -> PlannedEntry<'a> {
+    fn planned_entry(&self, entry: &EligibleEntry, weight: f64, is_standby: bool) -> PlannedEntry<'a> {
         PlannedEntry { host: &self.host_ids[entry.index], weight, is_standby }
     }
 
-    /// The hosts on the arc at their weights, and the others as standby entries.
+    /// The hosts on the arc as active entries, and the warm hosts beyond the arc as standby entries.
     fn draft_arc(&self) -> DraftTable<'a> {
         let distances: Vec<f64> = self.eligible.iter().map(|entry| self.ring_distance(entry)).collect();
         let arc_end = self.arc_end(&distances);
@@ -132,7 +133,7 @@
                 self.add_active(&mut draft, entry);
             } else if !entry.is_warming_up {
                 let standby_weight = self.weight(entry) * STANDBY_WEIGHT_RATIO;
-                draft.entries.push(self.planned(entry, standby_weight, true));
+                draft.entries.push(self.planned_entry(entry, standby_weight, true));
             }
         }
         draft
@@ -151,14 +152,15 @@
         }
         if is_in_use {
             let factor = entry.health_factor.min(entry.slow_start_factor);
-            draft.entries.push(self.planned(entry, weight * factor, false));
+            draft.entries.push(self.planned_entry(entry, weight * factor, false));
         }
     }
 
     /// All hosts as active entries, whatever their health and their position on the ring.
     fn draft_all_hosts(&self) -> DraftTable<'a> {
-        let planned =
-            |entry: &EligibleEntry| self.planned(entry, self.weight(entry) * entry.slow_start_factor, false);
+        let planned = |entry: &EligibleEntry| {
+            self.planned_entry(entry, self.weight(entry) * entry.slow_start_factor, false)
+        };
         let warming_up = self.eligible.iter().zip(0..).filter(|(entry, _)| entry.is_warming_up);
         let warm = self.eligible.iter().filter(|entry| !entry.is_warming_up);
         let warm_weight = warm.map(|entry| self.weight(entry)).sum();
@@ -237,13 +239,16 @@
     pub(crate) fn plan_table<'a>(
         &self,
         zone: &Zone,
-        shared: &'a ZoneTableInputs,
+        zone_inputs: &'a ZoneTableInputs,
         group: usize,
         subset: &Subset,
         peak_weight: f64,
     ) -> TablePlan<'a> {
-        let planner =
-            TablePlanner { eligible: &shared.eligible[group], host_ids: &shared.host_ids, arc: subset.arc() };
+        let planner = TablePlanner {
+            eligible: &zone_inputs.eligible[group],
+            host_ids: &zone_inputs.host_ids,
+            arc: subset.arc(),
+        };
         let mut draft = planner.draft();
         let peak_weight = peak_weight.max(draft.listed_weight);
         // While losses are common, proxies avoid most warm hosts by their own count of failures, and a host
