--- a/crates/wingfold/tests/capture.rs
+++ b/crates/wingfold/tests/capture.rs
@@ -70,7 +70,7 @@
     let mut collector = director.connect_collector("a");
     report_failing_host(&director, &mut collector);
     director.send_signal("HUP");
-    wait_until("the reload is logged", || director.log().contains("configuration read"));
+    wait_until("the reload is logged", || director.log().contains("reload: configuration applied"));
     discovery.set_host_state("s-3", DRAINING);
     wait_until("the drain is logged", || director.log().contains("host draining host=s-3"));
     let line =
--- a/crates/wingfold/tests/metrics.rs
+++ b/crates/wingfold/tests/metrics.rs
@@ -265,7 +265,11 @@
         graphite_settings("third", &[&removed], "")
     ));
     director.send_signal("HUP");
-    wait_until("the required restart is logged", || director.log().contains("need more than was set aside"));
+    wait_until("the required restart is logged", || {
+        director
+            .log()
+            .contains("local settings need more memory or descriptors than were reserved at the start")
+    });
 }
 
 /// The paths that are in all intervals after this time, or in all but one. Other metrics are sent only after
@@ -500,7 +504,7 @@
         &format!("{METRICS_ENABLED}{}", graphite_settings("main", &[&receiver], "")),
     );
     wait_until("the lack of descriptors is logged", || {
-        director.log().contains("too few for all that may join and for figures")
+        director.log().contains("too low for all proxies, collectors and sinks; metrics are switched off")
     });
     let mut proxy = director.connect_proxy_with_tables(0, "a");
     assert!(proxy.ping());
--- a/crates/wingfold/tests/race_conditions.rs
+++ b/crates/wingfold/tests/race_conditions.rs
@@ -134,7 +134,7 @@
     let mut director = Director::spawn(setup.listen, Some(path.clone()), &[], true);
     let _writer = wait_until_opened_for_reading(&path);
     assert_sigterm_ends_in_time(&mut director);
-    wait_for_log(&director, "asked to end");
+    wait_for_log(&director, "received SIGTERM, shutting down");
 }
 
 #[test]
