--- a/crates/wingfold/tests/capture.rs
+++ b/crates/wingfold/tests/capture.rs
@@ -30,11 +30,13 @@
 /// Sends load reports in which every attempt at s-2 failed, so that s-2 is ejected.
 fn report_failing_host(director: &Director, collector: &mut Client) {
     for _ in 0..3 {
-        let before = director.metric("answers_total");
+        let answers_before = director.metric("answers_total");
         for (target, fail) in [("s-1", 0), ("s-2", 9), ("s-3", 0)] {
             collector.send(&load_report("a", target, 9, fail));
         }
-        wait_until("the load reports are processed", || director.metric("answers_total") > before + 2);
+        wait_until("the load reports are processed", || {
+            director.metric("answers_total") > answers_before + 2
+        });
     }
 }
 
@@ -58,7 +60,7 @@
     let second = start(&setup, &directory, &local_settings);
     serve_until_killed(second);
     let second_report = assert_killed_and_equal(&capture);
-    assert!(second_report["calls"].as_u64() > first_report["calls"].as_u64());
+    assert!(second_report["calls"].as_u64() > first_report["calls"].as_u64(), "{second_report}");
 
     assert_can_be_kept_as_a_case(&capture, &directory.join("cases"));
     std::fs::remove_dir_all(directory).unwrap();
@@ -287,7 +289,7 @@
 }
 
 #[test]
-fn commands_return_the_documented_exit_codes() {
+fn commands_exit_with_the_expected_codes_and_texts() {
     let directory = test_directory("codes");
     let missing = directory.join("no-such-capture").display().to_string();
     let garbage = directory.join("garbage.wfcap");
--- a/crates/wingfold/tests/common/mod.rs
+++ b/crates/wingfold/tests/common/mod.rs
@@ -17,6 +17,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// The time that a planned restart leaves for the exit after SIGTERM.
+pub const MAX_SHUTDOWN_TIME: Duration = Duration::from_millis(700);
+
 /// Polls a condition until it holds; panics with its description after `TEST_TIMEOUT`.
 pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
--- a/crates/wingfold/tests/process_lifecycle.rs
+++ b/crates/wingfold/tests/process_lifecycle.rs
@@ -6,11 +6,12 @@
 use common::messages::{is_complete, DRAINING};
 use common::{
     endpoint, free_address, unique_loopback_ip, wait_until, Director, DirectorSetup, Discovery, Host,
+    MAX_SHUTDOWN_TIME,
 };
 use serde_json::{json, Value};
 use std::net::TcpStream;
 use std::path::PathBuf;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 /// One host in zone a, and a director that starts with its endpoint list.
 fn one_host_deployment() -> (Discovery, DirectorSetup) {
@@ -94,7 +95,7 @@
     director.send_signal("TERM");
     let status = director.wait_for_exit();
     assert_eq!(status.code(), Some(0));
-    assert!(started.elapsed() < Duration::from_millis(700), "{:?}", started.elapsed());
+    assert!(started.elapsed() < MAX_SHUTDOWN_TIME, "{:?}", started.elapsed());
     assert!(proxy.is_closed_in_time());
     // The address can be bound again at once.
     setup.start();
@@ -231,5 +232,5 @@
     director.send_signal("TERM");
     let started = Instant::now();
     assert_eq!(director.wait_for_exit().code(), Some(0));
-    assert!(started.elapsed() < Duration::from_millis(700), "{:?}", started.elapsed());
+    assert!(started.elapsed() < MAX_SHUTDOWN_TIME, "{:?}", started.elapsed());
 }
--- a/crates/wingfold/tests/race_conditions.rs
+++ b/crates/wingfold/tests/race_conditions.rs
@@ -12,6 +12,7 @@
 };
 use common::{
     endpoint, unique_loopback_ip, wait_until, Client, Director, DirectorSetup, Discovery, Host, ProxyTables,
+    MAX_SHUTDOWN_TIME,
 };
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
@@ -22,9 +23,6 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// The time that a planned restart leaves for the exit after SIGTERM.
-const MAX_SHUTDOWN_TIME: Duration = Duration::from_millis(700);
-
 /// Starts a host in zone a and returns its entry of the endpoint list.
 fn start_host(ip: IpAddr, id: &str) -> Value {
     endpoint(id, Host::start(ip, Some("{}")).addr, "a")
@@ -406,7 +404,7 @@
     let director = setup.start();
     next_initial_watch(&discovery, 5).respond(&endpoint_list(5, false, &[]));
     let (mut proxy, mut tables) = connect_proxy_with_both_hosts(&director);
-    // A discovery service that was set up anew counts versions from the start. A watch for changes after
+    // A reinstalled discovery service counts versions from the start. A watch for changes after
     // version 5 would return nothing until the count exceeds 5.
     next_watch(&discovery, 5).respond(&endpoint_list(2, false, &[]));
     let new_entries = [endpoint_in_state(&hosts[0], DRAINING), hosts[1].clone()];
