--- a/crates/wingfold/tests/discovery_hosts_peers.rs
+++ b/crates/wingfold/tests/discovery_hosts_peers.rs
@@ -151,8 +151,8 @@
         tables.apply(&proxy.receive_update());
         assert!(tables.hosts("order").starts_with(&["s-1", "s-3"]), "{:?}", tables.hosts("order"));
     }
-    // A discovery service that keeps returning the older list was reinstalled: the list is accepted the fourth
-    // time.
+    // A discovery service that keeps returning the older list was reinstalled: the list is accepted the
+    // fourth time.
     discovery.set_behaviour(DiscoveryBehaviour::StaleList);
     wait_until("the older list is accepted", || director.metric("list_version") == 1);
     while !tables.hosts("order").contains(&"s-2") {
