--- a/crates/wingfold-director/src/incremental/expected_shares.rs
+++ b/crates/wingfold-director/src/incremental/expected_shares.rs
@@ -1,20 +1,21 @@
-//! Which share of a zone's attempts each host should get by the zone's tables.
+//! The share of a zone's attempts that the zone's tables direct to each host.
 use crate::director::Director;
 use crate::incremental::position_cursor;
 use crate::interface::HostId;
 use crate::state::{ByZone, ReportCounts, Subset, Zone};
 use std::collections::BTreeSet;
 
-/// Shares of a zone's attempts that its tables send to their hosts.
+/// The shares of a zone's attempts that the zone's tables direct to their hosts.
 struct ExpectedShares<'a> {
-    /// By position; `None` for a host that no table holds.
+    /// Shares by position in the host index; `None` for a host that is in no table.
     by_position: Vec<Option<f64>>,
-    /// Hosts of tables that the host index does not have.
+    /// Hosts that are in a table but not in the host index.
     unindexed: BTreeSet<&'a HostId>,
 }
 
 impl<'a> ExpectedShares<'a> {
-    /// The shares by the tables of a zone's subsets, given the load of each.
+    /// Computes the shares from the tables of a zone's subsets. `ids` are the hosts of the host index by
+    /// position, `loads` the loads of the subsets in requests per second.
     fn from_tables(subsets: &'a [Subset], ids: &[HostId], loads: &[f64]) -> ExpectedShares<'a> {
         let total_load: f64 = loads.iter().sum();
         let mut shares = ExpectedShares { by_position: vec![None; ids.len()], unindexed: BTreeSet::new() };
@@ -33,13 +34,13 @@
         shares
     }
 
-    /// Adds to the share of the host at a position.
+    /// Adds `share` to the share of the host at `position`.
     fn add(&mut self, position: usize, share: f64) {
         let known = self.by_position[position].unwrap_or_default();
         self.by_position[position] = Some(known + share);
     }
 
-    /// How many hosts the tables hold.
+    /// Number of hosts that are in any table.
     fn host_count(&self) -> usize {
         let indexed = self.by_position.iter().filter(|share| share.is_some()).count();
         indexed + self.unindexed.len()
@@ -47,8 +48,8 @@
 }
 
 impl Zone {
-    /// Updates which share of the zone's attempts each host should get by its tables, given the load of each
-    /// subset. `ids` are all hosts by position.
+    /// Updates the expected share of each host in the zone's attempts. `ids` are the hosts of the host index
+    /// by position, `loads` the loads of the subsets in requests per second.
     fn update_expected_shares(&mut self, ids: &[HostId], loads: &[f64]) {
         let shares = ExpectedShares::from_tables(&self.subsets, ids, loads);
         self.hosts_in_tables = shares.host_count() as f64;
@@ -74,8 +75,8 @@
 }
 
 impl Director {
-    /// Updates which share of its attempts each host should get in the zones whose tables have changed. Each
-    /// subset counts for `base_load` requests per second beside those of its proxies.
+    /// Updates the expected shares of the hosts in the zones whose tables have changed. The load of a subset
+    /// is that of its proxies plus `base_load`, in requests per second.
     pub(crate) fn update_changed_expected_shares(&self, zones: &mut ByZone<Zone>, base_load: f64) {
         let ids = self.memo.host_index.ids();
         for (name, zone) in zones {
--- a/crates/wingfold-director/src/incremental/host_index.rs
+++ b/crates/wingfold-director/src/incremental/host_index.rs
@@ -1,5 +1,5 @@
-//! The hosts of the fleet by position. What is computed for each host is kept in vectors in this order, which
-//! are far cheaper to iterate over than the records themselves.
+//! The host index, which gives each host of the fleet a position. Values per host are kept in vectors by
+//! position, which are far cheaper to iterate over than the records.
 use crate::incremental::{compare_hosts, position_cursor};
 use crate::interface::{Endpoint, HostId, Readiness, ZoneId};
 use crate::state::Host;
@@ -11,16 +11,16 @@
 struct ListedHost {
     /// The host.
     host: HostId,
-    /// Whether it is listed as ready: it may have restarted since the event before.
+    /// Whether the event lists the host as ready. Such a host may have restarted since the previous event.
     is_ready: bool,
 }
 
-/// Hosts that the endpoint list has changed since the index was last updated.
+/// The hosts that endpoint list events may have changed since the index was last updated.
 #[derive(Clone, Debug)]
 enum ChangedHosts {
-    /// These.
+    /// Only the hosts that these entries name.
     Named(Vec<ListedHost>),
-    /// Possibly any.
+    /// Possibly all hosts.
     Any,
 }
 
@@ -30,53 +30,53 @@
     }
 }
 
-/// Every host in the order of its identifier, as of a revision of the endpoint list.
+/// All hosts of the fleet, ordered by identifier, as of a revision of the hosts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HostIndex {
-    /// The hosts by position.
+    /// The identifiers of the hosts by position.
     ids: Arc<Vec<HostId>>,
-    /// By position: the zone of a host, as a position among `zones`.
+    /// The zone of each host by the host's position, as an index into `zones`.
     zone_of_host: Vec<usize>,
-    /// The zones of the hosts, in the order in which their first hosts come.
+    /// The zones of the hosts, ordered by the position of their first host.
     zones: Vec<ZoneId>,
-    /// The revision of the endpoint list; `None` before the first.
+    /// The revision of the hosts that the index reflects; `None` before the first update.
     revision: Option<u64>,
-    /// What the endpoint list has changed since.
+    /// The hosts that may have changed since that revision.
     changed: ChangedHosts,
 }
 
-/// How an update has changed the positions of an index.
+/// The changes of positions by an update of the host index.
 #[derive(Debug)]
 pub(crate) struct Reindexing {
-    /// The revision of the index before.
+    /// The revision that the index reflected before the update.
     pub(crate) previous_revision: Option<u64>,
-    /// By new position: the position before; `None` for a new host.
+    /// The previous position of each host by its new position; `None` for a new host.
     pub(crate) previous_index: Vec<Option<usize>>,
-    /// Whether there are fewer hosts than before.
-    shrinks: bool,
-    /// The hosts that the endpoint list has changed; `None` if it may have changed any.
+    /// Whether the index has fewer hosts than before.
+    has_fewer_hosts: bool,
+    /// The hosts that the endpoint list may have changed; `None` if these may be all hosts.
     pub(crate) changed: Option<Vec<ChangedHost>>,
 }
 
-/// A host that the endpoint list has changed.
+/// A host that the endpoint list may have changed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ChangedHost {
-    /// Its new position.
+    /// The new position of the host.
     pub(crate) index: usize,
-    /// Whether it was listed as ready, and may have restarted.
+    /// Whether the event listed the host as ready, so that it may have restarted.
     pub(crate) is_ready: bool,
 }
 
 impl Reindexing {
-    /// Whether any host is new, was removed or has another position.
+    /// Whether any host was added, was removed or has a different position.
     pub(crate) fn changes_positions(&self) -> bool {
         let is_moved = |(index, previous): (usize, &Option<usize>)| *previous != Some(index);
-        self.shrinks || self.previous_index.iter().enumerate().any(is_moved)
+        self.has_fewer_hosts || self.previous_index.iter().enumerate().any(is_moved)
     }
 }
 
 impl HostIndex {
-    /// Records that the endpoint list has changed the hosts of some entries.
+    /// Records that an endpoint list event may have changed the hosts of these entries.
     pub(crate) fn record_changes(&mut self, entries: &[Endpoint]) {
         let ChangedHosts::Named(named) = &mut self.changed else { return };
         named.extend(entries.iter().map(|entry| ListedHost {
@@ -88,27 +88,27 @@
         }
     }
 
-    /// Records that the endpoint list may have changed any host.
+    /// Records that any host may have changed.
     pub(crate) fn record_any_change(&mut self) {
         self.changed = ChangedHosts::Any;
     }
 
-    /// Whether it is as of this revision of the endpoint list.
+    /// Whether the index reflects this revision of the hosts.
     pub(crate) fn is_at_revision(&self, revision: u64) -> bool {
         self.revision == Some(revision)
     }
 
-    /// The hosts by position.
+    /// The identifiers of the hosts by position.
     pub(crate) fn ids(&self) -> Arc<Vec<HostId>> {
         self.ids.clone()
     }
 
-    /// How many hosts there are.
+    /// Number of hosts.
     pub(crate) fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// The position of a host.
+    /// The position of a host; `None` if the index does not have the host.
     pub(crate) fn position(&self, id: &HostId) -> Option<usize> {
         self.ids.binary_search_by(|known| compare_hosts(known, id)).ok()
     }
@@ -118,29 +118,30 @@
         &self.zones
     }
 
-    /// By position: the zone of a host, as a position among `zones`.
+    /// The zone of each host by the host's position, as an index into [`Self::zones`].
     pub(crate) fn zone_indices(&self) -> &[usize] {
         &self.zone_of_host
     }
 
-    /// Updates it to the hosts of the fleet, as of a revision of the endpoint list.
+    /// Updates the index to the hosts of the fleet, as of a revision of the hosts.
     pub(crate) fn update(&mut self, fleet: &BTreeMap<HostId, Host>, revision: u64) -> Reindexing {
         let previous_index = self.previous_index(fleet);
-        let shrinks = previous_index.len() < self.ids.len();
+        let has_fewer_hosts = previous_index.len() < self.ids.len();
         self.ids = Arc::new(fleet.keys().cloned().collect());
         self.index_zones(fleet);
         let changed = self.take_changed_hosts();
         let previous_revision = self.revision.replace(revision);
-        Reindexing { previous_revision, previous_index, shrinks, changed }
+        Reindexing { previous_revision, previous_index, has_fewer_hosts, changed }
     }
 
-    /// The positions that the hosts of the fleet have had until now.
+    /// The present positions of the hosts of the fleet, before an update; `None` for new hosts.
     fn previous_index(&self, fleet: &BTreeMap<HostId, Host>) -> Vec<Option<usize>> {
         let mut positions = position_cursor(&self.ids);
         fleet.keys().map(|id| positions.find(id)).collect()
     }
 
-    /// The hosts that the endpoint list has changed since the last update, at their new positions.
+    /// Takes the hosts that may have changed since the last update, with their new positions; `None` if these
+    /// may be all hosts.
     fn take_changed_hosts(&mut self) -> Option<Vec<ChangedHost>> {
         match std::mem::take(&mut self.changed) {
             ChangedHosts::Any => None,
@@ -150,12 +151,13 @@
         }
     }
 
-    /// A host that an endpoint list event names, at its position; `None` if the fleet no longer has it.
+    /// A host that an endpoint list event named, with its position; `None` if the fleet no longer has the
+    /// host.
     fn changed_host(&self, listed: &ListedHost) -> Option<ChangedHost> {
         Some(ChangedHost { index: self.position(&listed.host)?, is_ready: listed.is_ready })
     }
 
-    /// Rebuilds the zones of the hosts.
+    /// Rebuilds `zones` and `zone_of_host`.
     fn index_zones(&mut self, fleet: &BTreeMap<HostId, Host>) {
         let mut zone_indices: BTreeMap<&ZoneId, usize> = BTreeMap::new();
         self.zone_of_host = Vec::with_capacity(fleet.len());
--- a/crates/wingfold-director/src/incremental/host_rows.rs
+++ b/crates/wingfold-director/src/incremental/host_rows.rs
@@ -1,5 +1,5 @@
-//! What zones know of hosts, in rows by the positions of the host index: copies of the values that most
-//! evaluations read.
+//! Rows of each zone by the positions of the host index: copies of the host records and host statistics that
+//! most evaluations read.
 use crate::director::Director;
 use crate::incremental::{join_by_host, ChangedHost, Reindexing};
 use crate::interface::{HostId, Timestamp, ZoneId};
@@ -8,60 +8,62 @@
 };
 use std::collections::BTreeMap;
 
-/// What a host counts for in the health of a zone, and what the zone expects of it: copies of values of its
-/// record and of its statistics. A row fills one line of the processor's cache, since each evaluation reads
-/// all of them.
+/// The values of a host's record and of a zone's statistics of the host that decide whether the host's health
+/// may have to change, and the host's part in the median loss of the zone. A row fits into one cache line of
+/// the processor, since every evaluation reads all rows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct HealthRow {
     /// Whether the endpoint list shows the host as ready.
     pub(crate) is_ready: bool,
     /// Whether the host is in the zone itself.
     pub(crate) in_own_zone: bool,
-    /// Whether the zone uses the host, or may.
+    /// Whether the host is ready and, by the zone's statistics, in use and likely to stay so; see
+    /// [`Director::host_usage`].
     pub(crate) is_in_use: bool,
-    /// Whether attempts on the host failed or were useless, or it is ejected or on probation.
+    /// Whether the host's latest attempts failed or were useless, or the host is ejected or on probation.
     has_failures: bool,
     /// Listed weight; 0 for a host that is not ready.
     pub(crate) weight: f64,
-    /// Ratio of its attempts that failed, where enough were reported.
+    /// Ratio of the host's recent attempts that failed; `None` if too few were reported.
     pub(crate) loss_ratio: Option<f64>,
-    /// Attempts that should have come, as in its statistics.
+    /// Copy of [`ZoneHostStats::missed_attempts`].
     missed_attempts: f64,
-    /// The zone's counts when it was last reported, as in its statistics.
+    /// Copy of [`ZoneHostStats::counts_at_last_report`].
     pub(crate) counts_at_last_report: ReportCounts,
-    /// Share of the zone's attempts that it should get, as in its statistics.
+    /// Copy of [`ZoneHostStats::expected_share`].
     expected_share: f64,
 }
 
-/// What a zone has observed of a host, and how it treats it: copies of values of its statistics.
+/// Copies of values of a zone's statistics of a host: the attempts that were reported, and the host's health
+/// and ranking in the zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct StatsRow {
-    /// Whether the zone has statistics of the host.
+    /// Whether the zone has statistics of the host; if not, all other fields have defaults.
     pub(crate) is_known: bool,
-    /// Whether it is on its first probation.
+    /// Copy of [`ZoneHostStats::first_probation`].
     pub(crate) first_probation: bool,
-    /// How often its weight is halved.
+    /// How many times the ranking has halved the host's weight.
     pub(crate) weight_halvings: u32,
-    /// Its health.
+    /// The host's health in the zone.
     pub(crate) health: HealthState,
-    /// Failed attempts in a row.
+    /// Copy of [`ZoneHostStats::consecutive_failures`].
     pub(crate) consecutive_failures: f64,
-    /// Attempts in a row that failed or came too late.
+    /// Copy of [`ZoneHostStats::consecutive_useless`].
     pub(crate) consecutive_useless: f64,
-    /// Successful attempts, decaying with time.
+    /// Successful attempts, decayed exponentially up to `decayed_at`.
     pub(crate) recent_successes: f64,
-    /// Failed attempts, decaying with time.
+    /// Failed attempts, decayed exponentially up to `decayed_at`.
     pub(crate) recent_failures: f64,
-    /// When the recent counts last decayed: when it was last reported.
+    /// When the recent counts were last updated: the time of the last load report.
     pub(crate) decayed_at: Timestamp,
-    /// Its score, in milliseconds.
+    /// The host's score in the zone, in milliseconds.
     score: Option<f64>,
-    /// Attempts since the last scoring round that used them.
+    /// Attempts that no scoring round has used yet.
     pub(crate) fresh: AttemptStats,
 }
 
 impl HealthRow {
-    /// The row of a host by its record and, if the zone has any, its statistics.
+    /// The row of a host, from its record and the zone's statistics of the host, if there are any.
     pub(crate) fn new(host: &Host, in_own_zone: bool, stats: Option<&ZoneHostStats>) -> HealthRow {
         let is_ready = host.is_ready();
         let weight = if is_ready { host.weight } else { 0.0 };
@@ -73,7 +75,7 @@
         row
     }
 
-    /// Copies what depends on the statistics.
+    /// Updates the fields that depend on the zone's statistics of the host.
     pub(crate) fn update(&mut self, stats: &ZoneHostStats) {
         let usage = Director::host_usage(stats);
         self.is_in_use = usage.is_in_use && self.is_ready;
@@ -84,7 +86,8 @@
         self.update_expected_share(stats);
     }
 
-    /// Records that the host is no longer ready; `in_own_zone` is as now listed.
+    /// Records that the endpoint list no longer shows the host as ready. `in_own_zone` is by the latest list
+    /// entry, which may name another zone than before.
     fn mark_not_ready(&mut self, in_own_zone: bool) {
         self.is_ready = false;
         self.in_own_zone = in_own_zone;
@@ -92,14 +95,15 @@
         self.is_in_use = false;
     }
 
-    /// Copies what the zone expects of the host.
+    /// Copies the values that expected and missed attempts are computed from.
     pub(crate) fn update_expected_share(&mut self, stats: &ZoneHostStats) {
         self.missed_attempts = stats.missed_attempts;
         self.counts_at_last_report = stats.counts_at_last_report;
         self.expected_share = stats.expected_share;
     }
 
-    /// Attempts that should have come since the host was last reported, by the zone's count of all attempts.
+    /// Attempts that were expected at the host since its last load report, when the zone's total of attempts
+    /// is `attempts`.
     pub(crate) fn missed_attempts_by(&self, attempts: f64) -> f64 {
         missed_attempts(
             self.missed_attempts,
@@ -109,20 +113,22 @@
         )
     }
 
-    /// Whether the health of the host may change: it has failures, or so many attempts are missed.
+    /// Whether the health of the host may have to change: the host has failures, or at least
+    /// `min_missed_attempts` expected attempts have not been reported. `attempts` is the zone's total of
+    /// attempts.
     fn is_suspect(&self, attempts: f64, min_missed_attempts: f64) -> bool {
         self.has_failures || self.missed_attempts_by(attempts) >= min_missed_attempts
     }
 }
 
 impl StatsRow {
-    /// The row of a host by its statistics, if the zone has any.
+    /// The row of a host; one with defaults if the zone has no statistics of the host.
     pub(crate) fn new(stats: Option<&ZoneHostStats>) -> StatsRow {
-        stats.map_or(StatsRow::default(), StatsRow::of)
+        stats.map_or(StatsRow::default(), StatsRow::from_stats)
     }
 
-    /// The row of a host by its statistics.
-    pub(crate) fn of(stats: &ZoneHostStats) -> StatsRow {
+    /// The row of a host of which the zone has statistics.
+    pub(crate) fn from_stats(stats: &ZoneHostStats) -> StatsRow {
         StatsRow {
             is_known: true,
             first_probation: stats.first_probation,
@@ -139,46 +145,47 @@
     }
 }
 
-/// A host as a zone sees it.
+/// A host with its record and its rows in a zone.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HostInZone<'a> {
-    /// Its position in the host index.
+    /// The host's position in the host index.
     pub(crate) index: usize,
-    /// Its identifier.
+    /// The host's identifier.
     pub(crate) id: &'a HostId,
-    /// Its record.
+    /// The host's record.
     pub(crate) host: &'a Host,
-    /// What it counts for in the health of the zone.
+    /// The host's health row in the zone.
     pub(crate) health: &'a HealthRow,
-    /// What the zone has observed of it.
+    /// The host's statistics row in the zone.
     pub(crate) stats: &'a StatsRow,
 }
 
-/// The rows of a zone, by position.
+/// The rows of a zone, by the positions of the host index.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HostRows {
-    /// What each host counts for in the health of the zone.
+    /// The health row of each host.
     health: Vec<HealthRow>,
-    /// What the zone has observed of each host.
+    /// The statistics row of each host.
     stats: Vec<StatsRow>,
-    /// The revision of the endpoint list that they are as of; `None` if they must be rebuilt.
+    /// The revision of the hosts that the rows reflect; `None` if the rows must be rebuilt.
     revision: Option<u64>,
-    /// Hosts that were reported since.
+    /// Hosts whose statistics have changed since their rows were last updated.
     outdated_hosts: Vec<HostId>,
 }
 
 impl HostRows {
-    /// What each host counts for in the health of the zone, by position.
+    /// The health rows by position.
     pub(crate) fn health(&self) -> &[HealthRow] {
         &self.health
     }
 
-    /// What the zone has observed of each host, by position.
+    /// The statistics rows by position.
     pub(crate) fn stats(&self) -> &[StatsRow] {
         &self.stats
     }
 
-    /// Records that the zone's statistics of a host have changed.
+    /// Records that the zone's statistics of a host have changed. After as many changes as there are rows,
+    /// all rows are rebuilt instead.
     pub(crate) fn record_outdated(&mut self, host: &HostId) {
         if self.outdated_hosts.len() < self.health.len() {
             self.outdated_hosts.push(host.clone());
@@ -187,18 +194,19 @@
         }
     }
 
-    /// Copies the statistics of the host at a position.
+    /// Updates the rows at a position to the host's statistics.
     pub(crate) fn update(&mut self, index: usize, stats: &ZoneHostStats) {
         self.health[index].update(stats);
-        self.stats[index] = StatsRow::of(stats);
+        self.stats[index] = StatsRow::from_stats(stats);
     }
 
-    /// Copies what the zone expects of the host at a position.
+    /// Updates the values at a position that expected and missed attempts are computed from.
     pub(crate) fn update_expected_share(&mut self, index: usize, stats: &ZoneHostStats) {
         self.health[index].update_expected_share(stats);
     }
 
-    /// The positions of hosts whose health may change, by the zone's count of all attempts.
+    /// The positions of the hosts whose health may have to change, when the zone's total of attempts is
+    /// `attempts`; see [`HealthRow::is_suspect`].
     pub(crate) fn suspects(&self, attempts: f64, min_missed_attempts: f64) -> Vec<usize> {
         let rows = self.health.iter().enumerate();
         rows.filter(|(_, row)| row.is_suspect(attempts, min_missed_attempts))
@@ -206,12 +214,12 @@
             .collect()
     }
 
-    /// Sum of the failed attempts in a row at the hosts at some positions.
+    /// Sum of the consecutive failures of the hosts at these positions.
     pub(crate) fn consecutive_failures_of(&self, positions: &[usize]) -> f64 {
         positions.iter().map(|index| self.stats[*index].consecutive_failures).sum()
     }
 
-    /// Scores of the hosts that are ready, healthy and have one, with their listed weights.
+    /// Scores and listed weights of the hosts that are ready and healthy and have a score.
     pub(crate) fn scored_hosts(&self) -> Vec<ScoredHost> {
         let rows = self.health.iter().zip(&self.stats);
         rows.filter(|(health, stats)| health.is_ready && stats.health == HealthState::Healthy)
@@ -219,7 +227,7 @@
             .collect()
     }
 
-    /// Moves the rows to their new positions. `buffer` is reused between zones.
+    /// Moves the rows to their new positions. `buffer` provides memory that is reused between zones.
     fn reindex(&mut self, reindexing: &Reindexing, buffer: &mut HostRows) {
         copy_reindexed(&reindexing.previous_index, &self.health, &mut buffer.health);
         copy_reindexed(&reindexing.previous_index, &self.stats, &mut buffer.stats);
@@ -227,8 +235,8 @@
         std::mem::swap(&mut self.stats, &mut buffer.stats);
     }
 
-    /// Updates the row of a host that the endpoint list has changed, and begins statistics of a ready host
-    /// that has none.
+    /// Updates the rows of a host that the endpoint list has changed. Adds empty statistics for a ready host
+    /// of which the zone has none.
     fn apply_change(
         &mut self,
         change: &HostChange,
@@ -248,8 +256,8 @@
     }
 }
 
-/// Copies rows to their new positions; `previous_index` has the positions before. Runs of hosts that stay
-/// together are copied at once.
+/// Copies rows from their previous positions, given by new position in `previous_index`, to their new
+/// positions. New hosts get default rows. Hosts with consecutive previous positions are copied at once.
 fn copy_reindexed<Row: Copy + Default>(previous_index: &[Option<usize>], from: &[Row], to: &mut Vec<Row>) {
     to.clear();
     let follows =
@@ -262,20 +270,21 @@
     }
 }
 
-/// A host that the endpoint list has changed, with its record.
+/// A host that the endpoint list may have changed, with its record.
 struct HostChange<'a> {
-    /// Its new position.
+    /// The host's new position.
     index: usize,
-    /// Its identifier.
+    /// The host's identifier.
     id: &'a HostId,
-    /// Its record.
+    /// The host's record.
     host: &'a Host,
-    /// Whether zones keep their statistics of it as they are: it only drains or was removed.
+    /// Whether zones keep their statistics of the host unchanged: the host was known before, and is neither
+    /// listed as ready by this change nor ready now.
     keeps_stats: bool,
 }
 
 impl Director {
-    /// Updates the rows of all zones to the endpoint list.
+    /// Updates the host index and the rows of all zones to the present revision of the hosts.
     pub(crate) fn update_host_rows(&mut self, zones: &mut ByZone<Zone>) {
         let revision = self.memo.revisions.hosts;
         if !self.memo.host_index.is_at_revision(revision) {
@@ -290,8 +299,8 @@
         }
     }
 
-    /// Moves the rows that were as of the revision before to their new positions, and updates those of the
-    /// hosts that the endpoint list has changed.
+    /// Moves the rows that reflect the previous revision to their new positions, and updates the rows of the
+    /// hosts that the endpoint list has changed. Other rows are left to be rebuilt.
     fn apply_reindexing(&self, zones: &mut ByZone<Zone>, reindexing: &Reindexing, revision: u64) {
         let Some(previous_revision) = reindexing.previous_revision else { return };
         let Some(changed) = &reindexing.changed else { return };
@@ -316,7 +325,8 @@
         }
     }
 
-    /// A host that the endpoint list has changed, with its record.
+    /// The record of a host that the endpoint list may have changed, and whether its statistics are
+    /// unchanged.
     fn host_change<'a>(
         &'a self,
         changed: &ChangedHost,
@@ -331,7 +341,7 @@
         Some(HostChange { index, id, host, keeps_stats })
     }
 
-    /// Updates the rows of the hosts that were reported to a zone.
+    /// Updates the rows of the hosts whose statistics in the zone have changed.
     pub(crate) fn update_outdated_rows(&self, zone: &mut Zone) {
         for id in std::mem::take(&mut zone.memo.rows.outdated_hosts) {
             let Some(index) = self.memo.host_index.position(&id) else { continue };
@@ -340,14 +350,14 @@
         }
     }
 
-    /// Every host as a zone sees it, by position.
+    /// All hosts with their rows in a zone, by position.
     pub(crate) fn hosts_in_zone<'a>(&'a self, zone: &'a Zone) -> impl Iterator<Item = HostInZone<'a>> {
         let rows = zone.memo.rows.health.iter().zip(&zone.memo.rows.stats);
         let hosts = self.hosts.iter().zip(rows).enumerate();
         hosts.map(|(index, ((id, host), (health, stats)))| HostInZone { index, id, host, health, stats })
     }
 
-    /// The hosts at some ascending positions as a zone sees them; or all of them.
+    /// The hosts at `positions`, which must be ascending, with their rows in a zone; all hosts if `all`.
     pub(crate) fn hosts_in_zone_at<'a>(
         &'a self,
         zone: &'a Zone,
@@ -359,7 +369,7 @@
         self.hosts_in_zone(zone).filter(is_selected)
     }
 
-    /// The rows of a zone by the records.
+    /// Builds the rows of a zone from the records and the zone's statistics.
     fn build_host_rows(&self, name: &ZoneId, zone: &Zone) -> HostRows {
         let mut health = Vec::with_capacity(self.hosts.len());
         let mut stats_rows = Vec::with_capacity(self.hosts.len());
@@ -375,25 +385,25 @@
         }
     }
 
-    /// Whether the rows of a zone equal the records that they are copied from.
+    /// Whether the rows of a zone equal rows that are built anew from the records.
     pub(crate) fn host_rows_match_stats(&self, name: &ZoneId, zone: &Zone) -> bool {
         let rows = &zone.memo.rows;
         let expected = self.build_host_rows(name, zone);
         rows.health == expected.health && rows.stats == expected.stats
     }
 
-    /// By position: whether something holds for a host in some zone.
+    /// For each host by position: whether its row in at least one zone meets a condition.
     pub(crate) fn hosts_where_any_zone(
         &self,
         zones: &ByZone<Zone>,
-        holds: impl Fn(&StatsRow) -> bool,
+        condition: impl Fn(&StatsRow) -> bool,
     ) -> Vec<bool> {
-        let mut holds_in_any = vec![false; self.memo.host_index.len()];
+        let mut is_met = vec![false; self.memo.host_index.len()];
         for zone in zones.values() {
-            for (holds_for_host, row) in holds_in_any.iter_mut().zip(&zone.memo.rows.stats) {
-                *holds_for_host |= holds(row);
+            for (is_met_for_host, row) in is_met.iter_mut().zip(&zone.memo.rows.stats) {
+                *is_met_for_host |= condition(row);
             }
         }
-        holds_in_any
+        is_met
     }
 }
--- a/crates/wingfold-director/src/incremental/join.rs
+++ b/crates/wingfold-director/src/incremental/join.rs
@@ -1,12 +1,13 @@
-//! Joining records of the same host. Sequences of hosts are in the order of their identifiers, so that one
-//! pass over two of them is enough.
+//! Joins of records by host. All sequences of hosts are ordered by identifier, so that two sequences are
+//! joined in a single pass.
 use crate::interface::HostId;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 use std::iter::Peekable;
 use std::sync::Arc;
 
-/// The order of two hosts. Most often both are the same string in memory, which need not be read then.
+/// Compares two hosts by identifier. Equal identifiers mostly share one string in memory; such strings are
+/// not read.
 pub(crate) fn compare_hosts(one: &HostId, other: &HostId) -> Ordering {
     if Arc::ptr_eq(&one.0, &other.0) {
         Ordering::Equal
@@ -15,19 +16,21 @@
     }
 }
 
-/// Looks up hosts in an ordered sequence of hosts with values. The hosts must be looked up in their order.
+/// Looks up hosts in a sequence of hosts with values that is ordered by host. Hosts must be looked up in
+/// ascending order.
 pub(crate) struct HostCursor<Entries: Iterator> {
-    /// The entries that have been neither found nor skipped.
+    /// The entries that have been neither returned nor skipped.
     rest: Peekable<Entries>,
 }
 
 impl<'a, Value, Entries: Iterator<Item = (&'a HostId, Value)>> HostCursor<Entries> {
-    /// A cursor before the first of some entries.
+    /// A cursor in front of the first entry.
     pub(crate) fn new(entries: impl IntoIterator<IntoIter = Entries>) -> Self {
         HostCursor { rest: entries.into_iter().peekable() }
     }
 
-    /// The value of a host, if the sequence has it. `skip` is given each entry that is passed on the way.
+    /// The value of a host; `None` if the sequence does not have the host. Calls `skip` with each entry that
+    /// lies before the host and was not looked up.
     pub(crate) fn seek(&mut self, id: &HostId, mut skip: impl FnMut(&'a HostId, Value)) -> Option<Value> {
         loop {
             let (next, _) = self.rest.peek()?;
@@ -42,7 +45,7 @@
         }
     }
 
-    /// The value of a host, if the sequence has it.
+    /// The value of a host; `None` if the sequence does not have the host.
     pub(crate) fn find(&mut self, id: &HostId) -> Option<Value> {
         self.seek(id, |_, _| {})
     }
@@ -53,12 +56,12 @@
     }
 }
 
-/// A cursor over the positions of hosts that are in their order.
+/// A cursor over hosts that are ordered by identifier, with their positions in `ids` as values.
 pub(crate) fn position_cursor(ids: &[HostId]) -> HostCursor<impl Iterator<Item = (&HostId, usize)>> {
     HostCursor::new(ids.iter().zip(0..))
 }
 
-/// Each entry of one map with the entry that another has for the same host.
+/// Each entry of the map `one`, with the value that the map `other` has for the same host.
 pub(crate) fn join_by_host<'a, One, Other>(
     one: &'a BTreeMap<HostId, One>,
     other: &'a BTreeMap<HostId, Other>,
--- a/crates/wingfold-director/src/incremental/join/tests.rs
+++ b/crates/wingfold-director/src/incremental/join/tests.rs
@@ -4,44 +4,46 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Hosts with values; those of one number have equal names, but are different strings in memory.
+/// A map from hosts to their numbers. Each call creates new strings: hosts with the same number have equal
+/// names, but do not share a string in memory.
 fn hosts(numbers: &BTreeSet<u8>) -> BTreeMap<HostId, u8> {
     numbers.iter().map(|number| (HostId(Arc::from(format!("h{number:03}"))), *number)).collect()
 }
 
 proptest! {
     #[test]
-    fn a_cursor_finds_what_a_map_has_and_passes_every_other_entry_once(
+    fn a_host_cursor_returns_sought_entries_and_skips_the_others_once(
         held in prop::collection::btree_set(0u8..40, 0..30),
         sought in prop::collection::btree_set(0u8..40, 0..30),
     ) {
         let held_hosts = hosts(&held);
         let mut cursor = HostCursor::new(&held_hosts);
-        let mut passed = Vec::new();
+        let mut skipped = Vec::new();
         for (id, number) in &hosts(&sought) {
-            let found = cursor.seek(id, |_, value| passed.push(*value));
+            let found = cursor.seek(id, |_, value| skipped.push(*value));
             prop_assert_eq!(found.copied(), held.get(number).copied());
         }
-        passed.extend(cursor.rest().map(|(_, value)| *value));
+        skipped.extend(cursor.rest().map(|(_, value)| *value));
         let not_sought: Vec<u8> = held.difference(&sought).copied().collect();
-        prop_assert_eq!(passed, not_sought);
+        prop_assert_eq!(skipped, not_sought);
     }
 
     #[test]
-    fn a_join_has_each_entry_of_the_first_map_with_that_of_the_second(
+    fn a_join_pairs_each_entry_with_the_other_maps_value_of_its_host(
         one in prop::collection::btree_set(0u8..40, 0..30),
         other in prop::collection::btree_set(0u8..40, 0..30),
     ) {
         let (one_hosts, other_hosts) = (hosts(&one), hosts(&other));
-        let joined: Vec<(u8, Option<u8>)> =
-            join_by_host(&one_hosts, &other_hosts).map(|(_, value, met)| (*value, met.copied())).collect();
+        let joined: Vec<(u8, Option<u8>)> = join_by_host(&one_hosts, &other_hosts)
+            .map(|(_, value, other_value)| (*value, other_value.copied()))
+            .collect();
         let expected: Vec<(u8, Option<u8>)> =
             one.iter().map(|number| (*number, other.get(number).copied())).collect();
         prop_assert_eq!(joined, expected);
     }
 
     #[test]
-    fn a_position_cursor_gives_the_index_of_a_host(
+    fn a_position_cursor_returns_the_position_of_a_host(
         held in prop::collection::btree_set(0u8..40, 0..30),
         sought in prop::collection::btree_set(0u8..40, 0..30),
     ) {
--- a/crates/wingfold-director/src/incremental/memo.rs
+++ b/crates/wingfold-director/src/incremental/memo.rs
@@ -1,39 +1,40 @@
-//! What is cached for the fleet and for each zone.
+//! The cached results for the fleet and for each zone.
 use crate::director::Director;
-use crate::incremental::{HostIndex, HostRows, UpToDate};
+use crate::incremental::{HostIndex, HostRows, LastRun};
 use crate::interface::{Endpoint, EndpointListKind, Event, HostId};
 use crate::state::{ByZone, EligibleEntry, HealthState, WarmUp, Zone, ZoneHostStats};
 use std::sync::Arc;
 
-/// Counts of changes of the records that the results of several zones depend on.
+/// Revisions of records that the results of several zones depend on: each counts the changes of its records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Revisions {
-    /// Changes of the endpoint list and of the weights of its hosts.
+    /// Revision of the hosts: counts changes of the endpoint list, evictions, and changes of listed weights.
     pub(crate) hosts: u64,
-    /// Changes of what some zone has observed of some host.
+    /// Revision of the evidence: counts changes of any zone's statistics of any host.
     pub(crate) evidence: u64,
-    /// Changes of which hosts are useless to all zones together.
-    pub(crate) useless: u64,
-    /// Changes of the warm-up of hosts.
+    /// Revision of the useless hosts: counts changes of whether a host is useless to all zones, by the host's
+    /// consecutive useless attempts in all zones.
+    pub(crate) useless_hosts: u64,
+    /// Revision of the slow start: counts changes of the warm-up of hosts.
     pub(crate) slow_start: u64,
-    /// Changes of which proxies are connected, and of the subsets that they are assigned to.
+    /// Revision of the proxies: counts changes of the connected proxies and of their assignment to subsets.
     pub(crate) proxies: u64,
 }
 
-/// What the health of a zone's hosts depends on.
+/// The inputs of outlier detection in a zone.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct HealthInputs {
     /// The zone's count of changes of its evidence.
     pub(crate) evidence: u64,
     /// Revision of the hosts.
     pub(crate) hosts: u64,
-    /// Revision of the hosts that are useless to all zones together.
-    pub(crate) useless: u64,
-    /// Whether failures in all zones count in each.
+    /// Revision of the hosts that are useless to all zones.
+    pub(crate) useless_hosts: u64,
+    /// Whether the failures of all zones count in each zone.
     pub(crate) counts_all_zones: bool,
 }
 
-/// What scores depend on.
+/// The inputs of scores.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ScoringInputs {
     /// Revision of the evidence of all zones.
@@ -42,20 +43,20 @@
     pub(crate) hosts: u64,
 }
 
-/// What the assignment of a zone's hosts to its subsets depends on.
+/// The inputs of the assignment of a zone's hosts to its subsets.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct SubsetInputs {
     /// Revision of the hosts.
     pub(crate) hosts: u64,
     /// Revision of the proxies.
     pub(crate) proxies: u64,
-    /// Ratio of its weight that a host of another zone lacks in the zone.
+    /// Ratio by which the weight of hosts of other zones is reduced in the zone's tables.
     pub(crate) remote_discount: f64,
-    /// Requests that a connection should carry.
+    /// Requests that a connection should carry before it is closed for being idle.
     pub(crate) requests_per_connection: f64,
 }
 
-/// What the entries that a zone's tables may hold depend on.
+/// The inputs of the entries that are eligible for a zone's tables.
 #[derive(Clone, Debug, PartialEq)]
 struct EligibleInputs {
     /// Revision of the hosts.
@@ -64,11 +65,11 @@
     slow_start: u64,
     /// The zone's count of changes of health states and rankings.
     health_states: u64,
-    /// Ratio of its weight that a host of another zone lacks in the zone.
+    /// Ratio by which the weight of hosts of other zones is reduced in the zone's tables.
     remote_discount: f64,
 }
 
-/// What the hosts of reduced weight depend on.
+/// The inputs of [`FleetMemo::reduced_hosts`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ReducedHostInputs {
     /// Revision of the hosts.
@@ -77,32 +78,32 @@
     health_states: u64,
 }
 
-/// The entries that a zone's tables may hold, for each group of classes.
+/// The entries that are eligible for a zone's tables, by group of classes.
 pub(crate) type EligibleByGroup = Arc<Vec<Vec<EligibleEntry>>>;
 
-/// What is cached for a zone.
+/// The cached results for a zone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneMemo {
-    /// Counts changes of what the zone has observed of hosts, and of how its tables treat them.
+    /// Counts changes of the zone's statistics of hosts, including the hosts' health and ranking.
     pub(crate) evidence: u64,
-    /// Counts changes of the health states and the ranking of hosts.
+    /// Counts changes of the health and the ranking of hosts in the zone.
     pub(crate) health_states: u64,
-    /// Whether the health of the zone's hosts is up to date.
-    pub(crate) health: UpToDate<HealthInputs>,
-    /// What the zone has observed of each host.
+    /// The last run of outlier detection in the zone.
+    pub(crate) health: LastRun<HealthInputs>,
+    /// The zone's rows of each host.
     pub(crate) rows: HostRows,
-    /// Whether the assignment of hosts to subsets is up to date.
-    pub(crate) subset_assignment: UpToDate<SubsetInputs>,
-    /// The entries that the zone's tables may hold.
+    /// The last assignment of hosts to subsets.
+    pub(crate) subset_assignment: LastRun<SubsetInputs>,
+    /// The entries that are eligible for the zone's tables.
     eligible: EligibleByGroup,
-    /// What `eligible` was computed from; `None` if it never was.
+    /// The inputs that `eligible` was computed from; `None` before the first computation.
     eligible_inputs: Option<EligibleInputs>,
-    /// Counts changes of `eligible`.
+    /// Counts computations of `eligible`.
     pub(crate) eligible_revision: u64,
 }
 
 impl ZoneMemo {
-    /// Records that the zone's tables treat the host at a position in another way.
+    /// Records that the health or the ranking of the host at a position has changed to that in `stats`.
     pub(crate) fn health_state_changed(&mut self, index: usize, stats: &ZoneHostStats) {
         self.rows.update(index, stats);
         self.evidence += 1;
@@ -110,56 +111,57 @@
     }
 }
 
-/// A host that may be warming up.
+/// A host that may have less than its full capacity.
 #[derive(Clone, Debug, PartialEq)]
 struct WarmingHost {
-    /// Its identifier.
+    /// The host's identifier.
     id: HostId,
-    /// Its capacity by now.
+    /// The host's present warm-up.
     warm_up: WarmUp,
 }
 
-/// Whether a host has less than its full capacity, or may have.
+/// Whether a host with this warm-up may have less than its full capacity.
 fn is_below_capacity(warm_up: &WarmUp) -> bool {
     warm_up.is_warming_up || warm_up.slow_start_factor < 1.0
 }
 
-/// What is cached for the fleet.
+/// The cached results for the fleet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetMemo {
-    /// Counts of changes of the records.
+    /// Revisions of the records.
     pub(crate) revisions: Revisions,
-    /// Whether scores are up to date: the last scoring round left no host with fresh attempts.
-    pub(crate) scoring: UpToDate<ScoringInputs>,
-    /// Every host by position, and what the endpoint list has changed since.
+    /// The last scoring round that had no fresh attempts. Scores change only by rounds with fresh attempts.
+    pub(crate) scoring: LastRun<ScoringInputs>,
+    /// The host index, which also records the hosts that have changed since its last update.
     pub(crate) host_index: HostIndex,
-    /// Hosts that may be warming up.
+    /// The hosts that may have less than their full capacity.
     warming: Vec<WarmingHost>,
-    /// Revision of the hosts that `warming` is as of; `None` if it never was computed.
+    /// The revision of the hosts that `warming` reflects; `None` before the first computation.
     warming_revision: Option<u64>,
-    /// By position: whether some zone's tables give a host less than its weight.
+    /// For each host by position: whether health or ranking leaves the host less than its weight in some
+    /// zone.
     reduced_hosts: Vec<bool>,
-    /// What `reduced_hosts` was computed from; `None` if it never was.
+    /// The inputs that `reduced_hosts` was computed from; `None` before the first computation.
     reduced_host_inputs: Option<ReducedHostInputs>,
 }
 
 impl FleetMemo {
-    /// Records that a host was reported to a zone. `useless_changed` if it became useless to all zones
-    /// together, or no longer is.
+    /// Records that a load report has changed a zone's statistics of a host. `useless_changed` tells whether
+    /// the report has changed whether the host is useless to all zones.
     pub(crate) fn load_report_recorded(&mut self, zone: &mut ZoneMemo, host: &HostId, useless_changed: bool) {
         zone.evidence += 1;
         zone.rows.record_outdated(host);
         self.revisions.evidence += 1;
-        self.revisions.useless += u64::from(useless_changed);
+        self.revisions.useless_hosts += u64::from(useless_changed);
     }
 
-    /// Records that the listed weights of any hosts may have changed.
+    /// Records that the weight of any host may have changed.
     pub(crate) fn weights_changed(&mut self) {
         self.revisions.hosts += 1;
         self.host_index.record_any_change();
     }
 
-    /// Records that so many hosts were evicted.
+    /// Records that `count` hosts were evicted.
     pub(crate) fn hosts_removed(&mut self, count: usize) {
         self.revisions.hosts += u64::from(count > 0);
     }
@@ -175,8 +177,8 @@
 }
 
 impl Director {
-    /// Counts what an event changes of the endpoint list and of the proxies. What a load report changes is
-    /// counted where it is used.
+    /// Counts the changes of the endpoint list and of the proxies by an event. Those by load reports are
+    /// counted in [`FleetMemo::load_report_recorded`].
     pub(crate) fn record_revision(&mut self, event: &Event) {
         match event {
             Event::EndpointList { kind, endpoints } => self.memo.endpoint_list_changed(*kind, endpoints),
@@ -185,18 +187,18 @@
         }
     }
 
-    /// Drops all that is cached: the next call computes everything in full.
+    /// Drops all cached results, so that the next call computes everything in full.
     pub fn clear_memo(&mut self) {
         self.memo = FleetMemo::default();
         for zone in self.zones.values_mut() {
             zone.memo = ZoneMemo::default();
             for table in zone.subsets.iter_mut().flat_map(|subset| &mut subset.tables) {
-                table.up_to_date = UpToDate::default();
+                table.last_empty_push = LastRun::default();
             }
         }
     }
 
-    /// Updates the hosts that may be warming up: their capacity rises with time alone.
+    /// Updates the cached warm-ups. Time alone changes them, as the capacity of a host rises after its start.
     pub(crate) fn update_warm_ups(&mut self) {
         let revision = self.memo.revisions.hosts;
         let is_current = self.memo.warming_revision == Some(revision);
@@ -208,7 +210,7 @@
         self.memo.warming_revision = Some(revision);
     }
 
-    /// The cached hosts that may be warming up, as of now.
+    /// The cached warming hosts with their present warm-ups.
     fn updated_warming_hosts(&self) -> Vec<WarmingHost> {
         let update = |known: &WarmingHost| {
             let host = self.hosts.get(&known.id)?;
@@ -217,7 +219,7 @@
         self.memo.warming.iter().filter_map(update).collect()
     }
 
-    /// The hosts of the fleet that may be warming up.
+    /// The hosts of the fleet that may have less than their full capacity.
     fn find_warming_hosts(&self) -> Vec<WarmingHost> {
         let hosts = self.hosts.iter().map(|(id, host)| (id, self.warm_up_of(host)));
         let warming = hosts.filter(|(_, warm_up)| is_below_capacity(warm_up));
@@ -229,8 +231,8 @@
         self.hosts.values().map(|host| self.warm_up_of(host)).collect()
     }
 
-    /// The entries that a zone's tables may hold, by group of classes. Where an input has changed, `compute`
-    /// computes those of each group.
+    /// The entries that are eligible for a zone's tables, by group of classes. If an input has changed,
+    /// `compute` is called for each group and the results are cached.
     pub(crate) fn eligible_by_group(
         &self,
         zone: &mut Zone,
@@ -251,7 +253,7 @@
         zone.memo.eligible.clone()
     }
 
-    /// Updates which hosts some zone's tables give less than their weight, where an input has changed.
+    /// Updates `reduced_hosts` if an input has changed.
     pub(crate) fn update_reduced_hosts(&mut self, zones: &ByZone<Zone>) {
         let inputs = ReducedHostInputs {
             hosts: self.memo.revisions.hosts,
@@ -266,7 +268,8 @@
         self.memo.reduced_host_inputs = Some(inputs);
     }
 
-    /// By position: whether some zone's tables give a host less than its weight, as last updated.
+    /// For each host by position: whether health or ranking leaves the host less than its weight in some
+    /// zone, as of the last call of [`Self::update_reduced_hosts`].
     pub(crate) fn reduced_hosts(&self) -> &[bool] {
         &self.memo.reduced_hosts
     }
--- a/crates/wingfold-director/src/incremental/mod.rs
+++ b/crates/wingfold-director/src/incremental/mod.rs
@@ -1,21 +1,22 @@
-//! Results computed from the records and cached until the records that they were computed from change.
+//! Incremental evaluation: results computed from the records are cached until these records change, and steps
+//! whose inputs have not changed are skipped.
 //!
-//! Nothing is decided here and none of it is written to a checkpoint: a result that is missing is computed
-//! again, in full. A step that is run again for equal inputs, before its due time, must change nothing; then
-//! it may be skipped.
+//! Decisions are taken in `policy`. Cached results are not written to checkpoints: a missing result is
+//! computed again in full. A step may be skipped only if running it again with equal inputs, before its due
+//! time, would change nothing.
 
 mod expected_shares;
 mod host_index;
 mod host_rows;
 mod join;
+mod last_run;
 mod memo;
 mod steps;
 mod table_inputs;
-mod up_to_date;
 
 pub(crate) use host_index::*;
 pub(crate) use host_rows::*;
 pub(crate) use join::*;
+pub(crate) use last_run::*;
 pub(crate) use memo::*;
 pub(crate) use table_inputs::*;
-pub(crate) use up_to_date::*;
--- a/crates/wingfold-director/src/incremental/steps.rs
+++ b/crates/wingfold-director/src/incremental/steps.rs
@@ -1,4 +1,5 @@
-//! Runs each step that reads all hosts where its inputs have changed or it is due.
+//! The steps of an evaluation that read all hosts. Each runs only if its inputs have changed or its due time
+//! has come.
 use crate::director::Director;
 use crate::incremental::{HealthInputs, ScoringInputs, SubsetInputs, NEVER};
 use crate::interface::{Micros, ZoneId};
@@ -6,7 +7,7 @@
 use crate::state::{ByZone, Zone};
 
 impl Director {
-    /// Detects outliers in each zone whose inputs have changed or that is due.
+    /// Detects outliers in each zone whose inputs have changed or whose detection is due.
     pub(crate) fn detect_outliers_where_changed(&mut self, zones: &mut ByZone<Zone>) {
         self.update_host_rows(zones);
         for (name, zone) in zones {
@@ -17,17 +18,17 @@
         }
     }
 
-    /// What the health of a zone's hosts depends on, as of now.
+    /// The present inputs of outlier detection in a zone.
     fn health_inputs(&self, zone: &Zone) -> HealthInputs {
         HealthInputs {
             evidence: zone.memo.evidence,
             hosts: self.memo.revisions.hosts,
-            useless: self.memo.revisions.useless,
+            useless_hosts: self.memo.revisions.useless_hosts,
             counts_all_zones: self.counts_losses_of_all_zones(),
         }
     }
 
-    /// Detects outliers in a zone and records for which inputs.
+    /// Detects outliers in a zone and records the run with its inputs.
     fn detect_outliers_in(&mut self, name: &ZoneId, zone: &mut Zone, inputs: HealthInputs) {
         self.update_outdated_rows(zone);
         debug_assert!(self.host_rows_match_stats(name, zone), "rows of {name:?} differ from its statistics");
@@ -37,7 +38,7 @@
         zone.memo.health.record(inputs, due_at);
     }
 
-    /// Updates scores, unless nothing was reported since a round that had no fresh attempts.
+    /// Updates scores, unless the inputs are those of a round without fresh attempts.
     pub(crate) fn update_scores_where_changed(&mut self, zones: &mut ByZone<Zone>) {
         let inputs =
             ScoringInputs { evidence: self.memo.revisions.evidence, hosts: self.memo.revisions.hosts };
@@ -50,11 +51,11 @@
         }
     }
 
-    /// Assigns the hosts of each zone whose inputs have changed, or whose pause after the last assignment is
-    /// over.
+    /// Assigns the hosts to the subsets of each zone whose inputs have changed, or whose cooldown after the
+    /// last assignment is over.
     pub(crate) fn assign_subsets_where_changed(&mut self, zones: &mut ByZone<Zone>) {
         self.update_host_rows(zones);
-        let pause = Micros::from_secs(RANKING_COOLDOWN_S);
+        let cooldown = Micros::from_secs(RANKING_COOLDOWN_S);
         for (name, zone) in zones {
             let inputs = SubsetInputs {
                 hosts: self.memo.revisions.hosts,
@@ -65,9 +66,9 @@
             if zone.memo.subset_assignment.is_current(&inputs, self.now) {
                 continue;
             }
-            let pause_end = zone.last_assignment.map(|last| last.assigned_at + pause);
+            let cooldown_end = zone.last_assignment.map(|last| last.assigned_at + cooldown);
             self.assign_subsets(name, zone);
-            let due_at = pause_end.filter(|end| *end > self.now).unwrap_or(NEVER);
+            let due_at = cooldown_end.filter(|end| *end > self.now).unwrap_or(NEVER);
             zone.memo.subset_assignment.record(inputs, due_at);
         }
     }
--- a/crates/wingfold-director/src/incremental/table_inputs.rs
+++ b/crates/wingfold-director/src/incremental/table_inputs.rs
@@ -1,4 +1,4 @@
-//! What the tables of a zone are planned from.
+//! The inputs from which the tables of a zone are planned.
 use crate::director::Director;
 use crate::incremental::EligibleByGroup;
 use crate::interface::{HostId, ProxyId, ZoneId};
@@ -7,28 +7,28 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What the tables of a zone have in common.
+/// The inputs that all tables of a zone share.
 pub(crate) struct ZoneTableInputs {
-    /// All hosts by position.
+    /// The identifiers of all hosts, by position in the host index.
     pub(crate) host_ids: Arc<Vec<HostId>>,
-    /// The entries that the tables may hold, by group of classes.
+    /// The entries that are eligible for the tables, by group of classes.
     pub(crate) eligible: EligibleByGroup,
-    /// Changes whenever `eligible` does.
+    /// Revision of `eligible`: it changes whenever `eligible` does.
     pub(crate) revision: u64,
     /// Admission levels by class.
     pub(crate) admission_levels: Vec<f64>,
     /// The proxies that are assigned to each subset.
     pub(crate) proxies_by_subset: Vec<Vec<ProxyId>>,
-    /// How many proxies of all zones wait for an assignment.
+    /// Number of proxies, in all zones, that wait for an assignment.
     pub(crate) waiting_proxies: usize,
-    /// Seconds that the first of these has waited.
+    /// Seconds for which the first of the waiting proxies has waited.
     pub(crate) longest_wait_s: f64,
 }
 
-/// What the changes of a table depend on, apart from the send capacity.
+/// The inputs that the changes of a table depend on, apart from the send capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct TableInputs {
-    /// The revision of the entries that the table may hold.
+    /// Revision of the entries that are eligible for the table.
     pub(crate) revision: u64,
     /// Admission levels by class.
     pub(crate) admission_levels: Vec<f64>,
@@ -36,11 +36,11 @@
     pub(crate) start: f64,
     /// Length of the subset's arc, as a ratio of the ring of hosts.
     pub(crate) length: f64,
-    /// The largest listed weight that the table's hosts ever had together.
+    /// The largest total listed weight that the table's hosts have had so far.
     pub(crate) peak_weight: f64,
-    /// Whether losses are common in the zone, so that hosts that warm up wait.
+    /// Whether losses are common in the zone, so that hosts that are warming up may be left out.
     pub(crate) loss_is_common: bool,
-    /// Whether the table has standby entries.
+    /// Whether standby entries are planned for the table.
     pub(crate) with_standby: bool,
 }
 
@@ -64,15 +64,15 @@
         }
     }
 
-    /// The same with another peak weight.
+    /// The same inputs with another peak weight.
     pub(crate) fn with_peak_weight(self, peak_weight: f64) -> Self {
         TableInputs { peak_weight, ..self }
     }
 }
 
 impl Director {
-    /// What the tables of each zone have in common. `waiting` are the proxies that wait for an assignment,
-    /// in the order in which they connected.
+    /// The inputs that all tables of a zone share, for each zone. `waiting` are the proxies that wait for an
+    /// assignment, in the order in which they connected.
     pub(crate) fn zone_table_inputs(
         &self,
         zones: &mut ByZone<Zone>,
@@ -80,7 +80,7 @@
     ) -> BTreeMap<ZoneId, ZoneTableInputs> {
         let quotas = self.admitted_quotas();
         let longest_wait_s = waiting.first().map_or(0.0, |id| self.now.since(self.proxies[id].connected_at));
-        // Most evaluations need no warm-ups, and they cost a pass over all hosts.
+        // Computed only if needed: warm-ups take a pass over all hosts, and most evaluations need none.
         let warm_ups: LazyCell<Vec<WarmUp>, _> = LazyCell::new(|| self.warm_ups());
         let mut proxies_by_subset = self.proxies_by_subset(zones);
         let mut inputs = BTreeMap::new();
@@ -101,12 +101,12 @@
         inputs
     }
 
-    /// The admitted ratio of each class.
+    /// The admitted ratio of the requests of each class.
     fn admitted_quotas(&self) -> Vec<f64> {
         (0..self.settings.classes.len()).map(|class| self.admitted_quota(class)).collect()
     }
 
-    /// The admission level of each class in a zone's tables, by the admitted ratios.
+    /// The admission level of each class in a zone's tables, from the admitted ratios `quotas`.
     fn admission_levels(&self, zone: &ZoneId, quotas: &[f64]) -> Vec<f64> {
         let levels = quotas.iter().enumerate();
         levels.map(|(class, quota)| self.admission_level(zone, class, *quota)).collect()
--- a/crates/wingfold-director/src/inspect.rs
+++ b/crates/wingfold-director/src/inspect.rs
@@ -1,100 +1,104 @@
-//! Read-only views of a director's state, for `wingfold explain`, metrics and checks. Nothing here decides or
-//! changes anything; derived values come from the functions that decide.
+//! Read-only views of a director's state, for `wingfold explain`, metrics and invariant checks. Derived
+//! values are computed by the same functions that the director's decisions use.
 //!
-//! Views are printed as JSON: their fields keep the names that they had there first.
+//! Views are printed as JSON. Where a field has a newer name in the code, a serde attribute keeps its name in
+//! JSON.
 use crate::director::Director;
 use crate::interface::{ClassId, ClassMask, HostId, ProxyId, Readiness, TableId, Timestamp, ZoneId};
 use crate::state::{HealthState, Host, Zone, ZoneHostStats};
 use serde::Serialize;
 
-/// A host answered recently if it did so within this many report periods.
+/// Number of report periods for which a successful attempt counts as recent.
 const RECENT_REPORT_PERIODS: f64 = 6.0;
 
-/// Recent answers, in decaying counts, from which on a host counts as reachable.
+/// Number of recent successes, which decays with time, from which a host counts as reachable.
 const MIN_RECENT_SUCCESSES: f64 = 0.5;
 
 /// How the tables of a zone treat a host.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostStatus {
-    /// It is in the leading group and has its full weight.
+    /// The host is in the leading group and has its full weight.
     Leading,
-    /// The ranking has halved its weight so many times.
+    /// The ranking has halved the host's weight; the value is the number of halvings.
     #[serde(rename = "halved")]
     WeightHalved(u32),
-    /// It is ejected, until this time at least.
+    /// The host is ejected until at least this time.
     #[serde(rename = "out")]
     Ejected(Timestamp),
-    /// It is in probation with an eighth of its weight, until this time or until it has answered.
+    /// The host is on probation with an eighth of its weight, until this time at the latest. Enough
+    /// successful attempts end the probation earlier; useless attempts lead to another ejection.
     #[serde(rename = "trial")]
     Probation(Timestamp),
-    /// It is draining or removed, and in no table.
+    /// The host is draining or removed, and in no table.
     #[serde(rename = "leaving")]
     NotReady,
 }
 
-/// A host as one zone sees it, and how the zone's tables treat it.
+/// The view of a host in one zone: the host's record, the zone's statistics, and the host's entries in
+/// tables.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct HostView {
     /// The host.
     pub host: HostId,
-    /// The zone that sees it so.
+    /// The zone of the view.
     pub zone: ZoneId,
-    /// The zone that the host is in.
+    /// The zone that the host runs in.
     #[serde(rename = "home")]
     pub host_zone: ZoneId,
-    /// The type of its machine.
+    /// The type of the host's machine.
     #[serde(rename = "kind")]
     pub machine_type: String,
-    /// Its state on the endpoint list.
+    /// The state of the host on the endpoint list.
     pub readiness: Readiness,
-    /// Whether the list has removed it where removals are only advisory.
+    /// Whether the endpoint list has removed the host in a deployment where removals are only advisory.
     #[serde(rename = "doubted")]
     pub removal_suspected: bool,
-    /// Its weight on the list.
+    /// The host's listed weight, corrected by the relative speed of its machine type.
     #[serde(rename = "listed")]
     pub listed_weight: f64,
-    /// How the tables of the zone treat it.
+    /// How the tables of the zone treat the host.
     #[serde(rename = "standing")]
     pub status: HostStatus,
-    /// Its score: latency in ms plus 100 ms for each percent of loss.
+    /// The host's score in milliseconds: latency plus 100 ms for each percent of loss.
     pub score: Option<f64>,
-    /// The score that the zone's leading group is measured by.
+    /// The score of the zone's leading group, in milliseconds.
     #[serde(rename = "lead")]
     pub leading_score: Option<f64>,
-    /// Smoothed mean latency of its successful attempts, in ms.
+    /// Smoothed mean latency of successful attempts, in milliseconds.
     pub latency_ms: Option<f64>,
-    /// Smoothed share of failed attempts, as a ratio.
+    /// Smoothed ratio of failed attempts to all attempts.
     #[serde(rename = "loss")]
     pub loss_ratio: f64,
-    /// Consecutive rounds that confirm its next change of weight.
+    /// Number of consecutive scoring rounds that have confirmed the next change of the host's weight.
     #[serde(rename = "confirmed")]
     pub confirming_rounds: u32,
-    /// Consecutive attempts of this zone that failed.
+    /// Consecutive failed attempts of the zone.
     #[serde(rename = "lost_in_row")]
     pub consecutive_failures: f64,
-    /// Consecutive attempts of all zones that failed or came too late.
+    /// Consecutive attempts of all zones that failed or whose answers came too late to be of use.
     #[serde(rename = "useless_in_row")]
     pub consecutive_useless: f64,
-    /// Attempts that should have come since the zone last reported on it.
+    /// Attempts of the zone that were expected since its last load report on the host.
     #[serde(rename = "missed")]
     pub missed_attempts: f64,
-    /// Busy share of its cores as last reported, as a ratio, and when that was.
+    /// Smoothed utilization of the host's cores as a ratio, and the time of the last report; `None` if the
+    /// host has reported none.
     #[serde(rename = "busy")]
     pub utilization: Option<(f64, Timestamp)>,
-    /// When it last started; `None`: too long ago to matter.
+    /// When the host last started; `None` if the host counts as warmed up.
     #[serde(rename = "started")]
     pub started_at: Option<Timestamp>,
-    /// The share of its capacity that it certainly has by now, as a ratio.
+    /// Lower bound of the host's present capacity, as a ratio of its full capacity.
     #[serde(rename = "warmth")]
     pub slow_start_factor: f64,
-    /// Whether it may still be warming up.
+    /// Whether the host may still be warming up.
     #[serde(rename = "cold")]
     pub is_warming_up: bool,
-    /// The factor on its weight for its zone: 1 in the zone itself.
+    /// Factor on the host's weight by locality: 1 if the host runs in the zone itself.
     #[serde(rename = "near")]
     pub locality_weight: f64,
-    /// Its weight in each of the zone's tables that hold it.
+    /// The host's weight in each of the zone's tables that contain the host.
     #[serde(rename = "weights")]
     pub table_weights: Vec<(TableId, f64)>,
 }
@@ -104,16 +108,16 @@
 pub struct ZoneView {
     /// The zone.
     pub zone: ZoneId,
-    /// The usual loss of its hosts, as a ratio.
+    /// Median loss of the hosts that respond, as a ratio.
     #[serde(rename = "usual_loss")]
     pub baseline_loss: f64,
-    /// The score that its leading group is measured by.
+    /// The score of the zone's leading group, in milliseconds.
     #[serde(rename = "lead")]
     pub leading_score: Option<f64>,
-    /// When its ranking last changed.
+    /// When the zone's ranking last changed a weight.
     #[serde(rename = "moved_at")]
     pub ranking_changed_at: Option<Timestamp>,
-    /// How many of its proxies are connected.
+    /// Number of connected proxies of the zone.
     pub proxies: usize,
     /// The admission level of each class, in the unit of
     /// [`AdmissionMode`](crate::interface::AdmissionMode).
@@ -121,43 +125,43 @@
     pub admission_levels: Vec<f64>,
 }
 
-/// A table as it was last sent.
+/// A table as last sent to proxies.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TableView {
-    /// Its number.
+    /// The number of the table.
     pub table: TableId,
-    /// The zone whose proxies use it.
+    /// The zone whose proxies use the table.
     pub zone: ZoneId,
-    /// The classes that it is for.
+    /// The classes whose requests are sent by the table.
     pub classes: ClassMask,
-    /// Its entries: hosts and their weights.
+    /// The entries of the table: hosts and their weights.
     #[serde(rename = "lines")]
     pub entries: Vec<(HostId, f64)>,
-    /// Its admission levels.
+    /// The admission levels of the table by class.
     #[serde(rename = "levels")]
     pub admission_levels: Vec<(ClassId, f64)>,
-    /// The connected proxies that are assigned to it.
+    /// The connected proxies that are assigned to the table.
     pub proxies: Vec<ProxyId>,
 }
 
-/// How many hosts have which status in a zone.
+/// Numbers of hosts in a zone by their status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct HostCounts {
-    /// Hosts at full weight.
+    /// Hosts in the leading group, which have their full weight.
     pub leading: usize,
-    /// Hosts at half their weight.
+    /// Hosts with half of their weight.
     #[serde(rename = "halved")]
     pub weight_halved: usize,
-    /// Hosts at a quarter of their weight or less.
+    /// Hosts with a quarter of their weight or less.
     #[serde(rename = "quartered")]
     pub weight_quartered: usize,
     /// Ejected hosts.
     #[serde(rename = "out")]
     pub ejected: usize,
-    /// Hosts in probation.
+    /// Hosts on probation.
     #[serde(rename = "trial")]
     pub in_probation: usize,
-    /// Ready hosts that may still be warming up, whatever else they are.
+    /// Ready hosts that may still be warming up. They are also counted by their status.
     #[serde(rename = "cold")]
     pub warming_up: usize,
     /// Hosts that are draining, or removed and not evicted yet.
@@ -170,44 +174,44 @@
 pub struct FleetView {
     /// The time of the last call.
     pub now: Timestamp,
-    /// The median loss of the hosts in the last round, as a ratio.
+    /// Median loss of the hosts in the last scoring round, as a ratio.
     #[serde(rename = "loss")]
     pub median_loss: f64,
-    /// The median latency of the hosts in the last round, in ms.
+    /// Median latency of the hosts in the last scoring round, in milliseconds.
     #[serde(rename = "latency_ms")]
     pub median_latency_ms: Option<f64>,
-    /// Busy share of the cores as a ratio, or its estimate from queues.
+    /// Utilization of the hosts' cores as a ratio, as reported or as inferred from waiting times.
     #[serde(rename = "load")]
     pub utilization: f64,
-    /// The admitted share of the load, as a ratio.
+    /// Admitted share of all work, as a ratio.
     #[serde(rename = "admitted")]
     pub admission_ratio: f64,
-    /// Lines that the director takes to be in its send queue.
+    /// Number of lines that count as queued in the director's send queue.
     #[serde(rename = "queued")]
     pub queued_lines: f64,
-    /// Known hosts.
+    /// Number of known hosts.
     pub hosts: usize,
-    /// Connected proxies.
+    /// Number of connected proxies.
     pub proxies: usize,
 }
 
-/// How many records a director holds, by kind.
+/// Numbers of records of a director, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RecordCounts {
-    /// Known hosts.
+    /// Number of known hosts.
     pub hosts: usize,
-    /// Statistics of a host as a zone sees it, over all zones.
+    /// Number of pairs of a zone and a host of which the zone has statistics.
     pub zone_host_stats: usize,
-    /// Entries of all tables.
+    /// Number of entries in all tables.
     pub table_entries: usize,
-    /// Connected proxies.
+    /// Number of connected proxies.
     pub proxies: usize,
-    /// Times of recent messages to connected proxies.
+    /// Number of stored send times of messages to connected proxies.
     pub send_times: usize,
 }
 
 impl Director {
-    /// The fleet as a whole.
+    /// The view of the fleet as a whole.
     pub fn fleet_view(&self) -> FleetView {
         FleetView {
             now: self.now,
@@ -221,7 +225,7 @@
         }
     }
 
-    /// All zones.
+    /// The views of all zones.
     pub fn zone_views(&self) -> Vec<ZoneView> {
         self.zones.iter().map(|(name, zone)| self.zone_view(name, zone)).collect()
     }
@@ -239,21 +243,23 @@
         }
     }
 
-    /// How many hosts have which status in a zone; all counts of an unknown zone are 0.
+    /// Numbers of hosts in a zone by their status; all numbers are 0 for an unknown zone.
     pub fn host_counts(&self, zone: &ZoneId) -> HostCounts {
         let mut counts = HostCounts::default();
-        let Some(owner) = self.zones.get(zone) else { return counts };
+        let Some(zone) = self.zones.get(zone) else { return counts };
         for (id, host) in &self.hosts {
             if host.is_ready() {
                 counts.warming_up += usize::from(self.age_in_warm_ups(host) < 1.0);
             }
-            *counts.of_status(host_status(host, owner.host_stats.get(id))) += 1;
+            *counts.of_status(host_status(host, zone.host_stats.get(id))) += 1;
         }
         counts
     }
 
-    /// Whether other zones cannot reach the hosts of a zone: none of their attempts there succeeds any more,
-    /// and at least half of the hosts fail. This is a sign that the zone is cut off.
+    /// Whether the hosts of a zone appear unreachable from all other zones, which suggests that the zone is
+    /// disconnected. Only other zones with connected proxies count: none of them has had a recent success at
+    /// any host of the zone, and the hosts that fail, summed over these zones, number at least half of the
+    /// zone's hosts.
     pub fn is_unreachable_from_other_zones(&self, zone: &ZoneId) -> bool {
         let hosts: Vec<&HostId> =
             self.ready_hosts().filter(|(_, host)| host.endpoint.zone == *zone).map(|(id, _)| id).collect();
@@ -274,6 +280,7 @@
         expected > 0 && 2 * failing >= expected
     }
 
+    /// Whether a host is healthy by these statistics, and its recent attempts succeeded.
     fn has_recent_success(&self, stats: &ZoneHostStats) -> bool {
         let window_s = RECENT_REPORT_PERIODS * self.settings.report_period.secs();
         stats.health == HealthState::Healthy
@@ -282,22 +289,22 @@
             && self.now.since(stats.decayed_at) <= window_s
     }
 
-    /// How many zones the director knows: those of its settings, and those that a proxy has named.
+    /// Number of known zones: those of the settings, and those that proxies have named when they connected.
     pub fn zone_count(&self) -> usize {
         self.zones.len()
     }
 
-    /// All known hosts, ordered by name.
+    /// All known hosts, ordered by identifier.
     pub fn hosts(&self) -> impl Iterator<Item = &HostId> {
         self.hosts.keys()
     }
 
-    /// A host as a zone sees it; `None` if the zone or the host is not known.
+    /// The view of a host in a zone; `None` if the zone or the host is not known.
     pub fn host_view(&self, zone: &ZoneId, host: &HostId) -> Option<HostView> {
-        let (owner, known) = (self.zones.get(zone)?, self.hosts.get(host)?);
-        let known_stats = owner.host_stats.get(host);
+        let (viewing_zone, known) = (self.zones.get(zone)?, self.hosts.get(host)?);
+        let known_stats = viewing_zone.host_stats.get(host);
         let stats = known_stats.cloned().unwrap_or_default();
-        let tables = owner.subsets.iter().flat_map(|subset| &subset.tables);
+        let tables = viewing_zone.subsets.iter().flat_map(|subset| &subset.tables);
         let weights = tables.filter_map(|table| Some((table.id, *table.entries.get(host)?)));
         Some(HostView {
             host: host.clone(),
@@ -309,23 +316,23 @@
             listed_weight: known.weight,
             status: host_status(known, known_stats),
             score: stats.score,
-            leading_score: Director::leading_score(self.scored_hosts(owner)),
+            leading_score: Director::leading_score(self.scored_hosts(viewing_zone)),
             latency_ms: stats.latency_ms,
             loss_ratio: stats.loss_ratio,
             confirming_rounds: stats.confirming_rounds,
             consecutive_failures: stats.consecutive_failures,
             consecutive_useless: known.consecutive_useless,
-            missed_attempts: stats.missed_attempts_by(owner.attempts_seen.attempts),
+            missed_attempts: stats.missed_attempts_by(viewing_zone.attempts_seen.attempts),
             utilization: known.utilization.map(Into::into),
             started_at: known.endpoint.started_at,
             slow_start_factor: self.slow_start_factor(known),
             is_warming_up: self.age_in_warm_ups(known) < 1.0,
-            locality_weight: owner.locality_weight(known.endpoint.zone == *zone),
+            locality_weight: viewing_zone.locality_weight(known.endpoint.zone == *zone),
             table_weights: weights.collect(),
         })
     }
 
-    /// All tables, by zone and subset.
+    /// The views of all tables, ordered by zone and subset.
     pub fn table_views(&self) -> Vec<TableView> {
         self.zones.iter().flat_map(|(name, zone)| self.table_views_of(name, zone)).collect()
     }
@@ -350,7 +357,7 @@
         views
     }
 
-    /// The zone of a connected proxy, and its tables; `None` if it is not connected.
+    /// The zone and the tables of a connected proxy; `None` if the proxy is not connected.
     pub fn proxy_view(&self, proxy: ProxyId) -> Option<(ZoneId, Vec<TableId>)> {
         let known = self.proxies.get(&proxy)?;
         let subset = known.subset.and_then(|position| self.zones.get(&known.zone)?.subsets.get(position));
@@ -360,7 +367,8 @@
 }
 
 impl TableView {
-    /// The share of a host in the weight of the table, as a ratio; 0 if the table does not hold it.
+    /// The share of a host in the total weight of the table, as a ratio; 0 if the table does not have the
+    /// host.
     pub fn share(&self, host: &HostId) -> f64 {
         let total: f64 = self.entries.iter().map(|(_, weight)| weight).sum();
         let entry = self.entries.iter().find(|(id, _)| id == host);
@@ -369,6 +377,7 @@
 }
 
 impl HostCounts {
+    /// The count of the hosts with this status.
     fn of_status(&mut self, status: HostStatus) -> &mut usize {
         match status {
             HostStatus::Leading => &mut self.leading,
@@ -381,7 +390,7 @@
     }
 }
 
-/// The status of a host in a zone with these statistics of it, if it has any yet.
+/// The status of a host in a zone, from the zone's statistics of the host, if there are any.
 fn host_status(host: &Host, stats: Option<&ZoneHostStats>) -> HostStatus {
     let (health, halvings) =
         stats.map_or((HealthState::Healthy, 0), |stats| (stats.health, stats.weight_halvings));
--- a/crates/wingfold-director/src/policy/push.rs
+++ b/crates/wingfold-director/src/policy/push.rs
@@ -132,7 +132,7 @@
         let table = &subset.tables[group];
         let loss_is_common = zone.baseline_loss >= COMMON_LOSS_RATIO;
         let inputs = TableInputs::new(shared, subset, table, loss_is_common, conditions.with_standby);
-        if table.up_to_date.is_current(&inputs, self.now) {
+        if table.last_empty_push.is_current(&inputs, self.now) {
             return;
         }
         let plan = self.plan_table(zone, shared, group, subset, table.peak_weight);
@@ -145,7 +145,7 @@
             standby: if conditions.with_standby { plan.missing_standby_entries(table) } else { Vec::new() },
             admission_levels: levels,
         };
-        let is_up_to_date = pending.is_empty();
+        let is_empty = pending.is_empty();
         let Some(push) = self.select_push(zone, shared, &conditions, pending) else { return };
         if push.replaces_table {
             zone.standby_paused_until = self.seconds_from_now(RANKING_COOLDOWN_S);
@@ -154,8 +154,8 @@
         let table = &mut zone.subsets[subset_index].tables[group];
         table.peak_weight = plan.peak_weight;
         push.send(table, out);
-        if is_up_to_date {
-            table.up_to_date.record(inputs.with_peak_weight(table.peak_weight), NEVER);
+        if is_empty {
+            table.last_empty_push.record(inputs.with_peak_weight(table.peak_weight), NEVER);
         }
         if lines > 0 {
             self.record_messages(lines, proxies);
--- a/crates/wingfold-director/src/state/table.rs
+++ b/crates/wingfold-director/src/state/table.rs
@@ -1,5 +1,5 @@
 //! Tables as last sent to proxies, and the changes between a table and its plan.
-use crate::incremental::{HostCursor, TableInputs, UpToDate};
+use crate::incremental::{HostCursor, LastRun, TableInputs};
 use crate::interface::{Action, ClassId, ClassMask, HostId, Retry, TableId, Timestamp, ZoneId};
 use crate::state::{ByZone, PlannedEntry, TablePlan, Zone};
 use serde::{Deserialize, Serialize};
@@ -75,9 +75,9 @@
     /// digests, regardless of the order in which the contents were sent.
     #[serde(skip)]
     pub(crate) digest: u64,
-    /// The inputs for which every planned change has been sent.
+    /// The last run of the push that found no planned change to send.
     #[serde(skip)]
-    pub(crate) up_to_date: UpToDate<TableInputs>,
+    pub(crate) last_empty_push: LastRun<TableInputs>,
 }
 
 /// A change of a table entry that has not been sent yet.
@@ -208,7 +208,7 @@
     /// Applies changes that have been sent.
     pub(crate) fn record_sent(&mut self, changes: TableChanges) {
         if !changes.is_empty() {
-            self.up_to_date = UpToDate::default();
+            self.last_empty_push = LastRun::default();
         }
         for change in changes.entries {
             self.record_entry(change.host, change.weight);
@@ -240,7 +240,7 @@
     /// Removes all entries and keeps the admission levels.
     pub(crate) fn clear(&mut self) {
         self.entries.clear();
-        self.up_to_date = UpToDate::default();
+        self.last_empty_push = LastRun::default();
         self.rebuild_digest();
     }
 
