--- a/crates/wingfold-node/src/accept.rs
+++ b/crates/wingfold-node/src/accept.rs
@@ -26,8 +26,8 @@
     let failure_log = log::RateLimitedLog::default();
     loop {
         // The tasks of the connections accepted last have not run yet, and the first message of a proxy among
-        // them may have arrived. Yielding lets those tasks identify their clients first, so that only
-        // connections that have sent nothing are evicted.
+        // them may have arrived. Yielding lets those tasks identify their clients before one is evicted, so
+        // that many silent connections evict only each other.
         if admission.is_full() {
             yield_now().await;
         }
--- a/crates/wingfold-node/src/clock.rs
+++ b/crates/wingfold-node/src/clock.rs
@@ -5,7 +5,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use wingfold_director::interface::{Micros, Timestamp};
 
-/// Delay of a timer whose time lies beyond the range of [`Instant`]; the timer is then set again.
+/// Time after the start at which a timer wakes whose own time lies beyond the range of [`Instant`]; the
+/// engine then computes its instant again.
 const FAR_FUTURE: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// The director's clock.
--- a/crates/wingfold-node/src/collectd.rs
+++ b/crates/wingfold-node/src/collectd.rs
@@ -1,6 +1,5 @@
 //! Receives collectd packets, if enabled: they carry the load of hosts for which no load report does. Loads
-//! go through the inbox like load reports; packets that are malformed or fail authentication are counted and
-//! dropped.
+//! go through the inbox like load reports; rejected packets are counted and dropped.
 
 use crate::clock::Clock;
 use crate::inbox::{InboundEvent, InboundSender};
--- a/crates/wingfold-node/src/components.rs
+++ b/crates/wingfold-node/src/components.rs
@@ -58,21 +58,21 @@
     /// Also starts the writer thread of the capture, and the task that reads the writer's counters.
     pub fn build(
         config: &Config,
-        start: StartOptions,
+        options: StartOptions,
         sockets: Sockets,
         reloads: watch::Receiver<Arc<Config>>,
         clock: Clock,
         metrics: &Arc<Metrics>,
     ) -> Result<Components, RunError> {
         let (inbox, engine_inbox) = inbox::channel(config.bounds.max_queued_reports, metrics.clone());
-        let recording = match start.local.capture {
+        let recording = match options.local.capture {
             Some(capture) => Some(recorder::start(capture, config, clock.now(), metrics.clone())?),
             None => None,
         };
         let dumper = recording.as_ref().map(|recording| recording.dumper.clone());
         let director = Director::new(config.settings.clone(), config.seed);
-        let reporting = start.local.metrics.map(|metrics| {
-            MetricsReporter::new(config, metrics.interval, start.stage_runs, clock.now(), &director)
+        let reporting = options.local.metrics.map(|metrics| {
+            MetricsReporter::new(config, metrics.interval, options.stage_runs, clock.now(), &director)
         });
         let (reporter, intervals) = reporting.unzip();
         let admission = build_admission(config, &inbox, metrics, dumper.clone(), reporter.as_ref());
@@ -100,7 +100,8 @@
     }
 }
 
-/// The receivers of the decision module's actions, and the recorders of its calls.
+/// The channels and sockets to which the engine passes the decision module's actions, and the recorders of
+/// its calls.
 struct EngineOutputs {
     commands: UnboundedSender<DiscoveryCommand>,
     peers: Option<Arc<PeerSocket>>,
--- a/crates/wingfold-node/src/config.rs
+++ b/crates/wingfold-node/src/config.rs
@@ -35,7 +35,7 @@
     pub cached_list: Option<EndpointListResponse>,
     /// The settings of the decision module.
     pub settings: Settings,
-    /// Names of classes and load fields, to which messages refer.
+    /// Names of classes and of the fields of load reports, which messages use.
     pub names: ReportNames,
     /// Bounds of the transport.
     pub bounds: Bounds,
@@ -101,13 +101,13 @@
 }
 
 /// A value with its source, which error messages name.
-struct Sourced {
+struct SourcedValue {
     /// The key of the file, or the name of the variable.
     source: &'static str,
     value: String,
 }
 
-impl Sourced {
+impl SourcedValue {
     fn address(&self) -> Result<SocketAddr, ConfigError> {
         parse_address(self.source, &self.value)
     }
@@ -125,9 +125,9 @@
         variable: &'static str,
         key: &'static str,
         in_file: Option<String>,
-    ) -> Result<Sourced, ConfigError> {
-        let from_variable = (self.variable)(variable).map(|value| Sourced { source: variable, value });
-        let from_file = in_file.map(|value| Sourced { source: key, value });
+    ) -> Result<SourcedValue, ConfigError> {
+        let from_variable = (self.variable)(variable).map(|value| SourcedValue { source: variable, value });
+        let from_file = in_file.map(|value| SourcedValue { source: key, value });
         let found = match self.precedence {
             Precedence::File => from_file.or(from_variable),
             Precedence::Environment => from_variable.or(from_file),
--- a/crates/wingfold-node/src/config/bounds.rs
+++ b/crates/wingfold-node/src/config/bounds.rs
@@ -21,7 +21,7 @@
 /// Least number of connections, in all and of unidentified ones.
 const MIN_CONNECTIONS: usize = 16;
 /// Longest time between two calls to discovery if the settings give none.
-const DEFAULT_POLL_DEADLINE: Duration = Duration::from_secs(10);
+const DEFAULT_MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
 /// Time from accepting a connection until it has named its client.
 const IDENTIFICATION_TIMEOUT: Duration = Duration::from_secs(1);
 /// Report periods without a message after which a client is taken to have ended.
@@ -132,7 +132,7 @@
         // If there are too few descriptors for all proxies, the director serves those that connect first.
         let connections =
             limits.sockets.saturating_sub(max_health_checks + ALWAYS_OPEN_DESCRIPTORS).max(MIN_CONNECTIONS);
-        let poll_deadline = poll_deadline(settings);
+        let max_poll_interval = max_poll_interval(settings);
         let queued_reports = settings.max_report_lines_per_s * REPORT_QUEUE_S;
         Bounds {
             max_connections: connections,
@@ -144,12 +144,12 @@
             max_unread_bytes: MAX_UNREAD_BYTES,
             max_long_message_bytes: limits.quarter_of_memory_bytes(),
             max_queued_reports: queued_reports.clamp(MIN_QUEUED_REPORTS, MAX_QUEUED_REPORTS) as usize,
-            watch_wait: poll_deadline / 2,
-            list_response_time: MAX_LIST_RESPONSE_TIME.min(poll_deadline / 4),
+            watch_wait: max_poll_interval / 2,
+            list_response_time: MAX_LIST_RESPONSE_TIME.min(max_poll_interval / 4),
             max_list_bytes: limits.eighth_of_memory_bytes(),
             max_hosts: ((limits.memory_mb << 17) / BYTES_PER_HOST).max(MIN_HOSTS),
             health_check_connect_timeout: transport.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
-            health_check_timeout: tightest_latency_objective(settings).unwrap_or(poll_deadline),
+            health_check_timeout: tightest_latency_objective(settings).unwrap_or(max_poll_interval),
             max_health_checks,
             memory_bytes: limits.memory_mb << 20,
         }
@@ -185,9 +185,9 @@
 }
 
 /// The longest time between two calls to discovery.
-fn poll_deadline(settings: &Settings) -> Duration {
+fn max_poll_interval(settings: &Settings) -> Duration {
     if settings.poll_within.0 == 0 {
-        DEFAULT_POLL_DEADLINE
+        DEFAULT_MAX_POLL_INTERVAL
     } else {
         duration(settings.poll_within)
     }
--- a/crates/wingfold-node/src/http.rs
+++ b/crates/wingfold-node/src/http.rs
@@ -70,9 +70,14 @@
         HttpClient { client: builder.build(connector), max_body_bytes }
     }
 
-    /// Sends `GET path` to `address` and reads the whole response, all within the time `within`.
-    pub async fn get(&self, address: &str, path: &str, within: Duration) -> Result<HttpResponse, CallError> {
-        self.get_with_progress(address, path, within, &AtomicBool::new(false)).await
+    /// Sends `GET path` to `address` and reads the whole response, all within `time_limit`.
+    pub async fn get(
+        &self,
+        address: &str,
+        path: &str,
+        time_limit: Duration,
+    ) -> Result<HttpResponse, CallError> {
+        self.get_with_progress(address, path, time_limit, &AtomicBool::new(false)).await
     }
 
     /// Like [`HttpClient::get`]; sets `response_started` once the head of the response has arrived.
@@ -80,7 +85,7 @@
         &self,
         address: &str,
         path: &str,
-        within: Duration,
+        time_limit: Duration,
         response_started: &AtomicBool,
     ) -> Result<HttpResponse, CallError> {
         let uri: Uri = format!("http://{address}{path}").parse()?;
@@ -92,6 +97,6 @@
             let body = body.collect().await.map_err(CallError::Body)?.to_bytes();
             Ok(HttpResponse { status, body })
         };
-        timeout(within, request).await.unwrap_or(Err(CallError::Timeout))
+        timeout(time_limit, request).await.unwrap_or(Err(CallError::Timeout))
     }
 }
--- a/crates/wingfold-node/src/log.rs
+++ b/crates/wingfold-node/src/log.rs
@@ -11,7 +11,7 @@
 use wingfold_settings::local::{LogFormat, LogSettings};
 
 /// Lines that may be queued: at a few hundred bytes each, they take a small part of the memory.
-const MAX_WAITING_LINES: usize = 4096;
+const MAX_QUEUED_LINES: usize = 4096;
 /// Lines that a [`RateLimitedLog`] allows in each [`RATE_LIMIT_WINDOW`].
 const MAX_LINES_PER_WINDOW: u32 = 20;
 /// The time over which a [`RateLimitedLog`] counts lines.
@@ -22,7 +22,7 @@
 /// Starts the log; dropping the returned guard flushes it. Panic messages are logged as well: written
 /// directly to standard error, a message could block forever if nothing reads it.
 pub fn start(log: &LogSettings, stage_runs: Option<StageRuns>) -> WorkerGuard {
-    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_WAITING_LINES);
+    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES);
     let (writer, guard) = builder.finish(std::io::stderr());
     let level: LevelFilter = log.level.parse().unwrap_or(LevelFilter::INFO);
     let lines = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(writer);
--- a/crates/wingfold-node/src/message/tests.rs
+++ b/crates/wingfold-node/src/message/tests.rs
@@ -41,6 +41,20 @@
     assert!(matches!(rate, Ok(Inbound::UsageReport(r)) if (r.requests.total, r.requests.failed) == (0, 1)));
 }
 
+#[test]
+fn invalid_reasons_have_the_names_that_figures_page_shows() {
+    let reasons = [
+        (InvalidReason::Form, "Form"),
+        (InvalidReason::Range, "Range"),
+        (InvalidReason::Name, "Name"),
+        (InvalidReason::Turn, "Turn"),
+        (InvalidReason::Mark, "Mark"),
+    ];
+    for (reason, name) in reasons {
+        assert_eq!(format!("{reason:?}"), name);
+    }
+}
+
 #[test]
 fn undecodable_bytes_are_distinguished_from_invalid_messages() {
     let text = ["", "{", "[]", "7", r#"{"type":"ACK","id":"x","seq":9,"#, r#"{"type":"PING"} x"#, "{]"];
--- a/crates/wingfold-node/src/recorder.rs
+++ b/crates/wingfold-node/src/recorder.rs
@@ -134,7 +134,7 @@
         let metrics = self.metrics.clone();
         let to = folder.clone();
         let reason = reason.to_string();
-        // Nothing waits for this thread, which ends when the writer has written the dump or has stopped.
+        // Nothing awaits this blocking task. It ends when the writer has written the dump or has stopped.
         tokio::task::spawn_blocking(move || match result.recv() {
             Ok(Ok(segments)) => {
                 metrics.capture_dumps_total.increment();
--- a/crates/wingfold-node/src/reporting.rs
+++ b/crates/wingfold-node/src/reporting.rs
@@ -19,7 +19,7 @@
 use wingfold_metrics::{ExternalValue, Interval, Meter, Metric, Sample, Value};
 
 /// Intervals that may be queued for the sinks.
-const MAX_WAITING_INTERVALS: usize = 8;
+const MAX_QUEUED_INTERVALS: usize = 8;
 /// Largest write delay that the histogram resolves, in tenths of a millisecond: an hour.
 const MAX_WRITE_DELAY_TENTHS_MS: u64 = 36_000_000;
 
@@ -90,7 +90,7 @@
     /// Intervals dropped, by reason.
     pub dropped: BTreeMap<&'static str, u64>,
     /// Bytes that are queued.
-    pub waiting_bytes: u64,
+    pub queued_bytes: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
     /// Connections that failed or broke, and over UDP sends that failed.
@@ -213,7 +213,7 @@
         now: Timestamp,
         director: &Director,
     ) -> (MetricsReporter, IntervalReceiver) {
-        let (intervals, receiver) = channel(MAX_WAITING_INTERVALS);
+        let (intervals, receiver) = channel(MAX_QUEUED_INTERVALS);
         let reporter = MetricsReporter {
             meter: Meter::new(now, micros(interval), director, &config.names.classes),
             write_delays: WriteDelays::default(),
@@ -300,7 +300,7 @@
                 let labels = vec![receiver.clone(), Arc::from(*reason)];
                 totals.push(external_value(Metric::SinkDropped, labels, *count));
             }
-            gauges.push(value(Metric::SinkWaiting, counters.waiting_bytes));
+            gauges.push(value(Metric::SinkWaiting, counters.queued_bytes));
         }
     }
 
--- a/crates/wingfold-node/src/run.rs
+++ b/crates/wingfold-node/src/run.rs
@@ -37,12 +37,12 @@
 
 /// Runs a director on its own single-threaded runtime.
 fn block_on_run(
-    start: StartOptions,
+    options: StartOptions,
     read_config: impl Fn(Precedence) -> Result<Config, ConfigError> + Clone + Send + 'static,
     read_local: impl Fn() -> Result<LocalSettings, String> + Clone + Send + 'static,
 ) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let result = runtime.block_on(run(start, read_config, read_local));
+    let result = runtime.block_on(run(options, read_config, read_local));
     // Blocking threads are not waited for: one that hangs on a disk would delay the exit of the process.
     runtime.shutdown_background();
     result
@@ -53,7 +53,7 @@
 /// at each SIGHUP. Both are called on blocking threads, so that a read that hangs delays neither decisions
 /// nor the shutdown.
 pub async fn run(
-    start: StartOptions,
+    options: StartOptions,
     read: impl Fn(Precedence) -> Result<Config, ConfigError> + Clone + Send + 'static,
     read_local: impl Fn() -> Result<LocalSettings, String> + Clone + Send + 'static,
 ) -> Result<(), RunError> {
@@ -70,9 +70,9 @@
     let config = config.ok_or(RunError::TaskEnded(TaskEnd::ReadingConfiguration))??;
 
     let (config_sender, config) = watch::channel(Arc::new(config));
-    let sinks = start.local.metrics.as_ref().map(|metrics| metrics.sinks.clone()).unwrap_or_default();
+    let sinks = options.local.metrics.as_ref().map(|metrics| metrics.sinks.clone()).unwrap_or_default();
     let (sinks_sender, sinks) = watch::channel(Arc::new(sinks));
-    let reloader = Reloader::new(config_sender, sinks_sender, start.local.clone());
+    let reloader = Reloader::new(config_sender, sinks_sender, options.local.clone());
     let read_both = move || LoadedFiles { config: read(Precedence::File), local: read_local() };
     let end = async {
         tokio::select! {
@@ -80,7 +80,7 @@
             () = reloader.run(hangup, read_both) => {}
         }
     };
-    serve(config, start, sinks, end).await
+    serve(config, options, sinks, end).await
 }
 
 /// Installs handlers for SIGTERM and SIGINT, and returns a future that waits for one of the two signals.
--- a/crates/wingfold-node/src/serve.rs
+++ b/crates/wingfold-node/src/serve.rs
@@ -36,31 +36,32 @@
 
 /// Serves as a director until `end` is ready, for programs that handle signals themselves. The director
 /// starts with the current value of `config`; [`Config::with_reloaded`] says which changes of later values
-/// take effect without a restart. `sinks` receives the settings of sinks.
+/// take effect without a restart. `sinks` receives the settings of
+/// sinks, at the start and after reloads.
 pub async fn serve(
     config: watch::Receiver<Arc<Config>>,
-    mut start: StartOptions,
+    mut options: StartOptions,
     sinks: watch::Receiver<Arc<SinkSettings>>,
     end: impl Future<Output = ()>,
 ) -> Result<(), RunError> {
     tokio::pin!(end);
     let mut initial = Config::clone(&config.borrow());
-    reserve_resources(&mut initial, &mut start.local)?;
+    reserve_resources(&mut initial, &mut options.local)?;
     let clock = Clock::start();
     let metrics = Arc::new(Metrics::default());
-    let load_receiver = load_receiver_settings(&initial, &start.local);
+    let load_receiver = load_receiver_settings(&initial, &options.local);
     let sockets = tokio::select! {
         () = &mut end => return Ok(()),
         sockets = Sockets::bind(&initial, load_receiver, &metrics) => sockets?,
     };
-    let components = Components::build(&initial, start, sockets, config, clock, &metrics)?;
+    let components = Components::build(&initial, options, sockets, config, clock, &metrics)?;
     run_tasks(components, initial, metrics, sinks, end).await
 }
 
 /// Runs the tasks of a director until `end` is ready or one of the tasks has ended. If a task ends early, for
 /// example by a panic, this function fails and the process ends: a director that no longer decides must not
-/// keep its proxies connected. Once `end` is ready, only the capture is ended in an orderly way; the tasks
-/// are dropped with the runtime.
+/// keep its proxies connected. Once `end` is ready, only the capture is ended, so that it is complete; the
+/// tasks are dropped with the runtime.
 async fn run_tasks(
     components: Components,
     config: Config,
--- a/crates/wingfold-node/src/sink/tcp.rs
+++ b/crates/wingfold-node/src/sink/tcp.rs
@@ -169,7 +169,7 @@
                     counters.dropped.insert(reason.label(), count);
                 }
             }
-            counters.waiting_bytes = core.queued_bytes() as u64;
+            counters.queued_bytes = core.queued_bytes() as u64;
             counters.sent_bytes = core.counts.written_bytes;
             counters.failed_connections = core.counts.failed_connections;
         });
--- a/crates/wingfold-node/src/stage_runs.rs
+++ b/crates/wingfold-node/src/stage_runs.rs
@@ -14,7 +14,7 @@
 
 /// The target of the spans of stages; no other span is observed.
 pub const SPAN_TARGET: &str = "wingfold::stage";
-/// Slow runs, and failed runs, that are kept for each stage.
+/// Number of slow runs, and of failed runs, that are kept for each stage.
 const MAX_RUNS_PER_LIST: usize = 8;
 /// Age after which a slow run gives way to any newer run, even a faster one.
 const SLOW_RUN_EXPIRY: Duration = Duration::from_secs(300);
@@ -35,6 +35,7 @@
     pub failed: Option<String>,
 }
 
+/// A run, with the instant at which it ended, from which its age is computed.
 #[derive(Clone, Debug)]
 struct KeptRun {
     ended: Instant,
--- a/crates/wingfold-node/src/startup.rs
+++ b/crates/wingfold-node/src/startup.rs
@@ -17,7 +17,7 @@
 /// How long binding an address that is in use is retried. A restart that takes longer misses its deadline
 /// anyway.
 const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause between two attempts to bind such an address.
+/// Pause between two attempts to bind an address that is in use.
 const ADDRESS_IN_USE_PAUSE: Duration = Duration::from_millis(50);
 
 /// Deducts the memory and descriptors of the capture and the metrics from the bounds, because the limits of
@@ -25,9 +25,9 @@
 /// switched off.
 pub fn reserve_resources(config: &mut Config, local: &mut LocalSettings) -> Result<(), ConfigError> {
     let bounds = config.bounds.after_reserving(local.reserved_memory_bytes(), local.file_descriptors())?;
-    let suffices_without_metrics = config.bounds.max_connections >= config.bounds.max_clients;
-    let suffices = bounds.max_connections >= bounds.max_clients;
-    if local.metrics.is_some() && suffices_without_metrics && !suffices {
+    let clients_fit_without_metrics = config.bounds.max_connections >= config.bounds.max_clients;
+    let clients_fit_with_metrics = bounds.max_connections >= bounds.max_clients;
+    if local.metrics.is_some() && clients_fit_without_metrics && !clients_fit_with_metrics {
         // Clients take precedence: a director can serve without metrics.
         tracing::warn!(
             "key `limits.sockets`: too low for all proxies, collectors and sinks; metrics are switched off"
