--- a/crates/wingfold-director/src/checkpoint/mod.rs
+++ b/crates/wingfold-director/src/checkpoint/mod.rs
@@ -69,7 +69,8 @@
     /// Writes the whole state of the director, from which [`Director::restore`] restores it.
     pub fn checkpoint(&self) -> Vec<u8> {
         let mut bytes = vec![0; HEAD_BYTES];
-        rmp_serde::encode::write_named(&mut bytes, self).expect("records are plain, written to memory");
+        rmp_serde::encode::write_named(&mut bytes, self)
+            .expect("encoding plain records to memory does not fail");
         let head = CheckpointHead::of_records(&bytes[HEAD_BYTES..], self.settings.digest());
         bytes[..HEAD_BYTES].copy_from_slice(&head.write());
         bytes
--- a/crates/wingfold-director/src/checkpoint/validation.rs
+++ b/crates/wingfold-director/src/checkpoint/validation.rs
@@ -14,7 +14,7 @@
 /// The count of failed polls stays below this number.
 const POLL_FAILURES_BOUND: u32 = 1 << 20;
 
-/// A record of a checkpoint that is invalid, with the values that make it so.
+/// An invalid record of a checkpoint, with the offending values.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidRecord {
     /// A time is so late that adding a duration could overflow.
@@ -406,7 +406,7 @@
     }
 }
 
-/// Succeeds if a record meets a condition, and otherwise returns the error.
+/// Returns `error` unless a record meets its condition.
 fn ensure(is_met: bool, error: impl FnOnce() -> InvalidRecord) -> ValidationResult {
     if is_met {
         Ok(())
--- a/crates/wingfold-director/src/incremental/host_rows.rs
+++ b/crates/wingfold-director/src/incremental/host_rows.rs
@@ -8,9 +8,9 @@
 };
 use std::collections::BTreeMap;
 
-/// The values of a host's record and of a zone's statistics of the host that decide whether the host's health
-/// may have to change, and the host's part in the median loss of the zone. A row fits into one cache line of
-/// the processor, since every evaluation reads all rows.
+/// Copies of the values of a host's record and of a zone's statistics of the host from which the zone's
+/// median loss is computed, and which tell whether the host's health may have to change. A row fits into one
+/// cache line of the processor, since every evaluation reads all rows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct HealthRow {
     /// Whether the endpoint list shows the host as ready.
@@ -365,7 +365,7 @@
         all: bool,
     ) -> impl Iterator<Item = HostInZone<'a>> {
         let mut positions = positions.iter().peekable();
-        let is_selected = move |of: &HostInZone| positions.next_if_eq(&&of.index).is_some() || all;
+        let is_selected = move |host: &HostInZone| positions.next_if_eq(&&host.index).is_some() || all;
         self.hosts_in_zone(zone).filter(is_selected)
     }
 
--- a/crates/wingfold-director/src/incremental/memo.rs
+++ b/crates/wingfold-director/src/incremental/memo.rs
@@ -24,7 +24,7 @@
 /// The inputs of outlier detection in a zone.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct HealthInputs {
-    /// The zone's count of changes of its evidence.
+    /// The zone's count of changes of its statistics of hosts.
     pub(crate) evidence: u64,
     /// Revision of the hosts.
     pub(crate) hosts: u64,
@@ -90,7 +90,7 @@
     pub(crate) health_states: u64,
     /// The last run of outlier detection in the zone.
     pub(crate) health: LastRun<HealthInputs>,
-    /// The zone's rows of each host.
+    /// The zone's rows of all hosts.
     pub(crate) rows: HostRows,
     /// The last assignment of hosts to subsets.
     pub(crate) subset_assignment: LastRun<SubsetInputs>,
--- a/crates/wingfold-director/src/interface/action.rs
+++ b/crates/wingfold-director/src/interface/action.rs
@@ -1,4 +1,4 @@
-//! The actions that a director takes.
+//! The actions that a director requests from its caller.
 use super::{ClassMask, HostId, Notice, ProxyId, TableId, Timestamp};
 use serde::{Deserialize, Serialize};
 
@@ -15,8 +15,8 @@
     Twice,
 }
 
-/// An action that a director requests from its caller. Captures store actions by position (postcard), so the
-/// order of variants and of fields must not change.
+/// An action of a director, which its caller carries out. Captures store actions by position (postcard), so
+/// the order of variants and of fields must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
     /// Start watching the endpoint list (`true`), or stop watching it (`false`).
--- a/crates/wingfold-director/src/interface/endpoint_list.rs
+++ b/crates/wingfold-director/src/interface/endpoint_list.rs
@@ -19,7 +19,7 @@
 pub struct Endpoint {
     /// The host.
     pub host: HostId,
-    /// The type of the host's machine; the director only compares it for equality.
+    /// The type of the host's machine, which the director uses only as an identifier.
     #[serde(rename = "kind")]
     pub machine_type: String,
     /// The zone that the host runs in.
--- a/crates/wingfold-director/src/interface/settings.rs
+++ b/crates/wingfold-director/src/interface/settings.rs
@@ -68,8 +68,8 @@
 
 /// The deployment of a director: its fleet, its limits and the rules that the director follows.
 ///
-/// Checkpoints contain the stored names of the fields, and the digest of the settings depends on the order of
-/// the fields.
+/// Checkpoints contain the stored names of the fields. The digest of the settings depends on the order of the
+/// fields and on the stored names of enumeration values.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Settings {
@@ -149,7 +149,7 @@
     #[serde(rename = "overload_for")]
     pub overload_duration: Micros,
     /// The time within which a director must poll the endpoint list: after this time without a poll, the
-    /// director is taken to know the list anyway.
+    /// director counts as notified of the list.
     #[serde(rename = "ask_within")]
     pub poll_within: Micros,
     /// Whether hosts may stay in tables after their removal from the endpoint list. Draining hosts must leave
@@ -164,7 +164,7 @@
 impl Settings {
     /// A hash of all settings. Different settings have different digests, except for hash collisions.
     pub fn digest(&self) -> u64 {
-        let bytes = rmp_serde::to_vec(self).expect("settings are plain records, written to memory");
+        let bytes = rmp_serde::to_vec(self).expect("encoding plain settings to memory does not fail");
         xxhash_rust::xxh3::xxh3_64(&bytes)
     }
 }
--- a/crates/wingfold-director/src/interface/settings_error.rs
+++ b/crates/wingfold-director/src/interface/settings_error.rs
@@ -49,7 +49,7 @@
     TooManyTables {
         /// The number of proxies.
         proxies: u32,
-        /// The number of classes; no classes count as one.
+        /// The number of classes; 1 if the settings have none.
         classes: usize,
     },
     /// A duration is too long.
--- a/crates/wingfold-director/src/state/send_queue.rs
+++ b/crates/wingfold-director/src/state/send_queue.rs
@@ -103,7 +103,8 @@
     }
 
     /// Removes the lines that have left the queue by the time that `proxy` acknowledges the barrier: those of
-    /// its message and those sent before the barrier's own messages. Returns the number of lines removed.
+    /// the proxy's message and those sent before the first message with the barrier. Returns the number of
+    /// lines removed.
     fn remove_acknowledged(&mut self, proxy: ProxyId) -> f64 {
         let lines_before = std::mem::take(&mut self.lines_before);
         lines_before + self.unacknowledged.remove(&proxy).unwrap_or(0.0)
--- a/crates/wingfold-director/src/state/table.rs
+++ b/crates/wingfold-director/src/state/table.rs
@@ -126,7 +126,7 @@
 /// Changes of a table that have not been sent yet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct TableChanges {
-    /// Changed entries, then removed ones, then new standby entries.
+    /// Changed entries, then removed entries, then new standby entries.
     pub(crate) entries: Vec<EntryChange>,
     /// Changed admission levels.
     pub(crate) admission_levels: Vec<ClassAdmission>,
--- a/crates/wingfold-director/src/state/zone.rs
+++ b/crates/wingfold-director/src/state/zone.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// Numbers of hosts in which each host counts by its locality weight in a zone.
+/// Sums of the locality weights of a zone's hosts: numbers of hosts in which remote hosts count for less.
 pub(crate) struct LocalityWeightedHosts {
     /// Hosts that are ready.
     pub(crate) ready: f64,
--- a/crates/wingfold-director/src/state/zone_host_stats.rs
+++ b/crates/wingfold-director/src/state/zone_host_stats.rs
@@ -85,7 +85,7 @@
     /// Failed attempts for outlier detection, decayed exponentially up to `decayed_at`.
     #[serde(rename = "bad")]
     pub(crate) recent_failures: f64,
-    /// Failed attempts since the last load report that contained a successful one.
+    /// Failed attempts since the last load report with a successful attempt.
     #[serde(rename = "streak")]
     pub(crate) consecutive_failures: f64,
     /// Consecutive useless attempts: attempts that failed, or whose answers came too late for the latency
