--- a/crates/wingfold-node/src/clock.rs
+++ b/crates/wingfold-node/src/clock.rs
@@ -29,8 +29,8 @@
         Timestamp(self.started_at_us + self.started.elapsed().as_micros() as u64)
     }
 
-    /// The instant of a timestamp on the runtime's clock. A timestamp before the start gives the instant of
-    /// the start.
+    /// Converts a timestamp to an instant on the runtime's clock. A timestamp before the start gives the
+    /// instant of the start.
     pub fn instant(&self, at: Timestamp) -> tokio::time::Instant {
         let after_start = Duration::from_micros(at.0.saturating_sub(self.started_at_us));
         let instant = self.started.checked_add(after_start);
--- a/crates/wingfold-node/src/http.rs
+++ b/crates/wingfold-node/src/http.rs
@@ -18,13 +18,13 @@
 pub enum CallError {
     /// Address and path do not form a valid URI.
     #[error("not an address: {0}")]
-    Address(#[from] InvalidUri),
+    InvalidAddress(#[from] InvalidUri),
     /// The connection could not be opened, or broke before the head of the response.
     #[error("no answer: {}", root_cause(.0))]
-    Broken(#[from] hyper_util::client::legacy::Error),
+    ConnectionFailed(#[from] hyper_util::client::legacy::Error),
     /// The body ended early or exceeded the size limit.
     #[error("answer broken off: {0}")]
-    Body(Box<dyn Error + Send + Sync>),
+    BodyFailed(Box<dyn Error + Send + Sync>),
     /// The timeout expired.
     #[error("no answer in time")]
     Timeout,
@@ -94,7 +94,7 @@
             response_started.store(true, Ordering::Relaxed);
             let status = response.status();
             let body = Limited::new(response.into_body(), self.max_body_bytes);
-            let body = body.collect().await.map_err(CallError::Body)?.to_bytes();
+            let body = body.collect().await.map_err(CallError::BodyFailed)?.to_bytes();
             Ok(HttpResponse { status, body })
         };
         timeout(time_limit, request).await.unwrap_or(Err(CallError::Timeout))
--- a/crates/wingfold-node/src/serve.rs
+++ b/crates/wingfold-node/src/serve.rs
@@ -1,5 +1,5 @@
-//! Serves as a director: builds its components, runs their tasks, and returns when it is told to end or when
-//! one of the tasks has ended.
+//! Serves as a director: builds its components, runs their tasks, and returns when the future `end` is ready
+//! or one of the tasks has ended.
 
 use crate::accept;
 use crate::clock::Clock;
--- a/crates/wingfold-node/src/sink/group.rs
+++ b/crates/wingfold-node/src/sink/group.rs
@@ -16,8 +16,8 @@
 use wingfold_metrics::{Interval, Sink, SinkLimits};
 use wingfold_settings::local::{CollectdSettings, GraphiteProtocol, GraphiteSettings, SinkAssignment};
 
-/// Intervals that may be queued for a task. A task takes all of them when it next runs and limits what it
-/// keeps by itself, so this queue is full only if the task does not run.
+/// Intervals that may be queued for a task. A task takes them as soon as it runs and limits what it keeps
+/// by itself, so this queue is full only if the task does not run.
 const QUEUE_INTERVALS: usize = 16;
 
 /// The format in which intervals are written.
--- a/crates/wingfold-node/src/stage_runs/tests.rs
+++ b/crates/wingfold-node/src/stage_runs/tests.rs
@@ -9,7 +9,7 @@
     tracing::subscriber::with_default(subscriber, || {
         for call in 0..100u64 {
             let span = crate::stage!("route", call = call, failed = tracing::field::Empty);
-            let _in = span.enter();
+            let _entered = span.enter();
             if call % 10 == 3 {
                 span.record("failed", tracing::field::display("no room"));
             }
