--- a/crates/wingfold/src/capture.rs
+++ b/crates/wingfold/src/capture.rs
@@ -126,7 +126,7 @@
             Capture::Test { cases } => case::test(cases),
             Capture::Accept { case } => case::accept(case),
         };
-        Outcome::of(result)
+        Outcome::from_result(result)
     }
 }
 
--- a/crates/wingfold/src/capture/case.rs
+++ b/crates/wingfold/src/capture/case.rs
@@ -1,4 +1,5 @@
-//! `wingfold capture keep`, `test` and `accept`: captures that are kept as cases, each in a directory of its own.
+//! `wingfold capture keep`, `test` and `accept`: captures that are kept as cases, each in a directory of its
+//! own.
 
 use super::{write, CaptureError};
 use crate::cli::Outcome;
--- a/crates/wingfold/src/cli.rs
+++ b/crates/wingfold/src/cli.rs
@@ -6,23 +6,24 @@
 use std::fmt::Display;
 use std::process::ExitCode;
 
-/// The program's name, for shells.
+/// The program's name in usage texts and in completion scripts.
 const PROGRAM: &str = "wingfold";
 
-/// How a command ended, as its exit code tells.
+/// How a command ended. The exit code is the number of the variant: 0, 1 or 2.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// All is well, or equal.
+    /// The command completed and found nothing wrong; `replay` found no difference.
     Success,
-    /// It was done, and the answer is no: different, not as expected, a rule broken.
+    /// The command completed with a negative result: a difference, damage, a failed case or a violated
+    /// invariant.
     Negative,
-    /// It could not be done.
+    /// The command could not run or did not complete.
     Failure,
 }
 
 impl Outcome {
-    /// How a command ended that may have failed; why it failed is printed.
-    pub fn of(result: Result<Outcome, impl Display>) -> Outcome {
+    /// Returns the outcome of a command. An error is printed to standard error and becomes `Failure`.
+    pub fn from_result(result: Result<Outcome, impl Display>) -> Outcome {
         result.unwrap_or_else(|error| {
             eprintln!("{error}");
             Outcome::Failure
@@ -36,13 +37,14 @@
     }
 }
 
-const EXAMPLES: &str = "\
-Exit codes: 0 well (replay: equal), 1 done and the answer is no (replay: different), 2 could not be done.
+const EXIT_CODES_AND_EXAMPLES: &str = "\
+Exit codes: 0 success (replay: no differences), 1 negative result (replay: differences found; capture test: a case \
+failed), 2 the command could not run.
 
 Examples:
-  GW_CONFIG=config.json wingfold                     serve as a director
+  GW_CONFIG=config.json wingfold                     run a director
   wingfold serve --config config.json --own deploy/wingfold.hcl
-  wingfold replay /var/lib/wingfold/capture/n3       replay a night, compare every call
+  wingfold replay /var/lib/wingfold/capture/n3       replay a capture and compare every call
   wingfold explain /var/lib/wingfold/capture/n3 --at 03:12:05 --host s-5be2a07c
   wingfold capture show /var/lib/wingfold/capture/n3
   wingfold metrics watch 10.0.0.4:8443
@@ -50,7 +52,12 @@
   wingfold completions bash > /etc/bash_completion.d/wingfold";
 
 #[derive(Debug, Parser)]
-#[command(name = PROGRAM, version, about = "A traffic director for fleets of sidecar proxies", after_help = EXAMPLES)]
+#[command(
+    name = PROGRAM,
+    version,
+    about = "A traffic director for fleets of sidecar proxies",
+    after_help = EXIT_CODES_AND_EXAMPLES
+)]
 struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
@@ -58,28 +65,28 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serve as a director (what wingfold does without a command)
+    /// Run a director (the default if no command is given)
     Serve(serve::Serve),
-    /// Run the module over a capture and compare every answer with what was answered then
+    /// Replay a capture and compare the actions of this build with the recorded ones
     Replay(replay::Replay),
-    /// Explain why the tables held what they held at a time
+    /// Explain why hosts had their weights in the tables at a given time
     #[command(visible_alias = "why")]
     Explain(explain::Explain),
-    /// Look at captures, check them, cut them, keep a case of them
+    /// Show, check and cut captures, and keep parts of them as test cases
     #[command(subcommand)]
     Capture(capture::Capture),
-    /// List metrics, or watch a director's
+    /// List all metrics, or watch those of a running director
     #[command(subcommand, visible_alias = "figures")]
     Metrics(metrics::Metrics),
-    /// Simulate scenarios in the emulator
+    /// Run or check scenarios of the emulator
     #[command(subcommand, visible_alias = "lab")]
     Emulate(emulate::Emulate),
-    /// Check wingfold's own settings
+    /// Check a local settings file
     #[command(subcommand, visible_alias = "own")]
     Settings(settings::Settings),
-    /// Print completions for a shell
+    /// Print the completion script of a shell
     Completions {
-        /// The shell
+        /// The shell that the script is for
         shell: Shell,
     },
 }
@@ -99,7 +106,7 @@
     }
 }
 
-/// Runs the command of the command line.
+/// Parses the command line and runs its command, or a director if the command line names none.
 pub fn run() -> ExitCode {
     match Cli::parse().command {
         None => serve::Serve::default().run(),
--- a/crates/wingfold/src/cli/tests.rs
+++ b/crates/wingfold/src/cli/tests.rs
@@ -1,8 +1,8 @@
-//! The definition of the command line.
+//! The definition of the command line is valid.
 
 use super::*;
 
 #[test]
-fn the_command_line_is_sound() {
+fn clap_accepts_the_command_line_definition() {
     Cli::command().debug_assert();
 }
--- a/crates/wingfold/src/emulate.rs
+++ b/crates/wingfold/src/emulate.rs
@@ -73,7 +73,7 @@
     /// Runs the command.
     pub fn run(self) -> Outcome {
         match self {
-            Emulate::Run(run) => Outcome::of(run.run()),
+            Emulate::Run(run) => Outcome::from_result(run.run()),
             Emulate::Check { scenarios } => check(&scenarios),
         }
     }
--- a/crates/wingfold/src/explain.rs
+++ b/crates/wingfold/src/explain.rs
@@ -85,7 +85,7 @@
 impl Explain {
     /// Runs the command.
     pub fn run(self) -> Outcome {
-        Outcome::of(self.explain().map(|()| Outcome::Success))
+        Outcome::from_result(self.explain().map(|()| Outcome::Success))
     }
 
     fn explain(&self) -> Result<(), ExplainError> {
@@ -128,7 +128,7 @@
             return Ok(None);
         };
         let known: Vec<String> =
-            (0..head.settings.classes.len()).map(|index| format::class(head, index)).collect();
+            (0..head.settings.classes.len()).map(|index| format::class_name(head, index)).collect();
         match known.iter().position(|class| class == name) {
             Some(index) => Ok(Some(index)),
             None => Err(ExplainError::UnknownClass { name: name.clone(), known }),
@@ -165,7 +165,8 @@
     Ok((replayer, observer))
 }
 
-/// The segments from the one that holds the beginning of the question's time on: each starts from a checkpoint.
+/// The segments from the one that holds the beginning of the question's time on: each starts from a
+/// checkpoint.
 fn segments_for<'a>(archive: &'a Archive, question: &Question) -> Vec<&'a SegmentFile> {
     let start = Timestamp(question.at.0.saturating_sub(question.lookback.0));
     let mut segments: Vec<&SegmentFile> = archive.within(start, question.at).collect();
--- a/crates/wingfold/src/explain/text.rs
+++ b/crates/wingfold/src/explain/text.rs
@@ -17,8 +17,8 @@
 
 const NOT_KNOWN: &str = "not known";
 
-/// Prints the director, and each zone with its hosts: a line for each host, or everything about it if `with_details`. If
-/// `class` is given, only its admission level and the hosts that it may use are shown.
+/// Prints the director, and each zone with its hosts: a line for each host, or everything about it if
+/// `with_details`. If `class` is given, only its admission level and the hosts that it may use are shown.
 pub fn print(head: &Head, explanation: &Explanation, with_details: bool, class: Option<usize>) {
     println!("{}", director_line(explanation));
     for zone in &explanation.zones {
@@ -66,7 +66,7 @@
     let levels = zone.admission_levels.iter().enumerate();
     let shown = levels.filter(|(index, _)| class.is_none_or(|class| class == *index));
     let levels: Vec<String> =
-        shown.map(|(index, level)| format!("{} {level}", format::class(head, index))).collect();
+        shown.map(|(index, level)| format!("{} {level}", format::class_name(head, index))).collect();
     let leading_score = zone.leading_score.map_or("no score yet".into(), |score| format!("score {score:.0}"));
     format!(
         "zone {}: {} proxies, usual loss {:.1} %, the leading group is measured by {leading_score}; levels: {}",
--- a/crates/wingfold/src/format.rs
+++ b/crates/wingfold/src/format.rs
@@ -11,15 +11,15 @@
 use wingfold_capture::Head;
 use wingfold_director::interface::ClassMask;
 
-/// Classes in a mask.
+/// The number of classes that a mask can hold.
 const MASK_BITS: usize = 64;
 
-/// The classes of a mask by their names.
-pub fn classes(head: &Head, mask: ClassMask) -> String {
+/// The names of the classes in a mask, joined by `+`, or `all classes`.
+pub fn class_names(head: &Head, mask: ClassMask) -> String {
     let count = head.class_names.len().max(head.settings.classes.len());
     let in_mask = |index: &usize| mask.0 >> index & 1 == 1;
     let names: Vec<String> =
-        (0..count.min(MASK_BITS)).filter(in_mask).map(|index| class(head, index)).collect();
+        (0..count.min(MASK_BITS)).filter(in_mask).map(|index| class_name(head, index)).collect();
     if mask.0 == 0 || names.len() == count {
         "all classes".into()
     } else {
@@ -27,7 +27,7 @@
     }
 }
 
-/// A class by its name.
-pub fn class(head: &Head, index: usize) -> String {
+/// The name of a class, or its index if the capture does not name the class.
+pub fn class_name(head: &Head, index: usize) -> String {
     head.class_names.get(index).cloned().unwrap_or_else(|| format!("class {index}"))
 }
--- a/crates/wingfold/src/format/event.rs
+++ b/crates/wingfold/src/format/event.rs
@@ -1,48 +1,49 @@
-//! Events as text.
+//! Formats the events that the director handles.
 
-use super::class;
+use super::class_name;
 use wingfold_capture::Head;
 use wingfold_director::interface::{
     AttemptCounts, Endpoint, EndpointListKind, Event, HostLoad, Micros, Readiness,
 };
 
-/// The most entries of an endpoint list that are shown.
+/// The maximum number of endpoints of a list that are shown.
 const MAX_ENDPOINTS: usize = 40;
 
 const MS_PER_S: f64 = 1e3;
 
-/// One event as text on one line.
+/// An event as one line of text.
 pub fn event(head: &Head, event: &Event) -> String {
     match event {
         Event::EndpointList { kind, endpoints } => endpoint_list(*kind, endpoints),
-        Event::EndpointListFailed => "a call for the list failed".into(),
-        Event::DiscoveryMoved => "the list has another address".into(),
-        Event::TimerFired(token) => format!("timer {token}"),
+        Event::EndpointListFailed => "a request for the endpoint list failed".into(),
+        Event::DiscoveryMoved => "the address of discovery has changed".into(),
+        Event::TimerFired(token) => format!("timer {token} fired"),
         Event::HealthChecked { host, outcome, load } => {
-            format!("probe of {}: {outcome:?}{}", host.0, host_load(load))
+            format!("health check of {}: {outcome:?}{}", host.0, host_load(load))
         }
         Event::PeerMessage { from, message } => {
-            format!("word of director {from}, {} bytes", message.len())
+            format!("message from director {from}, {} bytes", message.len())
         }
         Event::ProxyConnected { proxy, zone, requests_per_s } => {
-            format!("proxy {} of {} joined, {requests_per_s:.1} requests/s", proxy.0, zone.0)
+            format!("proxy {} of zone {} connected, {requests_per_s:.1} requests/s", proxy.0, zone.0)
         }
-        Event::ProxyDisconnected(proxy) => format!("proxy {} left", proxy.0),
+        Event::ProxyDisconnected(proxy) => format!("proxy {} disconnected", proxy.0),
         Event::LoadReport { zone, host, attempts, mean_latency, load } => format!(
-            "{} heard of {}: {}, {:.0} ms{}",
+            "load report of zone {} on {}: {}, mean latency {:.0} ms{}",
             zone.0,
             host.0,
-            attempt_counts(attempts),
+            counts(attempts, "attempts"),
             milliseconds(*mean_latency),
             host_load(load)
         ),
         Event::Usage { proxy, class: index, requests } => {
-            format!("proxy {} of {}: {}", proxy.0, class(head, index.0), attempt_counts(requests))
+            let requests = counts(requests, "requests");
+            format!("usage report of proxy {} for {}: {requests}", proxy.0, class_name(head, index.0))
         }
         Event::Acknowledged { proxy, barrier, elapsed } => {
-            format!("proxy {} applied mark {barrier} after {:.0} ms", proxy.0, milliseconds(*elapsed))
+            format!("proxy {} applied barrier {barrier} after {:.0} ms", proxy.0, milliseconds(*elapsed))
         }
-        Event::Shard => "something about slices".into(),
+        Event::Shard => "an event about shards, which are not supported".into(),
     }
 }
 
@@ -51,7 +52,7 @@
 }
 
 fn endpoint_list(kind: EndpointListKind, endpoints: &[Endpoint]) -> String {
-    let mut text = format!("list {kind:?} with {} entries", endpoints.len());
+    let mut text = format!("endpoint list ({kind:?}) with {} entries", endpoints.len());
     for entry in endpoints.iter().take(MAX_ENDPOINTS) {
         text.push_str(&endpoint(entry));
     }
@@ -65,23 +66,25 @@
     let readiness = match endpoint.readiness {
         Readiness::Ready => "ready",
         Readiness::Draining => "draining",
-        Readiness::Removed => "gone",
+        Readiness::Removed => "removed",
     };
-    format!("; {} in {} {readiness} weight {}", endpoint.host.0, endpoint.zone.0, endpoint.weight)
+    format!("; {} in zone {}: {readiness}, weight {}", endpoint.host.0, endpoint.zone.0, endpoint.weight)
 }
 
-fn attempt_counts(counts: &AttemptCounts) -> String {
-    format!("{} tries, {} lost, over {:.1} s", counts.total, counts.failed, counts.period.secs())
+/// Counts of attempts or of requests; `unit` says which.
+fn counts(counts: &AttemptCounts, unit: &str) -> String {
+    format!("{} {unit}, {} failed, in {:.1} s", counts.total, counts.failed, counts.period.secs())
 }
 
-/// The values that a host reported; nothing if there are none.
+/// The load values that a host reported, each after a comma; empty if the host reported none.
 fn host_load(load: &HostLoad) -> String {
     let values = [
-        ("in hand", load.in_flight),
-        ("waiting", load.queued),
-        ("busy", load.utilization),
-        ("ms", load.service_ms),
+        ("in flight", load.in_flight),
+        ("queued", load.queued),
+        ("utilization", load.utilization),
+        ("service time ms", load.service_ms),
     ];
-    let known = values.iter().filter_map(|(name, value)| value.map(|value| format!(", {name} {value:.2}")));
-    known.collect()
+    let reported =
+        values.iter().filter_map(|(name, value)| value.map(|value| format!(", {name} {value:.2}")));
+    reported.collect()
 }
--- a/crates/wingfold/src/format/time.rs
+++ b/crates/wingfold/src/format/time.rs
@@ -1,4 +1,4 @@
-//! Times as operators read and write them.
+//! Formats and parses times.
 
 use std::time::{Duration, UNIX_EPOCH};
 use thiserror::Error;
@@ -7,20 +7,23 @@
 /// Microseconds in a day.
 const DAY_US: u64 = 86_400_000_000;
 
-/// Times before this are no Unix times: the clock of an emulated day begins at 0.
+/// Earlier times are not Unix times: the clock of an emulated run starts at 0.
 const FIRST_UNIX_TIME_US: u64 = 10_000 * DAY_US;
 
 const SECONDS_PER_HOUR: f64 = 3600.0;
 const SECONDS_PER_MINUTE: f64 = 60.0;
 
-/// A text that is no time.
+/// A text that cannot be parsed as a time.
 #[derive(Debug, Error)]
-#[error("`{text}` is no time: 2026-11-30T03:12:05Z, 03:12:05, +90s after the start, or seconds are expected")]
+#[error(
+    "`{text}` is not a time: expected 2026-11-30T03:12:05Z, 03:12:05, +90s (after the capture's start) or \
+     seconds"
+)]
 pub struct TimeError {
     text: String,
 }
 
-/// A time as people write it, with its day only if the clock is the world's.
+/// A Unix time in RFC 3339 format, or the seconds of an emulated clock.
 pub fn time(at: Timestamp) -> String {
     if at.0 < FIRST_UNIX_TIME_US {
         return format!("{:.3}s", at.secs());
@@ -29,8 +32,9 @@
     humantime::format_rfc3339_millis(unix).to_string()
 }
 
-/// Reads a time: `2026-11-30T03:12:05Z`, `03:12:05` on the day of the capture's start (UTC; the next day if that has
-/// passed by then), `+90s` after the start, or seconds of the capture's own clock.
+/// Parses a time: `2026-11-30T03:12:05Z`; `03:12:05` (UTC) on the day of the capture's start, or on the next
+/// day if it would be more than 12 hours before the start; `+90s` after the start; or seconds of the
+/// capture's clock.
 pub fn parse_time(text: &str, start: Timestamp) -> Result<Timestamp, TimeError> {
     let parsed = if let Some(after) = text.strip_prefix('+') {
         parse_offset(after, start)
@@ -40,7 +44,7 @@
         let unix = time.duration_since(UNIX_EPOCH).ok();
         unix.map(|unix| Timestamp(unix.as_micros() as u64))
     } else {
-        parse_time_of_day(text).map(|time_of_day| next_after_start(time_of_day, start))
+        parse_time_of_day(text).map(|time_of_day| resolve_time_of_day(time_of_day, start))
     };
     parsed.ok_or_else(|| TimeError { text: text.to_string() })
 }
@@ -50,7 +54,7 @@
     Some(Timestamp(start.0 + offset.as_micros() as u64))
 }
 
-/// Reads hours, minutes and, if they are there, seconds.
+/// Parses `hours:minutes` or `hours:minutes:seconds` as the time since midnight.
 fn parse_time_of_day(text: &str) -> Option<Micros> {
     let parts: Vec<f64> = text.split(':').map(str::parse).collect::<Result<_, _>>().ok()?;
     let (hours, minutes, seconds) = match parts[..] {
@@ -63,8 +67,9 @@
     is_valid.then(|| Micros::from_secs(hours * SECONDS_PER_HOUR + minutes * SECONDS_PER_MINUTE + seconds))
 }
 
-/// A time of the day on which a capture starts, or of the next day: a capture that starts at 23:50 has its 03:12 there.
-fn next_after_start(time_of_day: Micros, start: Timestamp) -> Timestamp {
+/// The given time of day on the day of a capture's start, or on the next day if it would be more than half a
+/// day before the start: in a capture that starts at 23:50, 03:12 is on the next day.
+fn resolve_time_of_day(time_of_day: Micros, start: Timestamp) -> Timestamp {
     let at = start.0 - start.0 % DAY_US + time_of_day.0;
     let is_next_day = at + DAY_US / 2 < start.0;
     Timestamp(if is_next_day { at + DAY_US } else { at })
--- a/crates/wingfold/src/format/time/tests.rs
+++ b/crates/wingfold/src/format/time/tests.rs
@@ -1,9 +1,9 @@
-//! Times as operators write them.
+//! Parsing of times.
 
 use super::*;
 
 #[test]
-fn times_are_read_as_operators_write_them() {
+fn each_time_format_is_parsed_and_invalid_times_are_rejected() {
     // 2026-11-30T23:50:00Z.
     let start = Timestamp(1_796_082_600_000_000);
     let read = |text: &str| parse_time(text, start).map(time);
--- a/crates/wingfold/src/main.rs
+++ b/crates/wingfold/src/main.rs
@@ -1,4 +1,5 @@
-//! wingfold, the program: each command is a module, the work is in the libraries.
+//! The program `wingfold`. Each command is a module, which parses arguments and prints results; the libraries
+//! do the rest.
 #![forbid(unsafe_code)]
 
 mod capture;
--- a/crates/wingfold/src/metrics.rs
+++ b/crates/wingfold/src/metrics.rs
@@ -26,8 +26,8 @@
         #[arg(long)]
         markdown: bool,
     },
-    /// Show a director's main metrics and what its silences mean, refreshed each second (once where the output is no
-    /// terminal)
+    /// Show a director's main metrics and what its silences mean, refreshed each second (once where the
+    /// output is no terminal)
     Watch {
         /// The director's address, such as 10.0.0.4:8443
         address: String,
--- a/crates/wingfold/src/replay.rs
+++ b/crates/wingfold/src/replay.rs
@@ -14,7 +14,8 @@
 use wingfold_archive::{Archive, ArchiveError, SegmentFile};
 use wingfold_capture::replay::{ReplayMode, Replayer};
 
-/// Run the module over a capture and compare every answer. Exit code 0: equal, 1: different, 2: cannot be replayed.
+/// Run the module over a capture and compare every answer. Exit code 0: equal, 1: different, 2: cannot be
+/// replayed.
 #[derive(Args, Debug)]
 pub struct Replay {
     /// A segment, or a folder of them
@@ -53,7 +54,7 @@
 impl Replay {
     /// Runs the command.
     pub fn run(self) -> Outcome {
-        Outcome::of(self.replay())
+        Outcome::from_result(self.replay())
     }
 
     fn replay(&self) -> Result<Outcome, ReplayCommandError> {
--- a/crates/wingfold/src/replay/text.rs
+++ b/crates/wingfold/src/replay/text.rs
@@ -121,7 +121,7 @@
         "{} {}: {} tables differ from {} on, the longest for {longest_s:.1} s ({total_s:.1} s in all), up to {entries} \
          lines and {:.0} % of the weight{}",
         zone.0,
-        format::classes(head, classes),
+        format::class_names(head, classes),
         tables.len(),
         format::time(first),
         100.0 * moved_share,
--- a/crates/wingfold/src/segments.rs
+++ b/crates/wingfold/src/segments.rs
@@ -1,4 +1,4 @@
-//! Reads the segments of a capture one after the other and shows how far that is.
+//! Reads the segments of a capture in order and shows a progress bar.
 
 use crate::file_error::FileError;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -17,26 +17,27 @@
     #[error(transparent)]
     File(#[from] FileError),
     /// A segment cannot be replayed.
-    #[error("{}: {problem}", path.display())]
+    #[error("{}: {error}", path.display())]
     Replay {
         /// The segment's file.
         path: PathBuf,
-        /// Why not.
-        problem: ReplayError,
+        /// Why the segment cannot be replayed.
+        error: ReplayError,
     },
 }
 
-/// Calls `feed` with each entry of each segment; if it breaks, the rest of that segment is skipped.
+/// Passes each entry of each segment to `handle`. If `handle` returns `Break`, the rest of that segment is
+/// skipped.
 pub fn for_each_entry(
     segments: &[&SegmentFile],
-    mut feed: impl FnMut(Entry) -> Result<ControlFlow<()>, ReplayError>,
+    mut handle: impl FnMut(Entry) -> Result<ControlFlow<()>, ReplayError>,
 ) -> Result<(), SegmentError> {
     let bar = progress_bar(segments);
     for segment in segments {
         let bytes = read(segment)?;
         for entry in entries(&bytes) {
-            let error = |problem| SegmentError::Replay { path: segment.path.clone(), problem };
-            if feed(entry).map_err(error)?.is_break() {
+            let replay_error = |error| SegmentError::Replay { path: segment.path.clone(), error };
+            if handle(entry).map_err(replay_error)?.is_break() {
                 break;
             }
         }
@@ -48,10 +49,10 @@
 
 /// Reads the bytes of a segment.
 pub fn read(segment: &SegmentFile) -> Result<Vec<u8>, FileError> {
-    segment.read().map_err(|problem| FileError::new(&segment.path, problem))
+    segment.read().map_err(|error| FileError::new(&segment.path, error))
 }
 
-/// A bar on a terminal, nothing elsewhere.
+/// A progress bar, hidden if standard error is not a terminal.
 fn progress_bar(segments: &[&SegmentFile]) -> ProgressBar {
     if !io::stderr().is_terminal() {
         return ProgressBar::hidden();
--- a/crates/wingfold/src/serve.rs
+++ b/crates/wingfold/src/serve.rs
@@ -1,4 +1,4 @@
-//! `wingfold serve`: the director as a service.
+//! `wingfold serve`: runs a director.
 
 use crate::settings;
 use clap::Args;
@@ -6,24 +6,25 @@
 use std::process::ExitCode;
 use wingfold_settings::local::{LocalSettings, LogFormat};
 
-/// Serve as a director.
+/// Run a director.
 #[derive(Args, Debug, Default)]
 pub struct Serve {
-    /// What the platform tells the director, JSON; else the file that GW_CONFIG names
+    /// Configuration from the platform (JSON); without this option, the file that GW_CONFIG names
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// wingfold's own settings, HCL; else the file that WINGFOLD_OWN names, else everything of it is off
-    #[arg(long, value_name = "FILE")]
-    own: Option<PathBuf>,
-    /// Log lines as JSON objects, whatever the own settings say
+    /// Local settings (HCL); without this option, the file that WINGFOLD_OWN names, or else the defaults,
+    /// which disable capture and metrics
+    #[arg(long = "own", value_name = "FILE")]
+    local_settings: Option<PathBuf>,
+    /// Write log lines as JSON objects, whatever format the local settings choose
     #[arg(long)]
     log_json: bool,
 }
 
 impl Serve {
-    /// Serves until it is asked to end.
+    /// Runs the director until it is asked to shut down. Invalid local settings prevent the start.
     pub fn run(self) -> ExitCode {
-        match settings::load(self.own.as_deref()) {
+        match settings::load(self.local_settings.as_deref()) {
             Ok(local) => self.serve(local),
             Err(error) => {
                 eprintln!("{error}");
@@ -37,10 +38,10 @@
             local.log.format = LogFormat::Json;
         }
         let log_format = local.log.format;
-        let file = self.own;
+        let file = self.local_settings;
         let reload = move || {
             let mut reloaded = settings::load(file.as_deref()).map_err(|error| error.to_string())?;
-            // The format of the log is that of the start.
+            // A reload does not change the log format.
             reloaded.log.format = log_format;
             Ok(reloaded)
         };
--- a/crates/wingfold/src/settings.rs
+++ b/crates/wingfold/src/settings.rs
@@ -1,4 +1,4 @@
-//! `wingfold settings`: wingfold's own settings, read and checked.
+//! `wingfold settings`: reads and checks local settings files.
 
 use crate::cli::Outcome;
 use crate::file_error::{read_text, FileError};
@@ -8,26 +8,26 @@
 use wingfold_settings::hcl::Diagnostics;
 use wingfold_settings::local::LocalSettings;
 
-/// Names the file of own settings where the command line names none.
-const FILE_VARIABLE: &str = "WINGFOLD_OWN";
+/// The environment variable that names the local settings file if the command line does not.
+const SETTINGS_FILE_VARIABLE: &str = "WINGFOLD_OWN";
 
-/// What can be done with own settings.
+/// The subcommands of `wingfold settings`.
 #[derive(Debug, Subcommand)]
 pub enum Settings {
-    /// Report everything that is wrong with a file of own settings (HCL)
+    /// Check a local settings file (HCL) and report every error in it
     Check {
-        /// The file
+        /// The local settings file
         file: PathBuf,
     },
 }
 
-/// Why own settings cannot be used.
+/// Why local settings cannot be loaded.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error(transparent)]
     File(#[from] FileError),
-    /// The file is read, and wrong.
+    /// The file has errors.
     #[error(transparent)]
     Invalid(#[from] Diagnostics),
 }
@@ -36,20 +36,21 @@
     /// Runs the command.
     pub fn run(self) -> Outcome {
         match self {
-            Settings::Check { file } => Outcome::of(check(&file)),
+            Settings::Check { file } => Outcome::from_result(check(&file)),
         }
     }
 }
 
 fn check(file: &Path) -> Result<Outcome, SettingsError> {
     load(Some(file))?;
-    println!("{}: good", file.display());
+    println!("{}: valid", file.display());
     Ok(Outcome::Success)
 }
 
-/// Reads own settings: from `file`, or else from the file that `WINGFOLD_OWN` names, or else the defaults.
+/// Loads local settings from `file`, or else from the file that `WINGFOLD_OWN` names. Without either, returns
+/// the defaults.
 pub fn load(file: Option<&Path>) -> Result<LocalSettings, SettingsError> {
-    let file = file.map(Path::to_path_buf).or_else(file_of_environment);
+    let file = file.map(Path::to_path_buf).or_else(file_from_environment);
     let Some(file) = file else {
         return Ok(LocalSettings::default());
     };
@@ -57,6 +58,6 @@
     Ok(LocalSettings::parse(&file.display().to_string(), &text)?)
 }
 
-fn file_of_environment() -> Option<PathBuf> {
-    std::env::var_os(FILE_VARIABLE).map(PathBuf::from)
+fn file_from_environment() -> Option<PathBuf> {
+    std::env::var_os(SETTINGS_FILE_VARIABLE).map(PathBuf::from)
 }
--- a/crates/wingfold/src/time_range.rs
+++ b/crates/wingfold/src/time_range.rs
@@ -1,32 +1,32 @@
-//! The part of a capture that the command line names by times.
+//! The time range of a capture that a command is limited to.
 
 use crate::format::{parse_time, TimeError};
 use thiserror::Error;
 use wingfold_archive::Archive;
 use wingfold_director::interface::Timestamp;
 
-/// A part of a capture; it contains both its ends.
+/// A range of time in a capture, including both ends.
 #[derive(Clone, Copy, Debug)]
 pub struct TimeRange {
-    /// The first time.
+    /// The start of the range.
     pub from: Timestamp,
-    /// The last time.
+    /// The end of the range.
     pub until: Timestamp,
 }
 
-/// Why a part of a capture cannot be used.
+/// Why a time range is invalid.
 #[derive(Debug, Error)]
 pub enum TimeRangeError {
-    /// One end is no time.
+    /// One end cannot be parsed.
     #[error(transparent)]
     Time(#[from] TimeError),
-    /// The last time is before the first.
-    #[error("the span ends before it begins")]
+    /// The end is before the start.
+    #[error("the end of the time range (--until) is before its start (--from)")]
     Reversed,
 }
 
 impl TimeRange {
-    /// Reads both ends; where one is not given, the part has no bound there.
+    /// Parses both ends. An end that is not given leaves the range unbounded there.
     pub fn parse(archive: &Archive, from: Option<&str>, until: Option<&str>) -> Result<Self, TimeRangeError> {
         let from = parse_time_in(archive, from)?.unwrap_or(Timestamp(0));
         let until = parse_time_in(archive, until)?.unwrap_or(Timestamp(u64::MAX));
@@ -37,7 +37,7 @@
     }
 }
 
-/// Reads a time, if there is one, which may be relative to the capture's start.
+/// Parses an optional time, which may be relative to the start of the capture.
 pub fn parse_time_in(archive: &Archive, text: Option<&str>) -> Result<Option<Timestamp>, TimeError> {
     let start = archive.span().map_or(Timestamp(0), |(first, _)| first);
     text.map(|text| parse_time(text, start)).transpose()
--- a/crates/wingfold/tests/capture.rs
+++ b/crates/wingfold/tests/capture.rs
@@ -109,7 +109,7 @@
         "out until",
         "what moved it:",
         "it noted: host ejected host=s-2 zone=a",
-        "a heard of s-2: 9 tries, 9 lost",
+        "load report of zone a on s-2: 9 attempts, 9 failed",
         "in no table",
     ] {
         assert!(text.contains(part), "{part}: {text}");
@@ -300,7 +300,7 @@
         (vec!["capture", "check", &garbage], 1, "no sound head"),
         (vec!["replay", capture], 0, "equal: every answer, every table, every state"),
         (vec!["replay", capture, "--from", "+10s", "--until", "+20s"], 0, "equal"),
-        (vec!["replay", capture, "--from", "soon"], 2, "is no time"),
+        (vec!["replay", capture, "--from", "soon"], 2, "is not a time"),
         (vec!["explain", capture, "--host", "nobody"], 2, "no host `nobody`"),
         (vec!["explain", capture, "--class", "video"], 2, "here are score, verdict"),
         (vec!["explain", capture, "--proxy", "999"], 2, "not joined"),
--- a/crates/wingfold/tests/commands.rs
+++ b/crates/wingfold/tests/commands.rs
@@ -52,7 +52,7 @@
         ("metrics", &["list"], 0, "news.zone.state"),
         ("metrics", &["list", "--markdown"], 0, "news.zone.state"),
         ("metrics", &["watch", "127.0.0.1:1"], 2, "127.0.0.1:1"),
-        ("settings", &["check", &settings], 0, "good"),
+        ("settings", &["check", &settings], 0, ": valid"),
         ("settings", &["check", &scenario], 2, "is not known"),
         ("settings", &["check"], 2, "Usage: wingfold settings check <FILE>"),
     ];
