--- a/crates/wingfold/src/cli.rs
+++ b/crates/wingfold/src/cli.rs
@@ -38,8 +38,8 @@
 }
 
 const EXIT_CODES_AND_EXAMPLES: &str = "\
-Exit codes: 0 success (replay: no differences), 1 negative result (replay: differences found; capture test: a case \
-failed), 2 the command could not run.
+Exit codes: 0 success (replay: no differences), 1 negative result (replay: differences found; \
+capture test: a case failed), 2 the command could not run.
 
 Examples:
   GW_CONFIG=config.json wingfold                     run a director
--- a/crates/wingfold/src/explain.rs
+++ b/crates/wingfold/src/explain.rs
@@ -1,4 +1,4 @@
-//! `wingfold explain`: why the tables held what they held at a time.
+//! `wingfold explain`: explains why hosts had their weights in the tables at a time.
 
 mod text;
 
@@ -16,65 +16,67 @@
 use wingfold_capture::Head;
 use wingfold_director::interface::{HostId, Micros, ProxyId, Timestamp, ZoneId};
 
-/// Why did the tables hold what they held? Without `--host`, a line for each host; with it, its whole story.
+/// Explain why hosts had their weights in the tables at a time. Prints one line for each host, or with
+/// `--host` all details and recent changes of that host.
 #[derive(Args, Debug)]
 pub struct Explain {
-    /// A segment, or a folder of them
+    /// A segment file, or a directory of segments
     path: PathBuf,
-    /// At this time: 2026-11-30T03:12:05Z, 03:12:05, +90s after the start, or seconds; else at the end
+    /// The time: 2026-11-30T03:12:05Z, 03:12:05, +90s (after the capture's start) or seconds; without this
+    /// option, the end of the capture
     #[arg(long)]
     at: Option<String>,
-    /// Only what proxies of this zone go by
+    /// Show only the tables of proxies in this zone
     #[arg(long)]
     zone: Option<String>,
-    /// Only this host
+    /// Show only this host, with all details and its recent changes
     #[arg(long)]
     host: Option<String>,
-    /// Only the tables of this proxy
+    /// Show only the zone and the tables of this proxy
     #[arg(long)]
     proxy: Option<u32>,
-    /// Only the level of this class, and hosts it may go to
+    /// Show only the admission level of this class and the hosts that its requests may use
     #[arg(long)]
     class: Option<String>,
-    /// What moved hosts is told from so long before
+    /// Show changes of hosts within this period before the time
     #[arg(long = "back", value_name = "BACK", default_value = "30s")]
     lookback: String,
-    /// The answer as one JSON object
+    /// Print the explanation as one JSON object
     #[arg(long)]
     json: bool,
 }
 
-/// Why nothing can be explained.
+/// Why `wingfold explain` failed.
 #[derive(Debug, Error)]
 enum ExplainError {
     /// The capture cannot be opened.
     #[error(transparent)]
     Archive(#[from] ArchiveError),
-    /// One of its segments cannot be replayed.
+    /// A segment cannot be read or replayed.
     #[error(transparent)]
     Segment(#[from] SegmentError),
-    /// The time is none.
+    /// The time cannot be parsed.
     #[error(transparent)]
     Time(#[from] TimeError),
-    /// The duration is none.
-    #[error("`{0}` is no time")]
+    /// The lookback cannot be parsed.
+    #[error("--back: `{0}` is not a duration, such as 30s or 5min")]
     Lookback(String),
     /// No call before the time can be replayed.
-    #[error("{}: nothing could be replayed up to {}", path.display(), format::time(*at))]
+    #[error("{}: no call up to {} could be replayed", path.display(), format::time(*at))]
     NoCalls { path: PathBuf, at: Timestamp },
     /// The settings have no class of this name.
-    #[error("there is no class `{name}`; here are {}", known.join(", "))]
+    #[error("no class `{name}` in the settings; known classes: {}", known.join(", "))]
     UnknownClass { name: String, known: Vec<String> },
-    /// The proxy had no stream to this director.
-    #[error("proxy {proxy} was not joined to this director at {}", format::time(*at))]
+    /// The proxy was not connected to this director.
+    #[error("proxy {proxy} was not connected to this director at {}", format::time(*at))]
     UnknownProxy { proxy: u32, at: Timestamp },
-    /// No host of this name was in the endpoint list.
-    #[error("no host `{host}` was known at {} (or no such zone)", format::time(*at))]
+    /// The director did not know the host, or had no such zone.
+    #[error("no host `{host}` was known at {}, or the zone was unknown", format::time(*at))]
     UnknownHost { host: String, at: Timestamp },
-    /// No zone of this name had hosts.
-    #[error("no zone `{zone}` was known at {}", format::time(*at))]
+    /// The director had no such zone, or knew no hosts.
+    #[error("zone `{zone}` was unknown at {}, or no host was known", format::time(*at))]
     UnknownZone { zone: String, at: Timestamp },
-    /// The endpoint list was empty.
+    /// The director knew no hosts.
     #[error("no host was known at {}", format::time(*at))]
     NoHosts { at: Timestamp },
     /// The explanation cannot be written as JSON.
@@ -99,7 +101,7 @@
         };
         let explanation = observer.explain(&replayer, director);
         self.check_names(&explanation)?;
-        note_differences(&replayer);
+        warn_of_differences(&replayer);
         if self.json {
             println!("{}", serde_json::to_string_pretty(&explanation)?);
         } else {
@@ -122,7 +124,7 @@
         })
     }
 
-    /// The index of the class that was named, if one was.
+    /// The index of the class that `--class` names; `None` without the option.
     fn class_index(&self, head: &Head) -> Result<Option<usize>, ExplainError> {
         let Some(name) = &self.class else {
             return Ok(None);
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Checks that an explanation without hosts is not due to a name that nobody knows.
+    /// Rejects an explanation without hosts, with an error that names the unknown proxy, host or zone.
     fn check_names(&self, explanation: &Explanation) -> Result<(), ExplainError> {
         if !explanation.hosts.is_empty() {
             return Ok(());
@@ -150,7 +152,7 @@
     }
 }
 
-/// Replays a capture up to the time of a question and observes what the question is about.
+/// Replays a capture up to the time of a question and collects the data of its explanation.
 fn replay_up_to(archive: &Archive, question: Question) -> Result<(Replayer, ReplayObserver), SegmentError> {
     let segments = segments_for(archive, &question);
     let mut replayer = Replayer::new(ReplayMode::Strict).between(Timestamp(0), question.at);
@@ -165,8 +167,8 @@
     Ok((replayer, observer))
 }
 
-/// The segments from the one that holds the beginning of the question's time on: each starts from a
-/// checkpoint.
+/// The segments that overlap the question's time and lookback, or else the last segment before the time. Each
+/// segment starts with a checkpoint, so earlier segments are not needed.
 fn segments_for<'a>(archive: &'a Archive, question: &Question) -> Vec<&'a SegmentFile> {
     let start = Timestamp(question.at.0.saturating_sub(question.lookback.0));
     let mut segments: Vec<&SegmentFile> = archive.within(start, question.at).collect();
@@ -176,9 +178,13 @@
     segments
 }
 
-fn note_differences(replayer: &Replayer) {
+/// Warns on standard error if the replay differs from the recording.
+fn warn_of_differences(replayer: &Replayer) {
     let differences = replayer.report.differences;
     if differences > 0 {
-        eprintln!("note: this build answers {differences} calls otherwise than they were answered; what follows is this build's view");
+        eprintln!(
+            "note: the actions of this build differ from the recorded ones in {differences} calls; \
+             the explanation shows the state of this build"
+        );
     }
 }
--- a/crates/wingfold/src/explain/text.rs
+++ b/crates/wingfold/src/explain/text.rs
@@ -1,4 +1,4 @@
-//! An explanation as text.
+//! Prints an explanation as text.
 
 use crate::format;
 use wingfold_capture::explain::{Explanation, HostChange, HostExplanation};
@@ -6,19 +6,20 @@
 use wingfold_director::inspect::{HostStatus, HostView, ZoneView};
 use wingfold_director::interface::{Class, Readiness};
 
-/// The most events before a change that are shown.
+/// The maximum number of events before a change that are shown.
 const MAX_EVENTS: usize = 8;
 
-/// Shares of tables that differ by less are shown as equal.
-const EQUAL_SHARES: f64 = 0.001;
+/// Shares of a host in different tables that differ by less are shown as one value.
+const MIN_SHARE_DIFFERENCE: f64 = 0.001;
 
-/// The most often that a weight is halved, as the divisor is shown.
+/// Limits the shown divisor of a weight to the range of `u32`.
 const MAX_HALVINGS: u32 = 31;
 
-const NOT_KNOWN: &str = "not known";
+const UNKNOWN: &str = "unknown";
 
-/// Prints the director, and each zone with its hosts: a line for each host, or everything about it if
-/// `with_details`. If `class` is given, only its admission level and the hosts that it may use are shown.
+/// Prints the director, and each zone with its hosts: one line for each host, or all its details if
+/// `with_details`. If `class` is given, prints only the admission level of that class and the hosts that its
+/// requests may use.
 pub fn print(head: &Head, explanation: &Explanation, with_details: bool, class: Option<usize>) {
     println!("{}", director_line(explanation));
     for zone in &explanation.zones {
@@ -40,16 +41,18 @@
     100.0 * ratio
 }
 
+/// A value without decimals.
 fn rounded(value: Option<f64>) -> String {
-    value.map_or(NOT_KNOWN.into(), |value| format!("{value:.0}"))
+    value.map_or(UNKNOWN.into(), |value| format!("{value:.0}"))
 }
 
 fn director_line(explanation: &Explanation) -> String {
     let fleet = &explanation.fleet;
-    let median_latency = fleet.median_latency_ms.map_or(NOT_KNOWN.into(), |ms| format!("{ms:.0} ms"));
+    let median_latency = fleet.median_latency_ms.map_or(UNKNOWN.into(), |ms| format!("{ms:.0} ms"));
     format!(
-        "{} at call {}, {}: {} hosts, {} proxies joined, {:.0} % of the work let in, median loss {:.1} %, \
-         median answer {median_latency}, load {:.2}, {:.0} lines in the channel",
+        "{} at call {}, {}: {} hosts, {} connected proxies, {:.0} % of the load admitted, \
+         median loss {:.1} %, median latency {median_latency}, utilization {:.2}, \
+         {:.0} lines in the send queue",
         explanation.director,
         explanation.call,
         format::time(explanation.at),
@@ -69,7 +72,7 @@
         shown.map(|(index, level)| format!("{} {level}", format::class_name(head, index))).collect();
     let leading_score = zone.leading_score.map_or("no score yet".into(), |score| format!("score {score:.0}"));
     format!(
-        "zone {}: {} proxies, usual loss {:.1} %, the leading group is measured by {leading_score}; levels: {}",
+        "zone {}: {} proxies, baseline loss {:.1} %, leading group: {leading_score}; admission levels: {}",
         zone.zone.0,
         zone.proxies,
         percent(zone.baseline_loss),
@@ -91,13 +94,13 @@
     match status {
         HostStatus::Leading => "in the leading group".into(),
         HostStatus::WeightHalved(halvings) => {
-            format!("a laggard at 1/{} of its weight", weight_divisor(halvings))
+            format!("reduced to 1/{} of its weight", weight_divisor(halvings))
         }
-        HostStatus::Ejected(until) => format!("out until {} at least", format::time(until)),
+        HostStatus::Ejected(until) => format!("ejected until {} at least", format::time(until)),
         HostStatus::Probation(until) => {
-            format!("on trial at an eighth, until it answers or {}", format::time(until))
+            format!("in probation at 1/8 of its weight, until it answers or {}", format::time(until))
         }
-        HostStatus::NotReady => "leaving: it drains or is gone".into(),
+        HostStatus::NotReady => "not ready: draining or removed".into(),
     }
 }
 
@@ -105,14 +108,14 @@
     1 << halvings.min(MAX_HALVINGS)
 }
 
-/// A host's share of the weight of its zone's tables.
+/// The share of a host in the weight of its zone's tables.
 fn share(host: &HostExplanation) -> String {
     let shares: Vec<f64> = host.shares.iter().map(|(_, share)| *share).collect();
     let smallest = shares.iter().copied().fold(f64::INFINITY, f64::min);
     let largest = shares.iter().copied().fold(0.0, f64::max);
     if largest == 0.0 {
         "in no table".into()
-    } else if largest - smallest < EQUAL_SHARES {
+    } else if largest - smallest < MIN_SHARE_DIFFERENCE {
         format!("{:.1} % of each table", percent(largest))
     } else {
         format!("{:.1} to {:.1} % of {} tables", percent(smallest), percent(largest), shares.len())
@@ -123,18 +126,18 @@
     let view = &host.view;
     let score = view.score.map_or("no score".into(), |score| format!("score {score:.0}"));
     let slow_start = if view.is_warming_up {
-        format!(", cold: at most {:.0} %", percent(view.slow_start_factor))
+        format!(", slow start: at most {:.0} %", percent(view.slow_start_factor))
     } else {
         String::new()
     };
     format!("{}; {score}, {}{slow_start}", share(host), status(view.status))
 }
 
-/// Prints everything about a host.
+/// Prints all details of a host.
 fn print_details(head: &Head, host: &HostExplanation) {
     let view = &host.view;
     println!(
-        "  {} of {} ({}), as zone {} sees it:",
+        "  {} of zone {} ({}), as seen by zone {}:",
         view.host.0, view.host_zone.0, view.machine_type, view.zone.0
     );
     println!("    now: {}, {}", status(view.status), share(host));
@@ -148,50 +151,54 @@
 fn print_endpoint_state(view: &HostView) {
     match view.readiness {
         Readiness::Ready => {}
-        Readiness::Draining => println!("    the list says it is draining"),
-        Readiness::Removed => println!("    the list says it is gone"),
+        Readiness::Draining => println!("    endpoint list: draining"),
+        Readiness::Removed => println!("    endpoint list: removed"),
     }
     if view.removal_suspected {
-        println!("    the list calls it gone, which is advice here: it stays until its answers fail");
+        println!("    endpoint list: removed; advisory here, so the host is used until attempts at it fail");
     }
 }
 
 fn print_measurements(view: &HostView) {
     println!(
-        "    score {} = {} ms latency + 100 ms for each of {:.1} % loss; the leading group is measured by {}",
+        "    score {} = {} ms latency + 100 ms for each percent of loss ({:.1} %); \
+         score of the leading group: {}",
         rounded(view.score),
         rounded(view.latency_ms),
         percent(view.loss_ratio),
         rounded(view.leading_score)
     );
     println!(
-        "    {:.0} tries of this zone lost in a row, {:.0} of all zones useless in a row, {:.1} tries missed since it was last \
-         heard of, {} rounds speak for its next step",
+        "    consecutive failed attempts of this zone: {:.0}; \
+         consecutive failed or late attempts of all zones: {:.0}; \
+         attempts expected since this zone's last report: {:.1}; \
+         rounds that confirm the next weight change: {}",
         view.consecutive_failures, view.consecutive_useless, view.missed_attempts, view.confirming_rounds
     );
     if let Some((utilization, at)) = view.utilization {
-        println!("    its cores were {:.0} % busy, told at {}", percent(utilization), format::time(at));
+        println!("    utilization {:.0} %, reported at {}", percent(utilization), format::time(at));
     }
 }
 
-/// What a host's weight is made of.
+/// The factors of a host's weight, starting with the weight in the endpoint list.
 fn weight_factors(view: &HostView) -> Vec<String> {
-    let mut factors = vec![format!("listed {}", view.listed_weight)];
+    let mut factors = vec![format!("listed weight {}", view.listed_weight)];
     if view.locality_weight < 1.0 {
-        factors.push(format!("x {:.3} for its distance", view.locality_weight));
+        factors.push(format!("x {:.3} (locality)", view.locality_weight));
     }
     match view.status {
         HostStatus::Leading => {}
         HostStatus::WeightHalved(halvings) => {
-            factors.push(format!("x 1/{} as a laggard", weight_divisor(halvings)))
+            factors.push(format!("x 1/{} (ranking)", weight_divisor(halvings)))
         }
-        HostStatus::Probation(_) => factors.push("x 1/8 on trial".into()),
-        HostStatus::Ejected(_) | HostStatus::NotReady => factors.push("x 0".into()),
+        HostStatus::Probation(_) => factors.push("x 1/8 (probation)".into()),
+        HostStatus::Ejected(_) => factors.push("x 0 (ejected)".into()),
+        HostStatus::NotReady => factors.push("x 0 (not ready)".into()),
     }
     if view.is_warming_up {
         let started = view.started_at.map_or(String::new(), |at| format!(", started {}", format::time(at)));
         factors.push(format!(
-            "at most {:.0} % while cold{started}, and what a cold host is spared",
+            "at most {:.0} % in slow start{started}, or less so that the host is not overloaded",
             percent(view.slow_start_factor)
         ));
     }
@@ -201,16 +208,16 @@
 fn print_table_weights(host: &HostExplanation) {
     for (table, weight) in &host.view.table_weights {
         let share = host.shares.iter().find(|(of, _)| of == table).map_or(0.0, |(_, share)| *share);
-        println!("      table {}: {weight} ({:.2} % of it)", table.0, percent(share));
+        println!("      table {}: weight {weight} ({:.2} % of the table)", table.0, percent(share));
     }
 }
 
 fn print_changes(head: &Head, host: &HostExplanation) {
     if host.changes.is_empty() {
-        println!("    nothing moved it in the time looked at");
+        println!("    no changes in the period (--back)");
         return;
     }
-    println!("    what moved it:");
+    println!("    changes:");
     for change in &host.changes {
         print_change(head, change);
     }
@@ -227,7 +234,7 @@
         percent(share_after)
     );
     for notice in &change.notices {
-        println!("        it noted: {notice}");
+        println!("        notice: {notice}");
     }
     let skipped = change.recent_events.len().saturating_sub(MAX_EVENTS);
     for (at, event) in change.recent_events.iter().skip(skipped) {
--- a/crates/wingfold/src/replay.rs
+++ b/crates/wingfold/src/replay.rs
@@ -1,4 +1,4 @@
-//! `wingfold replay`: runs the decision module over a capture and compares every answer.
+//! `wingfold replay`: replays a capture and compares the actions of this build with the recorded ones.
 
 mod json;
 mod text;
@@ -14,40 +14,41 @@
 use wingfold_archive::{Archive, ArchiveError, SegmentFile};
 use wingfold_capture::replay::{ReplayMode, Replayer};
 
-/// Run the module over a capture and compare every answer. Exit code 0: equal, 1: different, 2: cannot be
-/// replayed.
+/// Replay a capture and compare the actions of this build with the recorded ones. Exit code 0: no
+/// differences, 1: differences, 2: the capture cannot be replayed.
 #[derive(Args, Debug)]
 pub struct Replay {
-    /// A segment, or a folder of them
+    /// A segment file, or a directory of segments
     path: PathBuf,
-    /// From this time: 2026-11-30T03:12:05Z, 03:12:05, +90s after the start, or seconds
+    /// Start of the time range: 2026-11-30T03:12:05Z, 03:12:05, +90s (after the capture's start) or seconds
     #[arg(long)]
     from: Option<String>,
-    /// Until this time
+    /// End of the time range, in the formats of --from
     #[arg(long)]
     until: Option<String>,
-    /// Go on at differences: what would this build have done, which tables differ, for how long, for whom
+    /// Continue with the state of this build after a difference, and list the tables that differ: zone,
+    /// classes, duration and extent
     #[arg(long)]
     compare: bool,
-    /// The answer as one JSON object
+    /// Print the result as one JSON object
     #[arg(long)]
     json: bool,
 }
 
-/// Why a capture cannot be replayed.
+/// Why `wingfold replay` failed.
 #[derive(Debug, Error)]
 enum ReplayCommandError {
-    /// It cannot be opened.
+    /// The capture cannot be opened.
     #[error(transparent)]
     Archive(#[from] ArchiveError),
-    /// The part that was named is wrong.
+    /// The time range is invalid.
     #[error(transparent)]
     Range(#[from] TimeRangeError),
-    /// One of its segments cannot be replayed.
+    /// A segment cannot be read or replayed.
     #[error(transparent)]
     Segment(#[from] SegmentError),
-    /// It has no call in the part that was named, or none whose state is known.
-    #[error("{}: no call could be replayed in that span", path.display())]
+    /// The time range has no call, or no call with a known state before it.
+    #[error("{}: no call in the time range could be replayed", path.display())]
     NoCalls { path: PathBuf },
 }
 
--- a/crates/wingfold/src/replay/json.rs
+++ b/crates/wingfold/src/replay/json.rs
@@ -1,4 +1,5 @@
-//! The result of a replay as one JSON object, whose keys are stable.
+//! Prints the result of a replay as one JSON object. Other programs read the object, so its keys must not
+//! change.
 
 use serde_json::{json, Value};
 use wingfold_capture::replay::{Damage, Difference, DifferenceKind, Replayer};
@@ -6,7 +7,7 @@
 use wingfold_capture::Gap;
 use wingfold_director::interface::{TableId, Timestamp, ZoneId};
 
-/// Prints the object.
+/// Prints the result as a JSON object on one line.
 pub fn print(replayer: &Replayer, elapsed_s: f64) {
     let report = &replayer.report;
     let object = json!({
@@ -47,7 +48,7 @@
 fn divergences(replayer: &Replayer) -> Vec<Value> {
     let mut rows = Vec::new();
     for ((zone, classes), tables) in replayer.divergences() {
-        rows.extend(tables.iter().map(|(table, one)| divergence(&zone, classes, *table, one)));
+        rows.extend(tables.iter().map(|(table, entry)| divergence(&zone, classes, *table, entry)));
     }
     rows
 }
--- a/crates/wingfold/tests/capture.rs
+++ b/crates/wingfold/tests/capture.rs
@@ -105,10 +105,10 @@
     assert_eq!(explained.status.code(), Some(0), "{}", output_text(&explained));
     let text = output_text(&explained);
     for part in [
-        "s-2 of a",
-        "out until",
-        "what moved it:",
-        "it noted: host ejected host=s-2 zone=a",
+        "s-2 of zone a",
+        "ejected until",
+        "    changes:\n",
+        "notice: host ejected host=s-2 zone=a",
         "load report of zone a on s-2: 9 attempts, 9 failed",
         "in no table",
     ] {
@@ -296,18 +296,18 @@
     let capture = concat!(env!("CARGO_MANIFEST_DIR"), "/../../captures/overload/capture.wfcap");
     for (arguments, code, part) in [
         (vec!["replay", &missing], 2, "no-such-capture"),
-        (vec!["replay", &garbage], 2, "no call could be replayed"),
+        (vec!["replay", &garbage], 2, "no call in the time range could be replayed"),
         (vec!["capture", "check", &garbage], 1, "no sound head"),
-        (vec!["replay", capture], 0, "equal: every answer, every table, every state"),
+        (vec!["replay", capture], 0, "equal: all actions, tables and states"),
         (vec!["replay", capture, "--from", "+10s", "--until", "+20s"], 0, "equal"),
         (vec!["replay", capture, "--from", "soon"], 2, "is not a time"),
         (vec!["explain", capture, "--host", "nobody"], 2, "no host `nobody`"),
-        (vec!["explain", capture, "--class", "video"], 2, "here are score, verdict"),
-        (vec!["explain", capture, "--proxy", "999"], 2, "not joined"),
+        (vec!["explain", capture, "--class", "video"], 2, "known classes: score, verdict"),
+        (vec!["explain", capture, "--proxy", "999"], 2, "not connected"),
         (
             vec!["explain", capture, "--at", "+25s", "--proxy", "0", "--class", "verdict"],
             0,
-            "levels: verdict 1",
+            "admission levels: verdict 1",
         ),
         (vec!["emulate", "check", "no-such.hcl"], 2, "no-such.hcl"),
         (vec!["--help"], 0, "Examples:"),
--- a/crates/wingfold/tests/metrics.rs
+++ b/crates/wingfold/tests/metrics.rs
@@ -451,7 +451,7 @@
         "a",
     ]);
     let text = String::from_utf8_lossy(&explained.stdout).into_owned();
-    assert!(text.contains("its cores were 75 % busy"), "{text}");
+    assert!(text.contains("utilization 75 %, reported at"), "{text}");
 }
 
 #[test]
