--- a/crates/wingfold/src/capture.rs
+++ b/crates/wingfold/src/capture.rs
@@ -1,4 +1,4 @@
-//! `wingfold capture`: looks at captures, checks them, and keeps parts of them as cases.
+//! `wingfold capture`: shows, checks and cuts captures, and keeps parts of them as test cases.
 
 mod case;
 mod check;
@@ -15,65 +15,68 @@
 use wingfold_capture::replay::ReplayError;
 use wingfold_settings::hcl::Diagnostics;
 
-/// What can be done with a capture.
+/// The subcommands of `wingfold capture`.
 #[derive(Debug, Subcommand)]
 pub enum Capture {
-    /// Show what a capture holds: segments, times, gaps
+    /// List the segments of a capture, with their times and gaps
     Show {
-        /// A segment, or a folder of them
+        /// A segment file, or a directory of segments
         path: PathBuf,
-        /// As one JSON object a segment
+        /// Print one JSON object per segment
         #[arg(long)]
         json: bool,
     },
-    /// Cut a span of time into one segment that replays alone
+    /// Write a time range of a capture to one segment that can be replayed on its own
     Cut {
-        /// A segment, or a folder of them
+        /// A segment file, or a directory of segments
         path: PathBuf,
-        /// From this time: 2026-11-30T03:12:05Z, 03:12:05, +90s after the start, or seconds
+        /// Start of the time range: 2026-11-30T03:12:05Z, 03:12:05, +90s (after the capture's start) or
+        /// seconds
         #[arg(long)]
         from: Option<String>,
-        /// Until this time
+        /// End of the time range, in the formats of --from
         #[arg(long)]
         until: Option<String>,
-        /// The file to write
+        /// The segment file to write
         #[arg(long)]
         out: PathBuf,
     },
-    /// Keep a span of time as a case: `cargo test` replays it from then on
+    /// Keep a time range of a capture as a test case, which `cargo test` replays
     Keep {
-        /// A segment, or a folder of them
+        /// A segment file, or a directory of segments
         path: PathBuf,
-        /// The case's name; it becomes a folder
+        /// Name of the case and of its directory: letters, digits and hyphens
         #[arg(long)]
         name: String,
-        /// From this time
+        /// Start of the time range: 2026-11-30T03:12:05Z, 03:12:05, +90s (after the capture's start) or
+        /// seconds
         #[arg(long)]
         from: Option<String>,
-        /// Until this time
+        /// End of the time range, in the formats of --from
         #[arg(long)]
         until: Option<String>,
-        /// What went wrong, and where that is written up
+        /// Description of the failure, and where it is documented
         #[arg(long, default_value = "")]
         about: String,
-        /// Where cases are
+        /// Directory in which the case's directory is created
         #[arg(long, default_value = "captures")]
         into: PathBuf,
     },
-    /// Replay kept cases and look whether all holds that must. Exit code 1 if something does not
+    /// Replay cases and check their expectations. Exit code 1 if a case fails
     Test {
-        /// Folders of cases
+        /// Directories of cases, or directories that contain them
         #[arg(default_value = "captures")]
         cases: Vec<PathBuf>,
     },
-    /// Take this build's answers into a kept case: for a module that was changed on purpose
+    /// Replace the recorded actions of a case by those of this build, after an intended change of the
+    /// decision module
     Accept {
-        /// The case's folder
+        /// Directory of the case
         case: PathBuf,
     },
-    /// Read every block and tell what is damaged or missing. Exit code 1 if something is
+    /// Read every block of a capture and report damaged or missing ones. Exit code 1 if there are any
     Check {
-        /// A segment, or a folder of them
+        /// A segment file, or a directory of segments
         path: PathBuf,
     },
 }
@@ -87,25 +90,25 @@
     /// A file or a directory cannot be used.
     #[error(transparent)]
     File(#[from] FileError),
-    /// The part that was named is wrong.
+    /// The time range is invalid.
     #[error(transparent)]
     Range(#[from] TimeRangeError),
     /// The capture cannot be replayed.
-    #[error("{}: {problem}", path.display())]
-    Replay { path: PathBuf, problem: ReplayError },
-    /// The part has no call, or none whose state is known.
-    #[error("{}: no call can be replayed in that span", path.display())]
+    #[error("{}: {error}", path.display())]
+    Replay { path: PathBuf, error: ReplayError },
+    /// The time range has no call, or no call with a known state before it.
+    #[error("{}: no call in the time range can be replayed", path.display())]
     EmptyRange { path: PathBuf },
-    /// The capture of a case has no call, or none whose state is known.
+    /// The capture of a case has no call, or no call with a known state before it.
     #[error("{}: no call can be replayed", path.display())]
     EmptyCase { path: PathBuf },
-    /// The name of a case would be no good name of a directory.
-    #[error("`{0}`: a case's name has letters, digits and hyphens")]
+    /// The name of a case has characters that are not allowed in the name of its directory.
+    #[error("`{0}` is not a valid name of a case: use letters (a-z, A-Z), digits and hyphens")]
     CaseName(String),
-    /// There is a case of this name.
-    #[error("{}: there is such a case already", path.display())]
+    /// The directory of the case already exists.
+    #[error("{}: already exists", path.display())]
     CaseExists { path: PathBuf },
-    /// The description of a case is wrong.
+    /// The description of a case has errors.
     #[error(transparent)]
     Case(#[from] Diagnostics),
 }
@@ -120,7 +123,7 @@
                 extract::cut(path, from.as_deref(), until.as_deref(), out)
             }
             Capture::Keep { path, name, from, until, about, into } => {
-                extract::range(path, from.as_deref(), until.as_deref())
+                extract::extract_range(path, from.as_deref(), until.as_deref())
                     .and_then(|segment| case::keep(&segment, name, about, into))
             }
             Capture::Test { cases } => case::test(cases),
@@ -131,5 +134,5 @@
 }
 
 fn write(path: &Path, bytes: &[u8]) -> Result<(), FileError> {
-    std::fs::write(path, bytes).map_err(|problem| FileError::new(path, problem))
+    std::fs::write(path, bytes).map_err(|error| FileError::new(path, error))
 }
--- a/crates/wingfold/src/capture/case.rs
+++ b/crates/wingfold/src/capture/case.rs
@@ -1,5 +1,5 @@
-//! `wingfold capture keep`, `test` and `accept`: captures that are kept as cases, each in a directory of its
-//! own.
+//! `wingfold capture keep`, `test` and `accept`: parts of captures that are kept as test cases. The directory
+//! of a case holds one segment and a description.
 
 use super::{write, CaptureError};
 use crate::cli::Outcome;
@@ -9,27 +9,27 @@
 use wingfold_capture::case::{self, Case, CaseResult};
 use wingfold_capture::{edit, entries};
 
-/// The segment of a case.
+/// The file name of a case's segment.
 const SEGMENT_FILE: &str = "capture.wfcap";
 
-/// The segment of a case while it is written.
+/// The file name of a case's new segment until it is completely written.
 const PARTIAL_FILE: &str = "capture.part";
 
-/// The description of a case.
+/// The file name of a case's description.
 const CASE_FILE: &str = "case.hcl";
 
-/// What may be expected in a case, for whoever completes its description.
+/// Comments in the description of a new case that show how to write expectations.
 const EXPECTATIONS_HELP: &str = "\
 # expect \"out\" {
 #   host  = \"..\"
-#   zone  = \"..\" # any, if left out
-#   after = \"10s\" # of the case's first call
+#   zone  = \"..\" # optional; default: any zone
+#   after = \"10s\" # since the first call of the case
 #   until = \"14s\"
 # }
-# also: \"share\" (least, most), \"standing\" (is), \"level\" (class, least, most)
+# other kinds: \"share\" (least, most), \"standing\" (is), \"level\" (class, least, most)
 ";
 
-/// Keeps a segment as a new case.
+/// Creates the directory of a case from a segment.
 pub fn keep(segment: &[u8], name: &str, about: &str, into: &Path) -> Result<Outcome, CaptureError> {
     if !is_valid_name(name) {
         return Err(CaptureError::CaseName(name.to_string()));
@@ -38,11 +38,11 @@
     if directory.exists() {
         return Err(CaptureError::CaseExists { path: directory });
     }
-    std::fs::create_dir_all(&directory).map_err(|problem| FileError::new(&directory, problem))?;
+    std::fs::create_dir_all(&directory).map_err(|error| FileError::new(&directory, error))?;
     write(&directory.join(SEGMENT_FILE), segment)?;
     write(&directory.join(CASE_FILE), description(name, about).as_bytes())?;
     println!(
-        "kept in {}; say what must hold in {CASE_FILE}, then: wingfold capture test",
+        "case created in {}; add its expectations to {CASE_FILE}, then run: wingfold capture test",
         directory.display()
     );
     Ok(Outcome::Success)
@@ -52,37 +52,38 @@
     !name.is_empty() && name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-')
 }
 
-/// The description of a new case, HCL.
+/// The text of a new case's description, in HCL.
 fn description(name: &str, about: &str) -> String {
-    let about = without_hcl_syntax(about);
+    let about = replace_hcl_syntax(about);
     format!(
-        "case \"{name}\" {{\n  about  = \"{about}\"\n  tables = \"identical\" # or \"free\": only what is expected below counts\n}}\n\n\
+        "case \"{name}\" {{\n  about  = \"{about}\"\n  \
+         tables = \"identical\" # or \"free\": only the expectations below are checked\n}}\n\n\
          {EXPECTATIONS_HELP}"
     )
 }
 
-/// A text without what has a meaning in a string of HCL.
-fn without_hcl_syntax(text: &str) -> String {
+/// Replaces characters that are not literal in an HCL string.
+fn replace_hcl_syntax(text: &str) -> String {
     text.replace('\\', " ").replace('"', "'").replace("${", "$ {").replace("%{", "% {").replace('\n', " ")
 }
 
-/// Replays all cases and prints which of them hold.
+/// Replays all cases and prints which of them pass. It is a negative result if no case is found.
 pub fn test(roots: &[PathBuf]) -> Result<Outcome, CaptureError> {
     let directories = case_directories(roots)?;
-    let mut is_good = !directories.is_empty();
+    let mut all_passed = !directories.is_empty();
     for directory in &directories {
         let (case, segment) = read_case(directory)?;
         let result = case::check(&case, entries(&segment));
         print_result(directory, &case, &result);
-        is_good &= result.failures.is_empty();
+        all_passed &= result.failures.is_empty();
     }
     if directories.is_empty() {
-        eprintln!("no case was found");
+        eprintln!("no case found: no directory with a file {CASE_FILE}");
     }
-    Ok(if is_good { Outcome::Success } else { Outcome::Negative })
+    Ok(if all_passed { Outcome::Success } else { Outcome::Negative })
 }
 
-/// The directories of cases: each root is one, or holds some.
+/// The directories of all cases: each root is one itself, or its subdirectories are.
 fn case_directories(roots: &[PathBuf]) -> Result<Vec<PathBuf>, FileError> {
     let is_case = |directory: &Path| directory.join(CASE_FILE).is_file();
     let mut directories = Vec::new();
@@ -91,7 +92,7 @@
             directories.push(root.clone());
             continue;
         }
-        let entries = std::fs::read_dir(root).map_err(|problem| FileError::new(root, problem))?;
+        let entries = std::fs::read_dir(root).map_err(|error| FileError::new(root, error))?;
         let paths = entries.filter_map(|entry| Some(entry.ok()?.path()));
         directories.extend(paths.filter(|path| is_case(path)));
     }
@@ -100,7 +101,7 @@
 }
 
 fn print_result(directory: &Path, case: &Case, result: &CaseResult) {
-    let verdict = if result.failures.is_empty() { "holds" } else { "does not hold" };
+    let verdict = if result.failures.is_empty() { "passed" } else { "failed" };
     println!(
         "{}: {} calls, {} expectations: {verdict}",
         directory.display(),
@@ -118,23 +119,22 @@
     let segment_file = directory.join(SEGMENT_FILE);
     let text = read_text(&case_file)?;
     let case = Case::read(&case_file.display().to_string(), &text)?;
-    let segment = read_segment(&segment_file).map_err(|problem| FileError::new(&segment_file, problem))?;
+    let segment = read_segment(&segment_file).map_err(|error| FileError::new(&segment_file, error))?;
     Ok((case, segment))
 }
 
-/// Replaces the answers of a case by those of this build.
+/// Replaces the recorded actions of a case by those of this build.
 pub fn accept(directory: &Path) -> Result<Outcome, CaptureError> {
     let (_, segment) = read_case(directory)?;
     let path = || directory.to_path_buf();
     let accepted = edit::accept(entries(&segment))
-        .map_err(|problem| CaptureError::Replay { path: path(), problem })?
+        .map_err(|error| CaptureError::Replay { path: path(), error })?
         .ok_or_else(|| CaptureError::EmptyCase { path: path() })?;
-    // The old answers are the only ones until the new ones are written completely.
+    // The old segment is replaced only after the new one is completely written.
     let segment_file = directory.join(SEGMENT_FILE);
     let partial_file = directory.join(PARTIAL_FILE);
     write(&partial_file, &accepted)?;
-    std::fs::rename(&partial_file, &segment_file)
-        .map_err(|problem| FileError::new(&segment_file, problem))?;
-    println!("{}: holds this build's answers now", directory.display());
+    std::fs::rename(&partial_file, &segment_file).map_err(|error| FileError::new(&segment_file, error))?;
+    println!("{}: recorded actions replaced by those of this build", directory.display());
     Ok(Outcome::Success)
 }
--- a/crates/wingfold/src/capture/check.rs
+++ b/crates/wingfold/src/capture/check.rs
@@ -1,4 +1,4 @@
-//! `wingfold capture check`: whether all of a capture can be read.
+//! `wingfold capture check`: reports damaged and missing parts of a capture.
 
 use super::CaptureError;
 use crate::cli::Outcome;
@@ -7,30 +7,30 @@
 use wingfold_archive::Archive;
 use wingfold_capture::{entries, Entry};
 
-/// What a segment holds, and what is wrong with it.
+/// The contents of a segment, and the faults found in it.
 #[derive(Default)]
 struct SegmentCheck {
     calls: u64,
     events: u64,
     checkpoints: usize,
-    has_ended: bool,
+    has_index: bool,
     faults: Vec<String>,
 }
 
-/// Reads every segment and prints what is damaged or missing.
+/// Reads every segment and prints its contents and faults.
 pub fn check(path: &Path) -> Result<Outcome, CaptureError> {
     let archive = Archive::open(path)?;
-    let mut is_good = archive.unreadable.is_empty();
+    let mut is_intact = archive.unreadable.is_empty();
     for path in &archive.unreadable {
-        println!("{}: no sound head: nothing in it can be replayed", path.display());
+        println!("{}: no valid head: no call of this segment can be replayed", path.display());
     }
     for segment in &archive.segments {
         let bytes = segments::read(segment)?;
         let check = SegmentCheck::of(&bytes);
         check.print(&segment.path);
-        is_good &= check.faults.is_empty();
+        is_intact &= check.faults.is_empty();
     }
-    Ok(if is_good { Outcome::Success } else { Outcome::Negative })
+    Ok(if is_intact { Outcome::Success } else { Outcome::Negative })
 }
 
 impl SegmentCheck {
@@ -39,8 +39,9 @@
         for entry in entries(bytes) {
             check.add(entry);
         }
-        if !check.has_ended {
-            check.faults.push("not ended: its director was killed, or still writes it".into());
+        // A director writes the index when it ends a segment.
+        if !check.has_index {
+            check.faults.push("incomplete: the director was killed, or is still writing the segment".into());
         }
         check
     }
@@ -59,9 +60,12 @@
                 }));
             }
             Entry::Index(index) => {
-                self.has_ended = true;
+                self.has_index = true;
                 if index.calls != self.calls {
-                    self.faults.push(format!("its index speaks of {} calls", index.calls));
+                    self.faults.push(format!(
+                        "the index counts {} calls, but {} were read",
+                        index.calls, self.calls
+                    ));
                 }
             }
             Entry::Damage { offset, fault } => self.faults.push(format!("byte {offset}: {fault}")),
@@ -70,7 +74,7 @@
 
     fn print(&self, path: &Path) {
         println!(
-            "{}: {} calls, {} events, {} checkpoint(s)",
+            "{}: {} calls, {} events, {} checkpoints",
             path.display(),
             self.calls,
             self.events,
--- a/crates/wingfold/src/capture/show.rs
+++ b/crates/wingfold/src/capture/show.rs
@@ -1,4 +1,4 @@
-//! `wingfold capture show`: the segments of a capture.
+//! `wingfold capture show`: lists the segments of a capture.
 
 use super::CaptureError;
 use crate::cli::Outcome;
@@ -10,11 +10,11 @@
 
 const BYTES_PER_MB: f64 = 1e6;
 
-/// Prints a line or a JSON object for each segment.
+/// Prints one line for each segment: text, or a JSON object if `as_json`.
 pub fn show(path: &Path, as_json: bool) -> Result<Outcome, CaptureError> {
     let archive = Archive::open(path)?;
     for path in &archive.unreadable {
-        eprintln!("{}: no sound head", path.display());
+        eprintln!("{}: no valid head", path.display());
     }
     for segment in &archive.segments {
         if as_json {
@@ -62,7 +62,7 @@
         meta.first.number,
         meta.last.number,
         meta.bytes as f64 / BYTES_PER_MB,
-        if meta.sealed { "" } else { "  not ended" },
+        if meta.sealed { "" } else { "  incomplete" },
         segment.head.director,
         format::time(meta.incarnation),
         segment.head.build,
--- a/crates/wingfold/src/emulate.rs
+++ b/crates/wingfold/src/emulate.rs
@@ -1,4 +1,4 @@
-//! `wingfold emulate`: scenarios in the emulator.
+//! `wingfold emulate`: checks and simulates scenarios of the emulator.
 
 use crate::cli::Outcome;
 use crate::file_error::{read_text, FileError};
@@ -14,57 +14,57 @@
 use wingfold_emulator::{report, RunResult, Scenario};
 use wingfold_settings::hcl::Diagnostics;
 
-/// What can be done in the emulator.
+/// The subcommands of `wingfold emulate`.
 #[derive(Debug, Subcommand)]
 pub enum Emulate {
-    /// Simulate a scenario with several seeds; exit code 1 if a rule was broken
+    /// Simulate a scenario once for each seed. Exit code 1 if a run violated an invariant
     Run(Run),
-    /// Report all that is wrong with scenarios
+    /// Check scenario files and report every error in them
     Check {
-        /// The scenarios, HCL
+        /// The scenario files (HCL)
         scenarios: Vec<PathBuf>,
     },
 }
 
-/// Simulate a scenario with several seeds; exit code 1 if a rule was broken
+/// Simulate a scenario once for each seed. Exit code 1 if a run violated an invariant
 #[derive(Args, Debug)]
 pub struct Run {
-    /// The scenario, HCL
+    /// The scenario file (HCL)
     scenario: PathBuf,
-    /// Seeds, such as 1..20 (both ends are simulated) or 7
+    /// The seeds: a range that includes both ends, such as 1..20, or one seed, such as 7
     #[arg(long, default_value = "1..5")]
     seeds: String,
-    /// Where tables (Markdown, CSV) and a chart (SVG) go; else the tables are printed
+    /// Write tables (Markdown, CSV) and a chart (SVG) to this directory; without it, print the tables
     #[arg(long)]
     out: Option<PathBuf>,
-    /// Capture every director's calls into a folder below this one, by seed
+    /// Write captures of all directors to this directory, in one subdirectory per seed
     #[arg(long)]
     capture: Option<PathBuf>,
-    /// Print the module's log lines of each run
+    /// Print the log lines of the decision module in each run
     #[arg(long)]
     log: bool,
 }
 
-/// Why a scenario cannot be simulated.
+/// Why a scenario cannot be checked or simulated.
 #[derive(Debug, Error)]
 enum EmulateError {
     /// A file or a directory cannot be used.
     #[error(transparent)]
     File(#[from] FileError),
-    /// The scenario is wrong.
+    /// The scenario has errors.
     #[error(transparent)]
     Scenario(#[from] Diagnostics),
-    /// The range of seeds is wrong.
+    /// The range of seeds is invalid.
     #[error(transparent)]
     Seeds(#[from] SeedsError),
     /// A capture cannot be written.
-    #[error(transparent)]
+    #[error("cannot write a capture: {0}")]
     Capture(io::Error),
 }
 
-/// A text that is no range of seeds.
+/// A text that cannot be parsed as a range of seeds.
 #[derive(Debug, Error)]
-#[error("`{text}` is no range of seeds: 1..20 or 7 is expected")]
+#[error("`{text}` is not a range of seeds: expected a range such as 1..20, or one seed such as 7")]
 struct SeedsError {
     text: String,
 }
@@ -96,7 +96,7 @@
     Ok(Scenario::read(&path.display().to_string(), &text)?)
 }
 
-/// Reads a range of seeds that contains both its ends, or a single seed.
+/// Parses a range of seeds, which includes both ends, or a single seed.
 fn parse_seeds(text: &str) -> Result<RangeInclusive<u64>, SeedsError> {
     let error = || SeedsError { text: text.to_string() };
     let (first, last) = text.split_once("..").unwrap_or((text, text));
@@ -108,7 +108,7 @@
     Ok(first..=last)
 }
 
-/// Reads one end of a range of seeds; `1..=20` is understood as well.
+/// Parses one end of a range of seeds. A `=` before it is ignored, so that `1..=20` is valid too.
 fn parse_seed(text: &str) -> Result<u64, ParseIntError> {
     text.trim_start_matches('=').parse()
 }
@@ -127,20 +127,20 @@
         let experiment = Experiment::run(scenario, seeds, self.capture.as_deref(), progress)
             .map_err(EmulateError::Capture)?;
         bar.finish_and_clear();
-        self.show(&experiment)?;
-        Ok(report_broken_rules(&experiment))
+        self.write_or_print(&experiment)?;
+        Ok(report_violations(&experiment))
     }
 
-    /// Writes tables and chart into a directory, or prints the tables.
-    fn show(&self, experiment: &Experiment) -> Result<(), FileError> {
+    /// Writes tables and chart to the directory of `--out`, or prints the tables.
+    fn write_or_print(&self, experiment: &Experiment) -> Result<(), FileError> {
         let Some(directory) = &self.out else {
             print!("{}", report::markdown(experiment));
             return Ok(());
         };
-        report::write(experiment, directory).map_err(|problem| FileError::new(directory, problem))?;
+        report::write(experiment, directory).map_err(|error| FileError::new(directory, error))?;
         let service = experiment.mean(|result| result.service_ratio());
         println!(
-            "service {:.4} ± {:.4}; tables and chart in {}",
+            "service ratio {:.4} ± {:.4}; tables and chart in {}",
             service.mean,
             service.half_width,
             directory.display()
@@ -155,11 +155,11 @@
     }
 }
 
-/// Prints which rules were broken with which seed.
-fn report_broken_rules(experiment: &Experiment) -> Outcome {
+/// Prints the invariants that were violated, by seed.
+fn report_violations(experiment: &Experiment) -> Outcome {
     let violations = experiment.violations();
     for violations_of_seed in &violations {
-        eprintln!("seed {} broke: {violations_of_seed}", violations_of_seed.seed);
+        eprintln!("seed {} violated invariants: {violations_of_seed}", violations_of_seed.seed);
     }
     if violations.is_empty() {
         Outcome::Success
@@ -168,7 +168,7 @@
     }
 }
 
-/// A bar on a terminal, nothing elsewhere.
+/// A progress bar, hidden if standard error is not a terminal.
 fn progress_bar(seeds: &RangeInclusive<u64>) -> ProgressBar {
     if !io::stderr().is_terminal() {
         return ProgressBar::hidden();
--- a/crates/wingfold/src/metrics.rs
+++ b/crates/wingfold/src/metrics.rs
@@ -1,4 +1,4 @@
-//! `wingfold metrics`: the catalogue of metrics, and a director's main ones in a terminal.
+//! `wingfold metrics`: lists the catalogue of metrics, and shows the main metrics of a running director.
 
 mod page;
 mod view;
@@ -11,27 +11,27 @@
 use std::time::Duration;
 use wingfold_metrics::catalogue::{self, MetricDescriptor};
 
-/// Between two views of a director.
+/// The time between two refreshes of `metrics watch`.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Clears a terminal and moves its cursor to the top.
+/// Escape sequences that clear a terminal and move the cursor to its top left corner.
 const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
 
-/// What can be done with metrics.
+/// The subcommands of `wingfold metrics`.
 #[derive(Debug, Subcommand)]
 pub enum Metrics {
-    /// List every metric: name, labels, unit, kind, meaning
+    /// List every metric: name, kind, unit, labels and description
     List {
-        /// As a table in Markdown
+        /// Print the list as a Markdown table
         #[arg(long)]
         markdown: bool,
     },
-    /// Show a director's main metrics and what its silences mean, refreshed each second (once where the
-    /// output is no terminal)
+    /// Show the main metrics of a director, and whether zones, collectors and classes report to it. Refreshes
+    /// every second, or prints once if the output is not a terminal
     Watch {
         /// The director's address, such as 10.0.0.4:8443
         address: String,
-        /// So many times, then end
+        /// Exit after printing the metrics this many times
         #[arg(long)]
         times: Option<u64>,
     },
@@ -59,28 +59,29 @@
     format!("{:<22} {} in {}{labels}: {}", metric.name, metric.kind.name(), metric.unit, metric.description)
 }
 
-/// Shows a director's metrics `times` times; else for good on a terminal, and once elsewhere.
+/// Shows a director's metrics `times` times. Without `times`, shows them until interrupted on a terminal, and
+/// once elsewhere.
 fn watch(address: &str, times: Option<u64>) -> Outcome {
     let is_terminal = io::stdout().is_terminal();
     let times = times.unwrap_or(if is_terminal { u64::MAX } else { 1 });
-    for turn in 0..times {
-        let is_first = turn == 0;
+    for refresh in 0..times {
+        let is_first = refresh == 0;
         if !is_first {
             thread::sleep(REFRESH_INTERVAL);
         }
         match Page::fetch(address) {
             Ok(page) => {
                 let is_shown = show(&page, is_terminal);
-                // The reader of the output is gone.
+                // The output was closed, as by `head` at the end of a pipe.
                 if is_shown.is_err() {
                     return Outcome::Success;
                 }
             }
             Err(error) => {
                 eprintln!("{address}: {error}");
-                // A director that has been seen may restart: it is polled again.
-                let retry = is_terminal && !is_first;
-                if !retry {
+                // The director may be restarting: on a terminal, only a failure of the first fetch is final.
+                let may_retry = is_terminal && !is_first;
+                if !may_retry {
                     return Outcome::Failure;
                 }
             }
--- a/crates/wingfold/src/metrics/page.rs
+++ b/crates/wingfold/src/metrics/page.rs
@@ -1,4 +1,5 @@
-//! The page `/figures` of a director: its last interval, and the slowest and the failed of each stage.
+//! Fetches the page `/figures` of a director: the metrics of its last interval, and the slowest and the
+//! failed runs of each stage.
 
 use serde::Deserialize;
 use std::io::{self, Read, Write};
@@ -6,36 +7,38 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Time for the connection, and for each read.
+/// The timeout of the connection attempt, and of each read.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The most bytes of an answer that are read.
-const MAX_ANSWER_BYTES: u64 = 16 << 20;
+/// The maximum number of bytes of a response that are read.
+const MAX_RESPONSE_BYTES: u64 = 16 << 20;
 
-/// Why a director's metrics cannot be shown.
+/// Why a director's metrics cannot be fetched.
 #[derive(Debug, Error)]
 pub enum FetchError {
-    /// Its name is known and stands for no address.
-    #[error("the name has no address")]
+    /// The host name was resolved, to no address.
+    #[error("the host name has no address")]
     NoAddress,
-    /// The connection failed.
+    /// Connecting, sending or reading failed.
     #[error(transparent)]
     Connection(#[from] io::Error),
-    /// The answer has no end of its head.
-    #[error("no answer")]
-    NoAnswer,
-    /// The director measures nothing.
-    #[error("figures are switched off there (`figures {{ enabled = true }}` in its own settings)")]
+    /// The connection ended within the head of the response, or before it.
+    #[error("the connection ended before the end of the HTTP head")]
+    IncompleteHead,
+    /// The director does not record metrics: the status is 404.
+    #[error(
+        "metrics are disabled; `figures {{ enabled = true }}` in the director's local settings enables them"
+    )]
     Disabled,
-    /// The answer has another status, whose line this is.
-    #[error("{0}")]
+    /// The response has another status than 200 or 404; the value is its status line.
+    #[error("unexpected response: {0}")]
     Status(String),
-    /// The page cannot be read.
+    /// The page cannot be parsed.
     #[error(transparent)]
     Page(#[from] serde_json::Error),
 }
 
-/// The last interval of a director.
+/// The metrics of a director's last interval.
 #[derive(Debug, Deserialize)]
 pub struct Page {
     /// The director's name.
@@ -43,17 +46,19 @@
     /// The interval's end, in seconds of Unix time.
     #[serde(rename = "at")]
     pub end_s: f64,
-    /// The interval's length.
+    /// The interval's length in seconds.
     #[serde(rename = "length")]
     pub length_s: f64,
-    /// What was measured.
+    /// The value of each metric, by its labels.
     #[serde(rename = "figures")]
     pub samples: Vec<Sample>,
-    /// The slowest and the failed of each stage.
-    pub causes: Vec<Cause>,
+    /// The slowest and the failed runs of each stage.
+    #[serde(rename = "causes")]
+    pub stage_runs: Vec<StageRun>,
 }
 
-/// A metric with its labels, as the page has it: name, labels, values.
+/// The values of a metric with one set of labels. On the page, a sample is an array of name, labels and
+/// values.
 #[derive(Debug, Deserialize)]
 pub struct Sample(String, Vec<String>, Vec<f64>);
 
@@ -63,35 +68,35 @@
         &self.0
     }
 
-    /// Its labels, in the order of the catalogue.
+    /// The label values, in the order of the catalogue.
     pub fn labels(&self) -> &[String] {
         &self.1
     }
 
-    /// Its values: one, or those of a distribution.
+    /// One value, or the values of a distribution.
     pub fn values(&self) -> &[f64] {
         &self.2
     }
 }
 
-/// A slow or failed stage.
+/// A slow or failed run of a stage.
 #[derive(Debug, Deserialize)]
-pub struct Cause {
-    /// The stage.
+pub struct StageRun {
+    /// The name of the stage.
     pub stage: String,
-    /// The call of the decision module, if there was one.
+    /// The number of the decision module's call, if the run was part of one.
     pub call: Option<u64>,
-    /// How long it took, in microseconds.
+    /// Duration of the run, in microseconds.
     pub took_us: u64,
-    /// Why it failed, if it did.
+    /// Why the run failed; `None` if it succeeded.
     pub failed: Option<String>,
 }
 
 impl Page {
-    /// Fetches the page of the director at this address.
+    /// Fetches the page from the director at this address.
     pub fn fetch(address: &str) -> Result<Page, FetchError> {
-        let answer = request(address)?;
-        let (head, body) = answer.split_once("\r\n\r\n").ok_or(FetchError::NoAnswer)?;
+        let response = request(address)?;
+        let (head, body) = response.split_once("\r\n\r\n").ok_or(FetchError::IncompleteHead)?;
         if head.starts_with("HTTP/1.1 404") {
             return Err(FetchError::Disabled);
         }
@@ -112,12 +117,12 @@
         Some(sample.values())
     }
 
-    /// The only value of a metric with these labels, or the first one.
+    /// The first value of a metric with these labels; of a counter or a gauge, the only one.
     pub fn value(&self, name: &'static str, labels: &[&str]) -> Option<f64> {
         self.values(name, labels)?.first().copied()
     }
 
-    /// The different labels of a metric at a position, in the order of the page.
+    /// The distinct values of the label at this position in a metric's samples, in the order of the page.
     pub fn labels_of(&self, name: &'static str, position: usize) -> Vec<&str> {
         let mut labels: Vec<&str> = Vec::new();
         for sample in self.samples_of(name) {
@@ -132,15 +137,15 @@
     }
 }
 
-/// Sends the request and reads the whole answer.
+/// Requests the page and returns the complete response, head included.
 fn request(address: &str) -> Result<String, FetchError> {
     let resolved: Option<SocketAddr> = address.to_socket_addrs()?.next();
     let resolved = resolved.ok_or(FetchError::NoAddress)?;
     let mut connection = TcpStream::connect_timeout(&resolved, TIMEOUT)?;
     connection.set_read_timeout(Some(TIMEOUT))?;
-    let head = format!("GET /figures HTTP/1.1\r\nhost: {address}\r\nconnection: close\r\n\r\n");
-    connection.write_all(head.as_bytes())?;
-    let mut answer = String::new();
-    connection.take(MAX_ANSWER_BYTES).read_to_string(&mut answer)?;
-    Ok(answer)
+    let request = format!("GET /figures HTTP/1.1\r\nhost: {address}\r\nconnection: close\r\n\r\n");
+    connection.write_all(request.as_bytes())?;
+    let mut response = String::new();
+    connection.take(MAX_RESPONSE_BYTES).read_to_string(&mut response)?;
+    Ok(response)
 }
--- a/crates/wingfold/src/metrics/view.rs
+++ b/crates/wingfold/src/metrics/view.rs
@@ -1,20 +1,20 @@
-//! The view of `wingfold metrics watch`: a page of a director in words, with a table of its zones.
+//! The output of `wingfold metrics watch`: a director's page as text, with a table of its zones.
 
-use super::page::{Cause, Page};
+use super::page::{Page, StageRun};
 use std::time::{Duration, UNIX_EPOCH};
 
-/// Positions of a distribution's values.
+/// Positions in the values of a distribution.
 const P50: usize = 1;
 const P99: usize = 3;
 const MAX: usize = 4;
 
-/// The most causes that are shown.
-const MAX_CAUSES: usize = 12;
+/// The maximum number of stage runs that are shown.
+const MAX_STAGE_RUNS: usize = 12;
 
-/// Stands for a value that is not known.
+/// Shown in place of an unknown value.
 const UNKNOWN: &str = "-";
 
-/// A page as text.
+/// Renders a page as text.
 pub fn render(page: &Page) -> String {
     if page.samples.is_empty() {
         return format!("{}: no interval has ended yet\n", page.director);
@@ -24,17 +24,17 @@
     lines.extend(zones.into_iter().map(|zone| zone_line(page, zone)));
     let receivers = page.labels_of("sink.sent", 0);
     lines.extend(receivers.into_iter().map(|receiver| receiver_line(page, receiver)));
-    lines.extend(page.causes.iter().take(MAX_CAUSES).map(cause_line));
+    lines.extend(page.stage_runs.iter().take(MAX_STAGE_RUNS).map(stage_run_line));
     lines.join("\n") + "\n"
 }
 
-/// A value with so many digits.
+/// A value with this number of decimals.
 fn decimal(value: Option<f64>, digits: usize) -> String {
     value.map_or(UNKNOWN.into(), |value| format!("{value:.digits$}"))
 }
 
-/// A state by its number.
-fn state(number: Option<f64>) -> &'static str {
+/// The name of a state that a metric gives as a number, as in the metric's unit in the catalogue.
+fn state_name(number: Option<f64>) -> &'static str {
     match number {
         Some(0.0) => "heard",
         Some(1.0) => "quiet",
@@ -47,7 +47,7 @@
 fn interval_line(page: &Page) -> String {
     let end = UNIX_EPOCH + Duration::from_secs_f64(page.end_s.max(0.0));
     format!(
-        "{} at {}, the last {:.0} s; up {} s",
+        "{} at {}, the last {:.0} s; up for {} s",
         page.director,
         humantime::format_rfc3339_seconds(end),
         page.length_s,
@@ -62,7 +62,8 @@
         decimal(values.and_then(|values| values.get(position).copied()), digits)
     };
     format!(
-        "tables written p50 {} p99 {} max {} ms; module p99 {} us; channel {} lines (most {}); let in {}; list {} s old",
+        "table write delay p50 {} p99 {} max {} ms; decision module p99 {} us; send queue {} lines (max {}); \
+         admitted share {}; endpoint list {} s old",
         quantile("table.written", P50, 1),
         quantile("table.written", P99, 1),
         quantile("table.written", MAX, 1),
@@ -76,9 +77,9 @@
 
 fn zone_header() -> String {
     format!(
-        "{:<16} {:>8} {:>7} {:>6} {:>10} {:>8}  {:>7} {:>4} {:>4} {:>4} {:>4} {:>4}  {}",
+        "{:<16} {:>8} {:>7} {:>6} {:>10} {:>8}  {:>7} {:>4} {:>4} {:>7} {:>7} {:>8}  {}",
         "zone",
-        "sums",
+        "reports",
         "age s",
         "lag s",
         "collector",
@@ -86,10 +87,10 @@
         "leading",
         "1/2",
         "1/4",
-        "out",
-        "cold",
-        "left",
-        "class: state asked refused lost level"
+        "ejected",
+        "warming",
+        "draining",
+        "class: state requests rejected failed level"
     )
 }
 
@@ -98,11 +99,11 @@
     let classes = page.labels_of("news.class.state", 1);
     let classes: Vec<String> = classes.into_iter().map(|class| class_cell(page, zone, class)).collect();
     format!(
-        "{zone:<16} {:>8} {:>7} {:>6} {:>10} {:>8}  {:>7} {:>4} {:>4} {:>4} {:>4} {:>4}  {}",
-        state(page.value("news.zone.state", &[zone])),
+        "{zone:<16} {:>8} {:>7} {:>6} {:>10} {:>8}  {:>7} {:>4} {:>4} {:>7} {:>7} {:>8}  {}",
+        state_name(page.value("news.zone.state", &[zone])),
         value("news.zone.age", 1),
         value("news.zone.lag", 1),
-        state(page.value("news.collector.state", &[zone])),
+        state_name(page.value("news.collector.state", &[zone])),
         value("proxies.joined", 0),
         value("hosts.leading", 0),
         value("hosts.halved", 0),
@@ -118,7 +119,7 @@
     let value = |name: &'static str, digits| decimal(page.value(name, &[zone, class]), digits);
     format!(
         "{class}: {} {} {} {} {}",
-        state(page.value("news.class.state", &[zone, class])),
+        state_name(page.value("news.class.state", &[zone, class])),
         value("service.asked", 0),
         value("service.refused", 0),
         value("service.lost", 0),
@@ -133,15 +134,16 @@
         .filter(|sample| sample.labels().first().is_some_and(|label| label == receiver));
     let dropped: f64 = dropped_samples.filter_map(|sample| sample.values().first()).sum();
     format!(
-        "receiver {receiver}: {} bytes sent, {} wait, {dropped:.0} intervals dropped, {} cuts",
+        "receiver {receiver}: {} bytes sent, {} bytes queued, {dropped:.0} intervals dropped, \
+         {} failed connections",
         value("sink.sent"),
         value("sink.waiting"),
         value("sink.cuts")
     )
 }
 
-fn cause_line(cause: &Cause) -> String {
-    let call = cause.call.map_or(String::new(), |call| format!(" in call {call}"));
-    let failed = cause.failed.as_ref().map_or(String::new(), |failed| format!(": {failed}"));
-    format!("{}{call}: {} us{failed}", cause.stage, cause.took_us)
+fn stage_run_line(run: &StageRun) -> String {
+    let call = run.call.map_or(String::new(), |call| format!(" in call {call}"));
+    let failed = run.failed.as_ref().map_or(String::new(), |failed| format!(": {failed}"));
+    format!("{}{call}: {} us{failed}", run.stage, run.took_us)
 }
--- a/crates/wingfold/tests/capture.rs
+++ b/crates/wingfold/tests/capture.rs
@@ -134,7 +134,7 @@
     let checked = run_wingfold(&["capture", "check", capture]);
     assert_eq!(checked.status.code(), Some(1), "{}", output_text(&checked));
     assert!(
-        output_text(&checked).contains("not ended: its director was killed"),
+        output_text(&checked).contains("incomplete: the director was killed"),
         "{}",
         output_text(&checked)
     );
@@ -297,7 +297,7 @@
     for (arguments, code, part) in [
         (vec!["replay", &missing], 2, "no-such-capture"),
         (vec!["replay", &garbage], 2, "no call in the time range could be replayed"),
-        (vec!["capture", "check", &garbage], 1, "no sound head"),
+        (vec!["capture", "check", &garbage], 1, "no valid head"),
         (vec!["replay", capture], 0, "equal: all actions, tables and states"),
         (vec!["replay", capture, "--from", "+10s", "--until", "+20s"], 0, "equal"),
         (vec!["replay", capture, "--from", "soon"], 2, "is not a time"),
--- a/crates/wingfold/tests/commands.rs
+++ b/crates/wingfold/tests/commands.rs
@@ -43,7 +43,7 @@
     let scenario = repository_file("crates/wingfold-emulator/scenarios/example.hcl");
     let cases: [(&str, &[&str], i32, &str); 13] = [
         ("emulate", &["run", &scenario, "--seeds", "3"], 0, "service"),
-        ("emulate", &["run", &scenario, "--seeds", "3..1"], 2, "no range of seeds"),
+        ("emulate", &["run", &scenario, "--seeds", "3..1"], 2, "not a range of seeds"),
         ("emulate", &["check", &scenario], 0, ""),
         ("emulate", &["check", "no-such.hcl"], 2, "no-such.hcl"),
         ("explain", &[&capture], 0, "hosts"),
--- a/crates/wingfold/tests/metrics.rs
+++ b/crates/wingfold/tests/metrics.rs
@@ -465,7 +465,7 @@
     let address = setup.listen.to_string();
     let watch = || run_wingfold(&["metrics", "watch", &address]);
     let watch_output = || String::from_utf8_lossy(&watch().stdout).into_owned();
-    wait_until("an interval has ended", || watch_output().contains("tables written p50"));
+    wait_until("an interval has ended", || watch_output().contains("table write delay p50"));
     let text = watch_output();
     for part in ["n0 at ", "zone", "collector", "heard", "lookup: ", "route in call "] {
         assert!(text.contains(part), "{part}: {text}");
@@ -476,7 +476,8 @@
     let (_discovery, setup_without_metrics) = three_host_deployment();
     let director = setup_without_metrics.start();
     let output = run_wingfold(&["metrics", "watch", &setup_without_metrics.listen.to_string()]);
-    assert!(String::from_utf8_lossy(&output.stderr).contains("figures are switched off there"));
+    assert!(String::from_utf8_lossy(&output.stderr)
+        .contains("metrics are disabled; `figures { enabled = true }`"));
     assert!(director.http_get("/figures").starts_with("HTTP/1.1 404"));
     let list = run_wingfold(&["metrics", "list"]);
     let list = String::from_utf8_lossy(&list.stdout).into_owned();
