--- a/crates/wingfold/src/capture.rs
+++ b/crates/wingfold/src/capture.rs
@@ -74,7 +74,7 @@
         /// Directory of the case
         case: PathBuf,
     },
-    /// Read every block of a capture and report damaged or missing ones. Exit code 1 if there are any
+    /// Read a whole capture and report damage and missing calls. Exit code 1 if there are any
     Check {
         /// A segment file, or a directory of segments
         path: PathBuf,
--- a/crates/wingfold/src/explain.rs
+++ b/crates/wingfold/src/explain.rs
@@ -22,8 +22,8 @@
 pub struct Explain {
     /// A segment file, or a directory of segments
     path: PathBuf,
-    /// The time: 2026-11-30T03:12:05Z, 03:12:05, +90s (after the capture's start) or seconds; without this
-    /// option, the end of the capture
+    /// The time to explain: 2026-11-30T03:12:05Z, 03:12:05, +90s (after the capture's start) or seconds;
+    /// without this option, the end of the capture
     #[arg(long)]
     at: Option<String>,
     /// Show only the tables of proxies in this zone
@@ -61,7 +61,7 @@
     /// The lookback cannot be parsed.
     #[error("--back: `{0}` is not a duration, such as 30s or 5min")]
     Lookback(String),
-    /// No call before the time can be replayed.
+    /// No call at or before the time can be replayed.
     #[error("{}: no call up to {} could be replayed", path.display(), format::time(*at))]
     NoCalls { path: PathBuf, at: Timestamp },
     /// The settings have no class of this name.
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Rejects an explanation without hosts, with an error that names the unknown proxy, host or zone.
+    /// Rejects an explanation without hosts. The error names the proxy, host or zone of the command line.
     fn check_names(&self, explanation: &Explanation) -> Result<(), ExplainError> {
         if !explanation.hosts.is_empty() {
             return Ok(());
--- a/crates/wingfold/src/explain/text.rs
+++ b/crates/wingfold/src/explain/text.rs
@@ -15,6 +15,7 @@
 /// Limits the shown divisor of a weight to the range of `u32`.
 const MAX_HALVINGS: u32 = 31;
 
+/// Shown in place of an unknown value.
 const UNKNOWN: &str = "unknown";
 
 /// Prints the director, and each zone with its hosts: one line for each host, or all its details if
@@ -89,7 +90,7 @@
     is_own_zone && is_zone_allowed && is_machine_type_allowed
 }
 
-/// How a zone treats a host.
+/// How a zone treats a host, as text.
 fn status(status: HostStatus) -> String {
     match status {
         HostStatus::Leading => "in the leading group".into(),
@@ -98,7 +99,7 @@
         }
         HostStatus::Ejected(until) => format!("ejected until {} at least", format::time(until)),
         HostStatus::Probation(until) => {
-            format!("in probation at 1/8 of its weight, until it answers or {}", format::time(until))
+            format!("in probation at 1/8 of its weight, until it answers, or until {}", format::time(until))
         }
         HostStatus::NotReady => "not ready: draining or removed".into(),
     }
@@ -108,7 +109,7 @@
     1 << halvings.min(MAX_HALVINGS)
 }
 
-/// The share of a host in the weight of its zone's tables.
+/// The share of a host in the weight of its zone's tables, as text.
 fn share(host: &HostExplanation) -> String {
     let shares: Vec<f64> = host.shares.iter().map(|(_, share)| *share).collect();
     let smallest = shares.iter().copied().fold(f64::INFINITY, f64::min);
--- a/crates/wingfold/src/format.rs
+++ b/crates/wingfold/src/format.rs
@@ -1,4 +1,4 @@
-//! Times, classes, events and actions as text for operators.
+//! Formats times, classes, events and actions as text for operators.
 
 mod action;
 mod event;
@@ -14,7 +14,8 @@
 /// The number of classes that a mask can hold.
 const MASK_BITS: usize = 64;
 
-/// The names of the classes in a mask, joined by `+`, or `all classes`.
+/// The names of the classes in a mask, joined by `+`, or `all classes` for a mask that is 0 or has every
+/// class.
 pub fn class_names(head: &Head, mask: ClassMask) -> String {
     let count = head.class_names.len().max(head.settings.classes.len());
     let in_mask = |index: &usize| mask.0 >> index & 1 == 1;
--- a/crates/wingfold/src/format/time.rs
+++ b/crates/wingfold/src/format/time.rs
@@ -62,6 +62,7 @@
         [hours, minutes, seconds] => (hours, minutes, seconds),
         _ => return None,
     };
+    // 60 seconds are valid, as in a leap second.
     let is_valid =
         (0.0..24.0).contains(&hours) && (0.0..60.0).contains(&minutes) && (0.0..61.0).contains(&seconds);
     is_valid.then(|| Micros::from_secs(hours * SECONDS_PER_HOUR + minutes * SECONDS_PER_MINUTE + seconds))
--- a/crates/wingfold/src/metrics/view.rs
+++ b/crates/wingfold/src/metrics/view.rs
@@ -3,10 +3,10 @@
 use super::page::{Page, StageRun};
 use std::time::{Duration, UNIX_EPOCH};
 
-/// Positions in the values of a distribution.
-const P50: usize = 1;
-const P99: usize = 3;
-const MAX: usize = 4;
+/// Indices of quantiles in the values of a distribution.
+const P50_INDEX: usize = 1;
+const P99_INDEX: usize = 3;
+const MAX_INDEX: usize = 4;
 
 /// The maximum number of stage runs that are shown.
 const MAX_STAGE_RUNS: usize = 12;
@@ -29,8 +29,8 @@
 }
 
 /// A value with this number of decimals.
-fn decimal(value: Option<f64>, digits: usize) -> String {
-    value.map_or(UNKNOWN.into(), |value| format!("{value:.digits$}"))
+fn decimal(value: Option<f64>, decimals: usize) -> String {
+    value.map_or(UNKNOWN.into(), |value| format!("{value:.decimals$}"))
 }
 
 /// The name of a state that a metric gives as a number, as in the metric's unit in the catalogue.
@@ -56,18 +56,18 @@
 }
 
 fn director_line(page: &Page) -> String {
-    let value = |name: &'static str, digits| decimal(page.value(name, &[]), digits);
-    let quantile = |name: &'static str, position: usize, digits| {
+    let value = |name: &'static str, decimals| decimal(page.value(name, &[]), decimals);
+    let quantile = |name: &'static str, position: usize, decimals| {
         let values = page.values(name, &[]);
-        decimal(values.and_then(|values| values.get(position).copied()), digits)
+        decimal(values.and_then(|values| values.get(position).copied()), decimals)
     };
     format!(
         "table write delay p50 {} p99 {} max {} ms; decision module p99 {} us; send queue {} lines (max {}); \
          admitted share {}; endpoint list {} s old",
-        quantile("table.written", P50, 1),
-        quantile("table.written", P99, 1),
-        quantile("table.written", MAX, 1),
-        quantile("module.time", P99, 0),
+        quantile("table.written", P50_INDEX, 1),
+        quantile("table.written", P99_INDEX, 1),
+        quantile("table.written", MAX_INDEX, 1),
+        quantile("module.time", P99_INDEX, 0),
         value("channel.depth", 0),
         value("channel.most", 0),
         value("admitted", 2),
@@ -95,7 +95,7 @@
 }
 
 fn zone_line(page: &Page, zone: &str) -> String {
-    let value = |name: &'static str, digits| decimal(page.value(name, &[zone]), digits);
+    let value = |name: &'static str, decimals| decimal(page.value(name, &[zone]), decimals);
     let classes = page.labels_of("news.class.state", 1);
     let classes: Vec<String> = classes.into_iter().map(|class| class_cell(page, zone, class)).collect();
     format!(
@@ -116,7 +116,7 @@
 }
 
 fn class_cell(page: &Page, zone: &str, class: &str) -> String {
-    let value = |name: &'static str, digits| decimal(page.value(name, &[zone, class]), digits);
+    let value = |name: &'static str, decimals| decimal(page.value(name, &[zone, class]), decimals);
     format!(
         "{class}: {} {} {} {} {}",
         state_name(page.value("news.class.state", &[zone, class])),
--- a/crates/wingfold/src/replay/text.rs
+++ b/crates/wingfold/src/replay/text.rs
@@ -82,7 +82,7 @@
         println!("  event: {}", format::event(head, event));
     }
     let pairs = recorded.iter().zip(replayed);
-    let equal = pairs.take_while(|(recorded, replayed)| is_equal(recorded, replayed)).count();
+    let equal = pairs.take_while(|(recorded, replayed)| have_same_encoding(recorded, replayed)).count();
     if equal > 0 {
         println!("  equal actions: {equal}");
     }
@@ -96,7 +96,7 @@
 }
 
 /// Whether two actions have the same encoding, so that floating-point values are compared bit by bit.
-fn is_equal(recorded: &Action, replayed: &Action) -> bool {
+fn have_same_encoding(recorded: &Action, replayed: &Action) -> bool {
     let encode = |action: &Action| encode_actions(std::slice::from_ref(action));
     encode(recorded) == encode(replayed)
 }
@@ -123,7 +123,8 @@
     let entries = divergences().map(|divergence| divergence.max_entries).max().unwrap_or(0);
     let admission_differs = divergences().any(|divergence| divergence.admission_differs);
     format!(
-        "{} {}: {} tables differ from {} on, the longest for {longest_s:.1} s ({total_s:.1} s in total), \
+        "zone {}, {}: {} tables differ from {} on, \
+         the longest for {longest_s:.1} s ({total_s:.1} s in total), \
          in up to {entries} entries and {:.0} % of the weight{}",
         zone.0,
         format::class_names(head, classes),
--- a/crates/wingfold/src/serve.rs
+++ b/crates/wingfold/src/serve.rs
@@ -22,7 +22,8 @@
 }
 
 impl Serve {
-    /// Runs the director until it is asked to shut down. Invalid local settings prevent the start.
+    /// Runs the director until it is asked to shut down. Invalid local settings prevent the start: the exit
+    /// code is then 1, not 2 as for the other commands.
     pub fn run(self) -> ExitCode {
         match settings::load(self.local_settings.as_deref()) {
             Ok(local) => self.serve(local),
@@ -38,10 +39,11 @@
             local.log.format = LogFormat::Json;
         }
         let log_format = local.log.format;
-        let file = self.local_settings;
+        let settings_file = self.local_settings;
         let reload = move || {
-            let mut reloaded = settings::load(file.as_deref()).map_err(|error| error.to_string())?;
-            // A reload does not change the log format.
+            let mut reloaded = settings::load(settings_file.as_deref()).map_err(|error| error.to_string())?;
+            // A reload does not change the log format, which the local settings or --log-json chose at the
+            // start.
             reloaded.log.format = log_format;
             Ok(reloaded)
         };
--- a/crates/wingfold/tests/json_output.rs
+++ b/crates/wingfold/tests/json_output.rs
@@ -1,9 +1,15 @@
-//! Keys of the JSON that commands print: other programs read them, so each stays as it is.
+//! Keys of the JSON that commands print: other programs read them, so each stays as it is. Also, the text of
+//! a replay that finds a difference.
 
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 use std::process::{Command, Output};
+use wingfold_capture::edit::SegmentAssembler;
+use wingfold_capture::model::encode_actions;
+use wingfold_capture::replay::{ReplayMode, Replayer};
+use wingfold_capture::{entries, Call, Entry};
+use wingfold_director::interface::Action;
 
 /// A capture of one segment.
 const CAPTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../captures/overload/capture.wfcap");
@@ -25,6 +31,46 @@
     assert_eq!(found, keys.iter().copied().collect(), "{object}");
 }
 
+/// Writes these bytes to a segment file of this name and returns its path.
+fn write_segment(name: &str, bytes: &[u8]) -> String {
+    let path =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}.wfcap", std::process::id()));
+    std::fs::write(&path, bytes).unwrap();
+    path.display().to_string()
+}
+
+/// Doubles the weight of the first entry that the call sets. Returns whether it sets one.
+fn double_first_weight(call: &mut Call) -> bool {
+    let mut actions = call.actions().unwrap();
+    let weight = actions.iter_mut().find_map(|action| match action {
+        Action::SetEntry { weight, .. } if *weight > 0.0 => Some(weight),
+        _ => None,
+    });
+    let Some(weight) = weight else { return false };
+    *weight *= 2.0;
+    call.actions = encode_actions(&actions);
+    true
+}
+
+/// The capture with another weight in one recorded action, so that its replay differs.
+fn capture_with_changed_weight() -> Vec<u8> {
+    let bytes = std::fs::read(CAPTURE).unwrap();
+    let mut replayer = Replayer::new(ReplayMode::Strict);
+    let mut assembler: Option<SegmentAssembler> = None;
+    let mut is_changed = false;
+    for entry in entries(&bytes) {
+        if let (Entry::Call(call), Some(director), None) = (&entry, replayer.director(), &assembler) {
+            assembler = Some(SegmentAssembler::new(replayer.head(), call.number, call.at, director));
+        }
+        if let (Some((mut call, _)), Some(assembler)) = (replayer.feed(entry).unwrap(), &mut assembler) {
+            is_changed = is_changed || double_first_weight(&mut call);
+            assembler.add_call(&call);
+        }
+    }
+    assert!(is_changed, "no call of the capture sets a weight");
+    assembler.unwrap().finish()
+}
+
 #[test]
 fn replay_json_has_the_expected_keys() {
     let keys = [
@@ -61,6 +107,26 @@
     assert!(report["skipped"].as_u64().unwrap() > 0, "{report}");
 }
 
+#[test]
+fn replay_of_a_changed_action_reports_the_difference() {
+    let changed = write_segment("json-changed", &capture_with_changed_weight());
+    let report = json_output(&["replay", &changed, "--compare", "--json"]);
+    assert!(report["differences"].as_u64().unwrap() > 0, "{report}");
+    assert_keys(&report["first"], &["call", "at_s", "what"]);
+    assert_eq!(report["first"]["what"], "actions");
+    let divergence_keys = ["zone", "classes", "table", "first_s", "secs", "lines", "moved", "levels"];
+    assert_keys(&report["apart"][0], &divergence_keys);
+    let output = run_wingfold(&["replay", &changed, "--compare"]);
+    std::fs::remove_file(changed).unwrap();
+    assert_eq!(output.status.code(), Some(1), "{output:?}");
+    let text = String::from_utf8(output.stdout).unwrap();
+    for part in
+        ["first difference at call ", "  recorded: table ", "  replayed: table ", "tables differ from"]
+    {
+        assert!(text.contains(part), "{part}: {text}");
+    }
+}
+
 #[test]
 fn capture_show_json_has_the_expected_keys() {
     let keys = [
