--- a/crates/wingfold/src/capture/case.rs
+++ b/crates/wingfold/src/capture/case.rs
@@ -67,7 +67,8 @@
     text.replace('\\', " ").replace('"', "'").replace("${", "$ {").replace("%{", "% {").replace('\n', " ")
 }
 
-/// Replays all cases and prints which of them pass. It is a negative result if no case is found.
+/// Replays all cases and prints which of them pass. The result is negative if a case fails, or if there is no
+/// case.
 pub fn test(roots: &[PathBuf]) -> Result<Outcome, CaptureError> {
     let directories = case_directories(roots)?;
     let mut all_passed = !directories.is_empty();
--- a/crates/wingfold/src/emulate.rs
+++ b/crates/wingfold/src/emulate.rs
@@ -108,7 +108,7 @@
     Ok(first..=last)
 }
 
-/// Parses one end of a range of seeds. A `=` before it is ignored, so that `1..=20` is valid too.
+/// Parses one end of a range of seeds. A leading `=` is ignored, so that `1..=20` is valid too.
 fn parse_seed(text: &str) -> Result<u64, ParseIntError> {
     text.trim_start_matches('=').parse()
 }
--- a/crates/wingfold/src/metrics.rs
+++ b/crates/wingfold/src/metrics.rs
@@ -31,7 +31,7 @@
     Watch {
         /// The director's address, such as 10.0.0.4:8443
         address: String,
-        /// Exit after printing the metrics this many times
+        /// Exit after this many refreshes
         #[arg(long)]
         times: Option<u64>,
     },
--- a/crates/wingfold/src/metrics/page.rs
+++ b/crates/wingfold/src/metrics/page.rs
@@ -16,7 +16,7 @@
 /// Why a director's metrics cannot be fetched.
 #[derive(Debug, Error)]
 pub enum FetchError {
-    /// The host name was resolved, to no address.
+    /// The host name resolved to no address.
     #[error("the host name has no address")]
     NoAddress,
     /// Connecting, sending or reading failed.
