--- a/crates/wingfold-capture/tests/positions.rs
+++ b/crates/wingfold-capture/tests/positions.rs
@@ -1,5 +1,9 @@
 //! Captures hold events and actions by position (postcard), without names: a variant or field that changes its place would
 //! make captures of earlier builds say something else.
+use serde::{de::DeserializeOwned, Serialize};
+use std::fmt::Debug;
+use wingfold_capture::model::{CallPosition, CheckpointHead, EncodableCall, Index, IndexEntry};
+use wingfold_capture::{Call, Gap, GapReason, SegmentMeta};
 use wingfold_director::interface::*;
 
 /// [`events`] and [`actions`] as an earlier build wrote them.
@@ -92,3 +96,46 @@
     assert_eq!(postcard::to_allocvec(&actions()).unwrap(), ACTIONS);
     assert_eq!(postcard::from_bytes::<Vec<Action>>(ACTIONS).unwrap(), actions());
 }
+
+/// Asserts that a value is encoded as these bytes, and decoded from them.
+fn assert_encoding<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, encoded: &[u8]) {
+    assert_eq!(postcard::to_allocvec(value).unwrap(), encoded);
+    assert_eq!(postcard::from_bytes::<T>(encoded).unwrap(), *value);
+}
+
+#[test]
+fn gap_reasons_keep_the_positions_of_their_variants() {
+    let reasons = vec![
+        GapReason::QueueFull,
+        GapReason::DiskFull,
+        GapReason::ReadOnly,
+        GapReason::Gone,
+        GapReason::Failed("io".into()),
+    ];
+    assert_encoding(&reasons, &[5, 0, 1, 2, 3, 4, 2, b'i', b'o']);
+}
+
+#[test]
+fn contents_of_blocks_keep_the_positions_of_their_fields() {
+    let first = CallPosition { number: 1, at: Timestamp(9) };
+    let last = CallPosition { number: 2, at: Timestamp(10) };
+    let gap = Some(Gap { from: 1, to: 2, reason: GapReason::DiskFull });
+    assert_encoding(&CheckpointHead { call: 300, at: Timestamp(9), gap }, &[0xAC, 0x02, 9, 1, 1, 2, 1]);
+    let entry = IndexEntry { offset: 28, checkpoint: true, first, last };
+    assert_encoding(&Index { blocks: vec![entry], calls: 6 }, &[1, 28, 1, 1, 9, 2, 10, 6]);
+    let meta =
+        SegmentMeta { segment: 3, incarnation: Timestamp(7), first, last, bytes: 5, gap: None, sealed: true };
+    assert_encoding(&meta, &[3, 7, 1, 9, 2, 10, 5, 0, 1]);
+}
+
+#[test]
+fn calls_keep_the_positions_of_their_fields() {
+    let call =
+        EncodableCall { number: 4, at: Timestamp(5), events: &[Event::Shard], actions: &[8], digest: 6 };
+    let encoded = postcard::to_allocvec(&call).unwrap();
+    let shard = postcard::to_allocvec(&Event::Shard).unwrap();
+    assert_eq!(encoded, [&[4, 5, 1], &shard[..], &[1, 8, 6]].concat());
+    let read: Call = postcard::from_bytes(&encoded).unwrap();
+    assert_eq!((read.number, read.at, read.events), (4, Timestamp(5), vec![Event::Shard]));
+    assert_eq!((read.actions, read.digest), (vec![8], 6));
+}
