--- a/crates/wingfold-archive/src/store.rs
+++ b/crates/wingfold-archive/src/store.rs
@@ -31,7 +31,7 @@
     match error.kind() {
         io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => GapReason::DiskFull,
         io::ErrorKind::ReadOnlyFilesystem | io::ErrorKind::PermissionDenied => GapReason::ReadOnly,
-        io::ErrorKind::NotFound => GapReason::Gone,
+        io::ErrorKind::NotFound => GapReason::FolderMissing,
         _ => GapReason::Failed(error.to_string().chars().take(MAX_ERROR_CHARS).collect()),
     }
 }
--- a/crates/wingfold-archive/src/writer.rs
+++ b/crates/wingfold-archive/src/writer.rs
@@ -90,7 +90,7 @@
 impl<L: Fn(String)> Writer<L> {
     fn run(mut self, queue: &MessageQueue) {
         let Some(mut segments) = self.open(queue) else { return };
-        let flush_interval = Duration::from_micros(self.config.limits.flush.0);
+        let flush_interval = Duration::from_micros(self.config.limits.flush_interval.0);
         let poll_interval = POLL_INTERVAL.min(flush_interval);
         let mut idle = Duration::ZERO;
         loop {
--- a/crates/wingfold-archive/tests/fault_injection.rs
+++ b/crates/wingfold-archive/tests/fault_injection.rs
@@ -78,7 +78,7 @@
         let expected: u64 = calls_before(&bytes, length);
         assert_eq!(replayer.report.calls, expected, "cut at {length}");
         assert!(replayer.first_difference.is_none(), "cut at {length}");
-        let is_reported = replayer.report.damage.iter().any(|damage| damage.fault == BlockError::Cut);
+        let is_reported = replayer.report.damage.iter().any(|damage| damage.fault == BlockError::Truncated);
         assert_eq!(is_reported, length > 0 && !ends.contains(&length), "the cut is reported, at {length}");
         least = least.min(all_calls - expected);
     }
@@ -167,7 +167,7 @@
     let mut day = RecordedDay::new("example", 6);
     let store = ScriptedStore::default();
     store.state.lock().unwrap().writes_half = writes_half;
-    let limits = SegmentLimits { flush: Micros(500_000), ..SegmentLimits::default() };
+    let limits = SegmentLimits { flush_interval: Micros(500_000), ..SegmentLimits::default() };
     let mut recorder = Recorder::new(synchronous(store.clone(), day.head.clone(), limits).unwrap());
     let mut number = 0;
     while day.next_call(&mut recorder) {
@@ -185,7 +185,7 @@
     for (kind, reason) in [
         (io::ErrorKind::StorageFull, GapReason::DiskFull),
         (io::ErrorKind::ReadOnlyFilesystem, GapReason::ReadOnly),
-        (io::ErrorKind::NotFound, GapReason::Gone),
+        (io::ErrorKind::NotFound, GapReason::FolderMissing),
     ] {
         for writes_half in [false, true] {
             let (day, segments, failed) = record_with_failing_store(kind, writes_half);
@@ -402,7 +402,7 @@
     let limits = SegmentLimits {
         segment_age: Micros(6_000_000),
         keep_segments: 4,
-        flush: Micros(300_000),
+        flush_interval: Micros(300_000),
         ..SegmentLimits::default()
     };
     let mut recorder = Recorder::new(synchronous(store.clone(), day.head.clone(), limits).unwrap());
@@ -427,7 +427,7 @@
     let limits = SegmentLimits {
         segment_bytes: 6_000,
         keep_bytes: 20_000,
-        flush: Micros(300_000),
+        flush_interval: Micros(300_000),
         ..SegmentLimits::default()
     };
     let mut recorder = Recorder::new(synchronous(store.clone(), day.head.clone(), limits).unwrap());
@@ -441,7 +441,8 @@
 fn a_ring_in_memory_keeps_the_last_segments_and_dumps_them() {
     let mut day = RecordedDay::new("overload", 8);
     let max_bytes = 24_000;
-    let limits = SegmentLimits { segment_bytes: 6_000, flush: Micros(300_000), ..SegmentLimits::default() };
+    let limits =
+        SegmentLimits { segment_bytes: 6_000, flush_interval: Micros(300_000), ..SegmentLimits::default() };
     let config = WriterConfig { head: day.head.clone(), limits, queue_bytes: 4 << 20 };
     let (recorder_queue, handle) =
         wingfold_archive::spawn(Box::new(MemoryStore::new(max_bytes)), config, |_| ()).unwrap();
--- a/crates/wingfold-capture/src/block.rs
+++ b/crates/wingfold-capture/src/block.rs
@@ -1,23 +1,26 @@
-//! Blocks, the frames of a segment. Each block has a head with a magic number, a kind, a sequence number, two lengths
-//! and two checksums: damaged blocks are detected, and reading goes on at the next valid one.
+//! Blocks, the frames of a segment. Each block has a head with a magic number, a kind, a format version, a
+//! sequence number, two lengths and two checksums: a reader detects a damaged block and continues at the next
+//! valid one.
 
 use std::io::Read;
 
-/// The version of the format; segments of other versions are rejected.
+/// The version of the block format; blocks of other versions are rejected.
 pub const FORMAT_VERSION: u8 = 1;
-/// Bytes of a block's head.
+/// The length of a block's head in bytes.
 pub const HEAD_BYTES: usize = 28;
-/// Most bytes of unpacked contents: a checkpoint of the largest fleet has some 10 MB. A block that claims more is damaged,
-/// and no memory is allocated for it.
+/// The maximum length of the uncompressed contents in bytes; a checkpoint of the largest fleet has some 10
+/// MB. A block whose head claims more is rejected before memory is allocated for its contents.
 pub const MAX_CONTENTS_BYTES: usize = 64 << 20;
 
-/// The bytes that every block begins with.
+/// The magic number: the first bytes of every block.
 const MAGIC: [u8; 4] = [0xC7, b'W', b'F', b'C'];
-/// Bytes of the head that its own checksum covers: all in front of it.
+/// The number of leading bytes of the head that the head's checksum covers: all bytes before the checksum.
 const CHECKED_HEAD_BYTES: usize = HEAD_BYTES - 4;
-/// Most bytes of packed contents: incompressible contents grow a little.
+/// The maximum length of the compressed contents in bytes. It exceeds [`MAX_CONTENTS_BYTES`], as compression
+/// makes incompressible contents slightly longer.
 const MAX_PACKED_BYTES: usize = MAX_CONTENTS_BYTES + (MAX_CONTENTS_BYTES >> 4);
-/// Captures are compressed by a factor of 10 to 40; a block that claims a thousand was made to exhaust memory.
+/// The maximum compression ratio that a head may claim. Captures are compressed by a factor of 10 to 40; a
+/// much higher ratio would let a small crafted block exhaust memory.
 const MAX_COMPRESSION_RATIO: usize = 1000;
 /// The zstd level.
 const COMPRESSION_LEVEL: i32 = 3;
@@ -27,11 +30,11 @@
 pub enum BlockKind {
     /// The head of the capture; the first block of a segment.
     Head = 1,
-    /// The director's state, from which the calls after it are replayed.
+    /// A checkpoint of the director, from which the calls in the following blocks are replayed.
     Checkpoint = 2,
     /// Calls of the director.
     Calls = 3,
-    /// Where the other blocks are; the last block of a segment that was sealed.
+    /// The offsets of the blocks with checkpoints and calls; the last block of a sealed segment.
     Index = 4,
 }
 
@@ -42,28 +45,29 @@
     }
 }
 
-/// What is wrong with a part of a segment.
+/// Why a block of a segment is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BlockError {
     /// The bytes end inside a block.
     #[error("the segment is cut inside a block")]
-    Cut,
-    /// No block begins here.
+    Truncated,
+    /// The magic number is missing at the offset at which a block should begin.
     #[error("no block begins here")]
     Magic,
-    /// The head does not have its own checksum, or its kind is unknown.
+    /// The checksum of the head does not match the head, or the kind of the block is unknown.
     #[error("the head of a block is damaged")]
     Head,
-    /// Another version of the format wrote it.
+    /// The block has another format version.
     #[error("the format has version {0}, this build reads version {FORMAT_VERSION}")]
     Format(u8),
-    /// One of its lengths is out of bounds.
+    /// A length in the head is out of bounds.
     #[error("a block claims a length that cannot be")]
     Length,
-    /// The checksum of the contents differs, or they cannot be decoded.
+    /// The checksum in the head does not match the contents, or the contents cannot be decoded.
     #[error("the contents of a block are damaged")]
     Contents,
-    /// A block is missing or is there twice.
+    /// The sequence number is not the expected one: a block is missing or duplicated. Also returned for a
+    /// segment that does not begin with a head.
     #[error("a block is out of its order")]
     Order,
 }
@@ -71,25 +75,29 @@
 /// A valid block in a segment.
 #[derive(Clone, Copy, Debug)]
 pub struct Block<'a> {
-    /// Its kind.
+    /// The kind of the contents.
     pub kind: BlockKind,
-    /// Its number in the segment, from 0.
+    /// The sequence number of the block in the segment, from 0.
     pub number: u32,
-    /// The byte of the segment at which it begins.
+    /// The offset in the segment at which the block begins, in bytes.
     pub offset: usize,
-    /// The byte of the segment at which the next one begins.
+    /// The offset in the segment at which the next block begins, in bytes.
     pub end: usize,
+    /// The length of the uncompressed contents, as the head claims it.
     contents_bytes: usize,
+    /// The compressed contents.
     packed: &'a [u8],
 }
 
-/// The head of a block, without magic number, format version and its own checksum.
+/// The head of a block, except for the magic number, the format version and the checksum of the head.
 struct BlockHead {
     kind: BlockKind,
     number: u32,
+    /// The length of the uncompressed contents.
     contents_bytes: u32,
+    /// The length of the compressed contents.
     packed_bytes: u32,
-    /// CRC-32 of the packed contents.
+    /// CRC-32 of the compressed contents.
     packed_checksum: u32,
 }
 
@@ -107,11 +115,11 @@
     }
 
     fn read(bytes: &[u8; HEAD_BYTES]) -> Result<BlockHead, BlockError> {
-        let (magic, rest) = split::<4>(bytes);
+        let (magic, rest) = split_field::<4>(bytes);
         if magic != MAGIC {
             return Err(BlockError::Magic);
         }
-        let ([kind, format, _, _], rest) = split::<4>(rest);
+        let ([kind, format, _, _], rest) = split_field::<4>(rest);
         let (number, rest) = split_u32(rest);
         let (contents_bytes, rest) = split_u32(rest);
         let (packed_bytes, rest) = split_u32(rest);
@@ -135,20 +143,22 @@
     }
 }
 
-/// The next field of a head, and the bytes behind it.
-fn split<const BYTES: usize>(bytes: &[u8]) -> ([u8; BYTES], &[u8]) {
-    let (field, rest) = bytes.split_first_chunk::<BYTES>().expect("the fields fill HEAD_BYTES");
+/// Splits the next field of a head from the bytes that follow the field.
+fn split_field<const BYTES: usize>(bytes: &[u8]) -> ([u8; BYTES], &[u8]) {
+    let (field, rest) =
+        bytes.split_first_chunk::<BYTES>().expect("the lengths of all fields add up to HEAD_BYTES");
     (*field, rest)
 }
 
 fn split_u32(bytes: &[u8]) -> (u32, &[u8]) {
-    let (field, rest) = split::<4>(bytes);
+    let (field, rest) = split_field::<4>(bytes);
     (u32::from_le_bytes(field), rest)
 }
 
-/// Packs contents into a block.
+/// Compresses contents and returns a block with them.
 pub fn encode(kind: BlockKind, number: u32, contents: &[u8]) -> Vec<u8> {
-    let packed = zstd::bulk::compress(contents, COMPRESSION_LEVEL).expect("packing in memory does not fail");
+    let packed =
+        zstd::bulk::compress(contents, COMPRESSION_LEVEL).expect("compressing into memory cannot fail");
     let head = BlockHead {
         kind,
         number,
@@ -162,16 +172,17 @@
 }
 
 impl<'a> Block<'a> {
-    /// Reads the block that begins at `offset`. Its contents are checked, not unpacked.
+    /// Reads the block that begins at `offset`. Verifies the checksum of the contents, and does not
+    /// uncompress them.
     pub fn at(bytes: &'a [u8], offset: usize) -> Result<Block<'a>, BlockError> {
         let rest = bytes.get(offset..).unwrap_or_default();
-        let (head, rest) = rest.split_first_chunk::<HEAD_BYTES>().ok_or(BlockError::Cut)?;
+        let (head, rest) = rest.split_first_chunk::<HEAD_BYTES>().ok_or(BlockError::Truncated)?;
         let head = BlockHead::read(head)?;
         if !head.has_valid_lengths() {
             return Err(BlockError::Length);
         }
         let packed_bytes = head.packed_bytes as usize;
-        let packed = rest.get(..packed_bytes).ok_or(BlockError::Cut)?;
+        let packed = rest.get(..packed_bytes).ok_or(BlockError::Truncated)?;
         if crc32fast::hash(packed) != head.packed_checksum {
             return Err(BlockError::Contents);
         }
@@ -185,7 +196,8 @@
         })
     }
 
-    /// The unpacked contents. Memory is allocated for what is there, up to the length that the head claims.
+    /// Uncompresses the contents. Memory grows with the bytes that are uncompressed, and not beyond the
+    /// length that the head claims.
     pub fn contents(&self) -> Result<Vec<u8>, BlockError> {
         let mut contents = Vec::new();
         let decoder =
@@ -200,7 +212,7 @@
     }
 }
 
-/// The offset of the next valid block at or after `from`.
+/// The offset of the first valid block that begins at or after `from`.
 pub fn find_next(bytes: &[u8], from: usize) -> Option<usize> {
     let mut start = from;
     while let Some(found) = bytes.get(start..)?.windows(MAGIC.len()).position(|window| window == MAGIC) {
--- a/crates/wingfold-capture/src/block/tests.rs
+++ b/crates/wingfold-capture/src/block/tests.rs
@@ -1,9 +1,9 @@
-//! Blocks that are damaged, or claim what they do not hold.
+//! Damaged blocks, and blocks whose heads claim wrong lengths.
 use super::*;
 
 #[test]
-fn a_block_round_trips_and_every_flipped_bit_is_detected() {
-    let contents = b"what the director was told ".repeat(20);
+fn a_block_round_trips_and_each_flipped_bit_or_cut_is_detected() {
+    let contents = b"recorded calls of a director ".repeat(20);
     let block = encode(BlockKind::Calls, 7, &contents);
     let read = Block::at(&block, 0).unwrap();
     assert_eq!((read.kind, read.number, read.end), (BlockKind::Calls, 7, block.len()));
@@ -14,20 +14,21 @@
         assert!(Block::at(&damaged, 0).is_err(), "bit {bit}");
     }
     for length in 0..block.len() {
-        assert_eq!(Block::at(&block[..length], 0).unwrap_err(), BlockError::Cut);
+        assert_eq!(Block::at(&block[..length], 0).unwrap_err(), BlockError::Truncated);
     }
 }
 
 #[test]
-fn a_length_of_gigabytes_is_rejected_before_memory_is_allocated() {
+fn lengths_beyond_the_bounds_or_the_contents_are_rejected() {
     let mut block = encode(BlockKind::Calls, 0, b"small");
-    for at in [12, 16] {
-        block[at..at + 4].copy_from_slice(&u32::MAX.to_le_bytes());
-        let sum = crc32fast::hash(&block[..24]);
-        block[24..28].copy_from_slice(&sum.to_le_bytes());
+    // The offsets of both lengths in the head.
+    for offset in [12, 16] {
+        block[offset..offset + 4].copy_from_slice(&u32::MAX.to_le_bytes());
+        let checksum = crc32fast::hash(&block[..24]);
+        block[24..28].copy_from_slice(&checksum.to_le_bytes());
         assert_eq!(Block::at(&block, 0).unwrap_err(), BlockError::Length);
     }
-    // A few bytes that unpack to many more than the head says.
+    // Compressed contents that are much longer, when uncompressed, than the head claims.
     let packed = zstd::bulk::compress(&vec![0; 8 << 20], COMPRESSION_LEVEL).unwrap();
     let block =
         Block { kind: BlockKind::Calls, number: 0, offset: 0, end: 0, contents_bytes: 100, packed: &packed };
--- a/crates/wingfold-capture/src/edit.rs
+++ b/crates/wingfold-capture/src/edit.rs
@@ -16,7 +16,8 @@
 }
 
 impl SegmentAssembler {
-    /// Begins a segment of the capture with this head, with the state of the director before call number `call`.
+    /// Begins a segment of the capture with this head, with the state of the director before call number
+    /// `call`.
     pub fn new(head: &Head, call: u64, at: Timestamp, director: &Director) -> Self {
         let limits = SegmentLimits {
             segment_bytes: u64::MAX,
@@ -60,8 +61,8 @@
     }
 }
 
-/// Extracts the calls of a span. Returns `None` if no call in it can be replayed; the segment ends before the first call
-/// that is missing.
+/// Extracts the calls of a span. Returns `None` if no call in it can be replayed; the segment ends before the
+/// first call that is missing.
 pub fn extract(
     entries: impl Iterator<Item = Entry>,
     from: Timestamp,
--- a/crates/wingfold-capture/src/explain.rs
+++ b/crates/wingfold-capture/src/explain.rs
@@ -1,4 +1,5 @@
-//! Explains why tables held what they held: the director's own view at a time, and what changed each host before it.
+//! Explains why tables held what they held: the director's own view at a time, and what changed each host
+//! before it.
 //!
 //! Explanations are printed as JSON: their fields keep the names that they had there first.
 
@@ -14,7 +15,8 @@
 const MAX_RECENT_EVENTS: usize = 24;
 /// The most changes of a host that are kept.
 const MAX_CHANGES: usize = 64;
-/// The smallest change of a share that counts as one, relative to the share. Shares change a little with every other host.
+/// The smallest change of a share that counts as one, relative to the share. Shares change a little with
+/// every other host.
 const MIN_SHARE_CHANGE_RATIO: f64 = 0.2;
 /// Smaller shares count as this one.
 const MIN_SHARE: f64 = 0.01;
@@ -139,7 +141,8 @@
         for event in &call.events {
             self.record_event(call.at, event);
         }
-        // Views cost as much as a call itself: they are taken within the span of the question, and once before it.
+        // Views cost as much as a call itself: they are taken within the span of the question, and once
+        // before it.
         if call.at < self.question.changes_from() && !self.observed.is_empty() {
             return;
         }
@@ -166,7 +169,8 @@
         let (previous, status) = (observed.status, view.status);
         let status_changed = previous.is_none_or(|previous| !is_same_status(previous, status));
         if (status_changed || share_changed(observed.share, share)) && !is_first {
-            // Events of all zones: hosts are judged by the attempts of all, and the endpoint list is the same for all.
+            // Events of all zones: hosts are judged by the attempts of all, and the endpoint list is the same
+            // for all.
             let recent_events = self.recent_events.get(&host).into_iter().flatten();
             observed.add_change(HostChange {
                 call: call.number,
--- a/crates/wingfold-capture/src/lib.rs
+++ b/crates/wingfold-capture/src/lib.rs
@@ -1,13 +1,13 @@
-//! Captures of a director: the events of each call and the actions it answered with. The crate has the format, the core
-//! that records a capture, its replay, and explanations of the decisions in it.
+//! Captures of a director: the events of each call of the director, and the actions that the call returned.
+//! The crate defines the format of captures, records and replays them, and explains the decisions in them.
 //!
-//! Nothing here opens a file or a socket or reads a clock: bytes and times come from the caller, so that tests can play
-//! every failure of a disk (docs/capture-design.md).
+//! This crate opens no file or socket and reads no clock: bytes and times come from the caller, so that tests
+//! can simulate every failure of a disk (docs/capture-design.md).
 //!
-//! * [`model`], [`block`], [`reader`]: the format;
-//! * [`recorder`], [`segment_writer`], [`segment_ring`]: recording;
-//! * [`replay`], [`replay_state`], [`edit`]: replaying captures, and extracting parts of them;
-//! * [`explain`], [`case`]: explanations, and captures that are kept as tests.
+//! * [`model`], [`block`], [`reader`]: the format, and reading segments;
+//! * [`recorder`], [`segment_writer`], [`segment_ring`]: recording calls and writing segments;
+//! * [`replay`], [`replay_state`], [`edit`]: replaying captures, extracting a span, accepting new actions;
+//! * [`explain`], [`case`]: explaining decisions, and cases: captures that are kept as regression tests.
 #![forbid(unsafe_code)]
 
 pub mod block;
--- a/crates/wingfold-capture/src/model.rs
+++ b/crates/wingfold-capture/src/model.rs
@@ -1,50 +1,52 @@
 //! The contents of blocks: the head of a capture, checkpoints, calls, and the index.
 //!
-//! Heads are stored with the names of their fields, everything else by position (postcard): there the order of fields and
-//! variants is fixed, and names are free.
+//! Heads are stored with the names of their fields (MessagePack), all other types by position (postcard). In
+//! types that are stored by position, the order of fields and variants is fixed, and their names may change.
 
 use serde::{Deserialize, Serialize};
 use wingfold_director::interface::{Action, Event, Settings, Timestamp};
 
-/// The head of a capture. It is stored with the names of its fields: a later build can add some and still reads it.
+/// The head of a capture. It is stored with the names of its fields, so that a later build can add fields and
+/// still read earlier heads.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Head {
-    /// The build that recorded it.
+    /// The build that recorded the capture.
     pub build: String,
-    /// The name of the director, the same after a restart.
+    /// The name of the director; it stays the same after a restart.
     #[serde(rename = "name")]
     pub director: String,
-    /// The incarnation of the director: when its process started, by its own clock.
+    /// The incarnation of the director: the start time of its process, by the process's own clock.
     #[serde(rename = "run")]
     pub incarnation: Timestamp,
-    /// The number of the segment, from 1; numbers go on over restarts.
+    /// The number of the segment, from 1; numbering continues after a restart of the director.
     pub segment: u64,
-    /// The seed of the director.
+    /// The seed of the director's random numbers.
     pub seed: u64,
     /// The settings of the director.
     pub settings: Settings,
-    /// The names of the classes, by position; the director itself does not know them.
+    /// The names of the classes, indexed by class id; the director itself does not know the names.
     #[serde(rename = "classes")]
     pub class_names: Vec<String>,
-    /// How the texts of notices are worded.
-    #[serde(default = "NoticeWording::of_heads_without_one")]
+    /// The wording of the texts of notices; heads without this field have [`NoticeWording::Original`].
+    #[serde(default = "NoticeWording::of_heads_without_wording")]
     pub notice_wording: NoticeWording,
 }
 
-/// How the texts of notices in a capture are worded: a replay compares them byte by byte.
+/// The wording of the texts of notices in a capture. A replay must reproduce the wording, as it compares the
+/// texts byte by byte.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NoticeWording {
-    /// As builds up to 0.1.0 worded them.
+    /// The texts that builds up to 0.1.0 wrote.
     Original,
-    /// As [`wingfold_director::interface::Notice`] renders them.
+    /// The texts that [`wingfold_director::interface::Notice`] renders.
     #[default]
     KeyValue,
 }
 
 impl NoticeWording {
-    /// The wording of captures that were written before their heads named one.
-    fn of_heads_without_one() -> NoticeWording {
+    /// The wording of captures from before heads had the field `notice_wording`.
+    fn of_heads_without_wording() -> NoticeWording {
         NoticeWording::Original
     }
 }
@@ -52,15 +54,15 @@
 /// Why calls are missing from a capture.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GapReason {
-    /// The queue of the writer was full; the director does not wait for it.
+    /// The queue of the writer was full; the director does not wait for the writer.
     QueueFull,
     /// The disk was full.
     DiskFull,
     /// The disk was read-only.
     ReadOnly,
-    /// The folder was gone.
-    Gone,
-    /// Writing failed in another way.
+    /// The folder of the capture did not exist.
+    FolderMissing,
+    /// Writing failed with another error.
     Failed(String),
 }
 
@@ -70,35 +72,36 @@
             GapReason::QueueFull => f.write_str("the writer did not keep up"),
             GapReason::DiskFull => f.write_str("the disk was full"),
             GapReason::ReadOnly => f.write_str("the disk was read-only"),
-            GapReason::Gone => f.write_str("the folder was gone"),
+            GapReason::FolderMissing => f.write_str("the folder was gone"),
             GapReason::Failed(error) => write!(f, "writing failed: {error}"),
         }
     }
 }
 
-/// Calls that were made and are in no block.
+/// Consecutive calls that the director handled and that no block contains.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gap {
-    /// The number of the first one.
+    /// The number of the first missing call.
     pub from: u64,
-    /// The number of the last one.
+    /// The number of the last missing call.
     pub to: u64,
-    /// Why they are missing.
+    /// Why the calls are missing.
     pub reason: GapReason,
 }
 
-/// What precedes the bytes of a checkpoint in its block.
+/// The head of a checkpoint; in a checkpoint block it precedes the bytes of the checkpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CheckpointHead {
-    /// The number of the next call.
+    /// The number of the first call after the checkpoint.
     pub call: u64,
     /// The time of that call.
     pub at: Timestamp,
-    /// The calls before it that were not recorded, if any.
+    /// The calls directly before the checkpoint that were not recorded, if any.
     pub gap: Option<Gap>,
 }
 
-/// A call of the director, as it is written. Actions are encoded separately, so that a replay can compare their bytes.
+/// A call of the director in the form in which it is written; [`Call`] is the form in which it is read.
+/// Actions are encoded separately, so that a replay can compare the bytes of the actions.
 #[derive(Debug, Serialize)]
 pub struct EncodableCall<'a> {
     /// Its number in this incarnation of the director, from 1.
@@ -114,7 +117,8 @@
     pub digest: u64,
 }
 
-/// A call of the director, as it is read.
+/// A call of the director in the form in which it is read; [`EncodableCall`] is the form in which it is
+/// written.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Call {
     /// Its number in this incarnation of the director, from 1.
@@ -131,23 +135,23 @@
 }
 
 impl Call {
-    /// The actions; `None` if they cannot be decoded.
+    /// Decodes the actions; `None` if they cannot be decoded.
     pub fn actions(&self) -> Option<Vec<Action>> {
         postcard::from_bytes(&self.actions).ok()
     }
 
-    /// The number and the time of the call.
+    /// The position of the call in the capture: its number and its time.
     pub fn position(&self) -> CallPosition {
         CallPosition { number: self.number, at: self.at }
     }
 }
 
-/// Encodes actions as a capture holds them.
+/// Encodes actions in the form in which a call in a capture stores them.
 pub fn encode_actions(actions: &[Action]) -> Vec<u8> {
-    postcard::to_allocvec(actions).expect("actions are plain, written to memory")
+    postcard::to_allocvec(actions).expect("encoding actions into memory cannot fail")
 }
 
-/// The number and the time of a call.
+/// The position of a call in a capture: its number and its time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallPosition {
     /// The number of the call.
@@ -156,43 +160,44 @@
     pub at: Timestamp,
 }
 
-/// Where a block is, and which calls it holds.
+/// An entry of the index: the offset of a block, and the calls in the block.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct IndexEntry {
-    /// The byte of the segment at which it begins.
+    /// The offset in the segment at which the block begins, in bytes.
     pub offset: u64,
-    /// Whether it holds a checkpoint in place of calls.
+    /// Whether the block contains a checkpoint; otherwise it contains calls.
     pub checkpoint: bool,
-    /// Its first call, or the next one after a checkpoint.
+    /// The first call in the block; for a checkpoint the first call after the checkpoint.
     pub first: CallPosition,
-    /// Its last call.
+    /// The last call in the block; for a checkpoint the same as `first`.
     pub last: CallPosition,
 }
 
-/// The last block of a sealed segment.
+/// The index of a segment: the contents of the last block of a sealed segment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Index {
-    /// All blocks with calls or a checkpoint.
+    /// An entry for each block with calls or a checkpoint, in the order of the segment.
     pub blocks: Vec<IndexEntry>,
-    /// How many calls the segment holds.
+    /// The number of calls in the segment.
     pub calls: u64,
 }
 
-/// What a catalogue holds of a segment.
+/// The metadata of a segment, which a catalogue of segments stores.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SegmentMeta {
-    /// Its number.
+    /// The number of the segment.
     pub segment: u64,
-    /// The incarnation of the director that recorded it.
+    /// The incarnation of the director that recorded the segment.
     pub incarnation: Timestamp,
-    /// Its first call.
+    /// The first call after the segment's checkpoint.
     pub first: CallPosition,
-    /// Its last call so far.
+    /// The last call in the segment so far; while it has none, the call before `first`, with the time of
+    /// `first`.
     pub last: CallPosition,
-    /// Its bytes so far.
+    /// The length of the segment so far, in bytes.
     pub bytes: u64,
-    /// Calls before it that were not recorded.
+    /// The calls directly before the segment that were not recorded, if any.
     pub gap: Option<Gap>,
-    /// Whether it was ended with an index.
+    /// Whether the segment is complete and ends with an index.
     pub sealed: bool,
 }
--- a/crates/wingfold-capture/src/original_wording.rs
+++ b/crates/wingfold-capture/src/original_wording.rs
@@ -1,9 +1,9 @@
-//! The texts of notices as builds up to 0.1.0 wrote them. Only the replay of captures of those builds uses this module;
-//! it can go once none of them is kept any more, those in `captures/` among them.
+//! The texts of notices as builds up to 0.1.0 wrote them. Only the replay of captures of those builds uses
+//! this module. It can be removed once no such capture is kept any more, including those in `captures/`.
 use std::borrow::Cow;
 use wingfold_director::interface::{Action, Notice, Readiness};
 
-/// Actions with the notices that an earlier build would have given.
+/// The same actions, with the notices as a build up to 0.1.0 would have recorded them.
 pub(crate) fn in_original_wording(actions: &[Action]) -> Cow<'_, [Action]> {
     if !actions.iter().any(|action| matches!(action, Action::Notice(_))) {
         return Cow::Borrowed(actions);
--- a/crates/wingfold-capture/src/reader.rs
+++ b/crates/wingfold-capture/src/reader.rs
@@ -1,5 +1,6 @@
-//! Reads a segment: all its valid blocks, and what is wrong with the others. Whatever the bytes are, reading ends without
-//! a panic and within the memory that [`block::MAX_CONTENTS_BYTES`] allows.
+//! Reads a segment: all valid blocks, and the fault of each damaged part. Whatever the bytes are, reading
+//! ends without a panic, and the uncompressed contents of a block take at most [`block::MAX_CONTENTS_BYTES`]
+//! of memory.
 
 use crate::block::{self, Block, BlockError, BlockKind};
 use crate::model::{Call, CheckpointHead, Head, Index};
@@ -10,22 +11,22 @@
 pub enum Entry {
     /// The head of the capture.
     Head(Box<Head>),
-    /// A checkpoint, from which the calls after it are replayed.
+    /// A checkpoint of the director, from which the following calls are replayed: its head and its bytes.
     Checkpoint(CheckpointHead, Vec<u8>),
-    /// A call.
+    /// A call of the director.
     Call(Call),
-    /// Where the blocks are; nothing follows.
+    /// The index of the blocks; no entry follows.
     Index(Index),
-    /// Something is wrong at `offset`; reading goes on at the next valid block.
+    /// A damaged part of the segment; reading continues at the next valid block.
     Damage {
-        /// The byte of the segment.
+        /// The offset in the segment at which the damaged part begins, in bytes.
         offset: usize,
-        /// What is wrong.
+        /// The fault at that offset.
         fault: BlockError,
     },
 }
 
-/// The entries of a segment.
+/// Iterates over the entries of a segment.
 pub fn entries(bytes: &[u8]) -> Entries<'_> {
     Entries {
         bytes,
@@ -38,7 +39,7 @@
     }
 }
 
-/// The head of a segment.
+/// Reads the head of the capture, which is the first block of a segment.
 pub fn head(bytes: &[u8]) -> Result<Head, BlockError> {
     let block = Block::at(bytes, 0)?;
     match block.kind {
@@ -51,29 +52,31 @@
     rmp_serde::from_slice(contents).map_err(|_| BlockError::Contents)
 }
 
+/// Decodes a value from the front of `contents`; returns the value and the bytes that follow.
 fn decode_front<T: DeserializeOwned>(contents: &[u8]) -> Result<(T, &[u8]), BlockError> {
     postcard::take_from_bytes(contents).map_err(|_| BlockError::Contents)
 }
 
-/// Iterates over the entries of a segment.
+/// An iterator over the entries of a segment; see [`entries`].
 #[derive(Debug)]
 pub struct Entries<'a> {
     bytes: &'a [u8],
-    /// Where the next block begins.
+    /// The offset of the next block.
     offset: usize,
-    /// The number that the next block should have.
+    /// The expected sequence number of the next block.
     next_block: u32,
     /// The contents of the current block of calls.
     calls: Vec<u8>,
-    /// How many bytes of them have been read.
+    /// The number of bytes of `calls` that have been read.
     calls_read: usize,
-    /// Where that block begins.
+    /// The offset of the current block of calls.
     calls_offset: usize,
     has_ended: bool,
 }
 
 impl<'a> Entries<'a> {
-    /// Goes on at the next valid block after a damaged one.
+    /// Moves to the first valid block after the damaged one at `offset`, and returns the entry for the
+    /// damage.
     fn skip_damage(&mut self, offset: usize, fault: BlockError) -> Entry {
         match block::find_next(self.bytes, offset + 1) {
             Some(next) => {
@@ -93,7 +96,8 @@
                 self.calls_read = self.calls.len() - rest.len();
                 Some(Entry::Call(call))
             }
-            // The checksum is right, so the block was written wrongly: the rest of it means nothing.
+            // The checksum of the block matches, so its contents were written wrongly: the rest is
+            // unreadable.
             _ => {
                 (self.calls, self.calls_read) = (Vec::new(), 0);
                 Some(Entry::Damage { offset: self.calls_offset, fault: BlockError::Contents })
@@ -101,7 +105,8 @@
         }
     }
 
-    /// Reads the next block. `None` if its entries are calls, which follow one by one.
+    /// Reads the next block. `None` for a block of calls, whose entries [`Self::next_call`] returns one by
+    /// one.
     fn next_block(&mut self) -> Option<Entry> {
         let offset = self.offset;
         let block = match Block::at(self.bytes, offset) {
@@ -109,7 +114,7 @@
             Err(fault) => return Some(self.skip_damage(offset, fault)),
         };
         if block.number != self.next_block {
-            // The block itself is valid: it is read next.
+            // The block itself is valid: report the missing or duplicated block, then read this one.
             self.next_block = block.number;
             return Some(Entry::Damage { offset, fault: BlockError::Order });
         }
@@ -118,6 +123,7 @@
         self.decode(block).unwrap_or_else(|fault| Some(Entry::Damage { offset, fault }))
     }
 
+    /// Decodes the contents of a valid block; `None` for a block of calls.
     fn decode(&mut self, block: Block<'a>) -> Result<Option<Entry>, BlockError> {
         let contents = block.contents()?;
         match block.kind {
--- a/crates/wingfold-capture/src/recorder.rs
+++ b/crates/wingfold-capture/src/recorder.rs
@@ -1,28 +1,30 @@
-//! The director's end of a capture: numbers the calls, encodes them and puts them into a queue. It never waits. After
-//! calls that were dropped it goes on from a new checkpoint, so that what follows can be replayed.
+//! The recorder, which runs in the thread of the director: it numbers the calls, encodes them and puts them
+//! into a queue without waiting. After dropped calls, recording continues from a new checkpoint, so that the
+//! calls after the checkpoint can be replayed.
 
 use crate::model::{EncodableCall, GapReason};
 use crate::segment_writer::RecordedItem;
 use wingfold_director::interface::{Action, Event, Micros, Timestamp};
 use wingfold_director::Director;
 
-/// Shortest time from a dropped call to the next checkpoint: writing one costs as much as a few calls.
+/// The shortest time from a dropped call to the next checkpoint: writing a checkpoint costs as much as a few
+/// calls.
 const CHECKPOINT_RETRY_INTERVAL: Micros = Micros(1_000_000);
 
-/// Bytes of an encoded call besides its actions and events, roughly.
+/// The approximate bytes of an encoded call without its actions and events.
 const CALL_OVERHEAD_BYTES: usize = 64;
-/// Bytes of an encoded event, roughly.
+/// The approximate bytes of an encoded event.
 const EVENT_BYTES: usize = 48;
 
-/// Where recorded items go. None of its methods may wait.
+/// The queue into which a recorder puts recorded items. The methods must not wait.
 pub trait RecorderQueue {
-    /// Whether there is room for an item of so many bytes now.
+    /// Whether the queue has room for an item of `bytes` bytes now.
     fn has_room(&self, bytes: usize) -> bool;
-    /// Takes an item; `false` if there was no room for it.
+    /// Adds an item; `false` if the queue had no room for the item.
     fn push(&mut self, item: RecordedItem) -> bool;
-    /// Whether the writer is ready to begin a segment with a checkpoint.
+    /// Whether the writer wants a checkpoint, with which it begins a new segment.
     fn wants_checkpoint(&self) -> bool;
-    /// Ends the capture, for queues that write it themselves; returns the first error of writing.
+    /// Ends the capture, for queues that write the segments themselves; returns the first write error.
     fn finish(&mut self) -> std::io::Result<()> {
         Ok(())
     }
@@ -47,7 +49,7 @@
 enum State {
     /// Calls are recorded.
     Recording,
-    /// Calls are dropped until there is room for a checkpoint, and until this time at least.
+    /// Calls are dropped at least until this time, and until the queue has room for a checkpoint.
     Paused(Timestamp),
 }
 
@@ -55,12 +57,13 @@
 #[derive(Debug)]
 pub struct Recorder<Q> {
     queue: Q,
+    /// The number of the next call.
     next_call: u64,
     state: State,
-    /// Bytes of the last checkpoint, as an estimate of the next one.
+    /// The size of the last checkpoint, as an estimate of the size of the next one.
     checkpoint_bytes: usize,
     dropped_calls: u64,
-    /// The encoded actions of the last call; the allocation is used again.
+    /// The encoded actions of the last call; the buffer is reused for the next call.
     action_buffer: Vec<u8>,
 }
 
@@ -82,7 +85,7 @@
         self.next_call
     }
 
-    /// How many calls were not recorded because the queue was full.
+    /// The number of calls that were not recorded because the queue was full.
     pub fn dropped_calls(&self) -> u64 {
         self.dropped_calls
     }
@@ -92,7 +95,7 @@
         &mut self.queue
     }
 
-    /// Before a call of the director: records a checkpoint where one is due.
+    /// To be called before each call of the director: records a checkpoint if one is due.
     pub fn before_call(&mut self, at: Timestamp, director: &Director) {
         if !self.is_checkpoint_due(at) {
             return;
@@ -102,10 +105,12 @@
         } else if self.state != State::Recording {
             self.pause(at);
         }
-        // Otherwise the present segment goes on; the writer asks for a checkpoint again.
+        // Without room while recording, calls are still added to the current segment; the writer keeps
+        // asking.
     }
 
-    /// After a call of the director: records it, and returns its number. `digest` is that of the director now.
+    /// To be called after each call of the director: records the call, and returns its number. `digest` is
+    /// [`Director::digest`] after the call.
     pub fn after_call(&mut self, at: Timestamp, events: &[Event], actions: &[Action], digest: u64) -> u64 {
         let number = self.next_call;
         self.next_call += 1;
@@ -128,7 +133,7 @@
         }
     }
 
-    /// Records a checkpoint; `false` if there is no room for it.
+    /// Records a checkpoint; `false` if the queue has no room for the checkpoint.
     fn record_checkpoint(&mut self, at: Timestamp, director: &Director) -> bool {
         let expected_bytes = self.checkpoint_bytes + (self.checkpoint_bytes >> 3);
         if !self.queue.has_room(expected_bytes) {
@@ -140,6 +145,7 @@
         self.queue.push(RecordedItem::Checkpoint { call: self.next_call, at, bytes, reason })
     }
 
+    /// Why calls before a checkpoint that is recorded now were dropped, if any were.
     fn gap_reason(&self) -> Option<GapReason> {
         (self.state != State::Recording && self.next_call > 1).then_some(GapReason::QueueFull)
     }
@@ -158,11 +164,11 @@
     ) -> Vec<u8> {
         let mut buffer = std::mem::take(&mut self.action_buffer);
         buffer.clear();
-        let actions = postcard::to_extend(actions, buffer).expect("actions are plain, written to memory");
+        let actions = postcard::to_extend(actions, buffer).expect("encoding actions into memory cannot fail");
         let call = EncodableCall { number, at, events, actions: &actions, digest };
         let capacity = CALL_OVERHEAD_BYTES + actions.len() + EVENT_BYTES * events.len();
         let bytes = postcard::to_extend(&call, Vec::with_capacity(capacity))
-            .expect("calls are plain, written to memory");
+            .expect("encoding calls into memory cannot fail");
         self.action_buffer = actions;
         bytes
     }
--- a/crates/wingfold-capture/src/replay.rs
+++ b/crates/wingfold-capture/src/replay.rs
@@ -1,5 +1,5 @@
-//! Replays a capture: runs the director over the recorded events and compares, call by call, its actions with the
-//! recorded ones.
+//! Replays a capture: runs the director over the recorded events and compares, call by call, its actions with
+//! the recorded ones.
 
 mod report;
 mod validation;
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Restricts counts and comparisons to this span. Calls before it are replayed too, as the state depends on them.
+    /// Restricts counts and comparisons to this span. Calls before it are replayed too, as the state depends
+    /// on them.
     pub fn between(mut self, from: Timestamp, until: Timestamp) -> Self {
         (self.from, self.until) = (from, until);
         self
@@ -96,8 +97,8 @@
         by_owner
     }
 
-    /// Replays the next entry of the capture. Returns the call, if it is one that could be replayed, and the actions of
-    /// the replayed director.
+    /// Replays the next entry of the capture. Returns the call, if it is one that could be replayed, and the
+    /// actions of the replayed director.
     pub fn feed(&mut self, entry: Entry) -> Result<Option<(Call, &[Action])>, ReplayError> {
         match entry {
             Entry::Head(head) => self.apply_head(*head)?,
@@ -212,7 +213,8 @@
         (digest != call.digest).then_some(DifferenceKind::Tables { recorded: call.digest, replayed: digest })
     }
 
-    /// Applies the actions of a call to both states, and once there was a difference compares the tables concerned.
+    /// Applies the actions of a call to both states, and once there was a difference compares the tables
+    /// concerned.
     fn compare_tables(
         &mut self,
         call: &Call,
--- a/crates/wingfold-capture/src/replay/report.rs
+++ b/crates/wingfold-capture/src/replay/report.rs
@@ -50,7 +50,8 @@
         /// The replayed actions.
         replayed: Vec<Action>,
     },
-    /// The actions are equal and the tables are not: the actions of an earlier call did not lead to the tables.
+    /// The actions are equal and the tables are not: the actions of an earlier call did not lead to the
+    /// tables.
     Tables {
         /// The recorded digest of all tables.
         recorded: u64,
--- a/crates/wingfold-capture/src/replay_state.rs
+++ b/crates/wingfold-capture/src/replay_state.rs
@@ -68,7 +68,8 @@
         self.assignments.extend(proxies.into_iter().map(|proxy| ((proxy, classes.0), table)));
     }
 
-    /// Applies the actions of one call. Returns the tables that they concern, in order and without duplicates.
+    /// Applies the actions of one call. Returns the tables that they concern, in order and without
+    /// duplicates.
     pub fn apply(&mut self, actions: &[Action]) -> Vec<TableId> {
         let mut touched: Vec<TableId> =
             actions.iter().filter_map(|action| self.apply_action(action)).collect();
--- a/crates/wingfold-capture/src/segment_ring.rs
+++ b/crates/wingfold-capture/src/segment_ring.rs
@@ -1,4 +1,4 @@
-//! A capture without a disk: the last segments in a bounded part of the memory, to be dumped on request.
+//! A capture without a disk: a bounded amount of memory holds the last segments, to be dumped on request.
 
 use crate::model::{GapReason, SegmentMeta};
 use crate::segment_writer::DiskOperation;
@@ -7,14 +7,16 @@
 /// The last segments of a capture.
 #[derive(Debug, Default)]
 pub struct SegmentRing {
+    /// The metadata and the bytes of each segment, oldest first.
     segments: VecDeque<(SegmentMeta, Vec<u8>)>,
+    /// The bytes of all segments together.
     bytes: usize,
     max_bytes: usize,
 }
 
 impl SegmentRing {
-    /// A ring of at most so many bytes. The oldest segments are removed first, and as a whole: a part of one cannot be
-    /// replayed.
+    /// A ring of at most `max_bytes` bytes. The oldest segments are removed first, and always as a whole, as
+    /// a part of a segment cannot be replayed.
     pub fn new(max_bytes: usize) -> Self {
         SegmentRing { max_bytes, ..SegmentRing::default() }
     }
@@ -51,7 +53,8 @@
         Ok(())
     }
 
-    /// Removes segments until the bound holds, also a single one that exceeds it: the next checkpoint begins a new one.
+    /// Removes the oldest segments until the rest is within the bound. A single segment that exceeds the
+    /// bound is removed too, although it is the open one: the next checkpoint begins a new segment.
     fn enforce_bound(&mut self) {
         while self.bytes > self.max_bytes && !self.segments.is_empty() {
             self.remove_at(0);
@@ -64,12 +67,12 @@
         }
     }
 
-    /// Bytes of all segments.
+    /// The bytes of all segments together.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The segments, oldest first.
+    /// The metadata and the bytes of each segment, oldest first.
     pub fn segments(&self) -> impl Iterator<Item = (&SegmentMeta, &[u8])> {
         self.segments.iter().map(|(meta, bytes)| (meta, &bytes[..]))
     }
--- a/crates/wingfold-capture/src/segment_writer.rs
+++ b/crates/wingfold-capture/src/segment_writer.rs
@@ -1,36 +1,36 @@
-//! The core of the writer: turns recorded items into blocks and segments, and decides when a segment ends, which old
-//! ones are removed, and when a failed disk is tried again. It does no I/O itself: its caller carries out
-//! [`DiskOperation`]s and reports when one fails.
+//! The core of the writer of captures: it turns recorded items into blocks and segments, and decides when a
+//! segment ends, which old segments are removed, and when writing is retried after the disk failed. It does
+//! no I/O itself: the caller carries out the returned [`DiskOperation`]s and reports a failed one.
 
 use crate::block::{self, BlockKind};
 use crate::model::{CallPosition, CheckpointHead, Gap, GapReason, Head, Index, IndexEntry, SegmentMeta};
 use std::collections::VecDeque;
 use wingfold_director::interface::{Micros, Timestamp};
 
-/// Backoff after the first failure of the disk; it doubles with each further one.
+/// The backoff after the first failure of the disk; each further failure doubles the backoff.
 const MIN_BACKOFF: Micros = Micros(1_000_000);
 /// The longest backoff.
 const MAX_BACKOFF: Micros = Micros(60_000_000);
 
-/// What a recorder records.
+/// An item that a recorder passes to the writer.
 #[derive(Clone, Debug)]
 pub enum RecordedItem {
-    /// The state of the director before a call.
+    /// A checkpoint of the director before a call.
     Checkpoint {
         /// The number of the call.
         call: u64,
-        /// Its time.
+        /// The time of the call.
         at: Timestamp,
-        /// The checkpoint.
+        /// The bytes of the checkpoint.
         bytes: Vec<u8>,
-        /// Why calls before it were not recorded, if some were not.
+        /// Why calls directly before the checkpoint were not recorded, if any were not.
         reason: Option<GapReason>,
     },
-    /// A call.
+    /// A call of the director.
     Call {
-        /// Its number.
+        /// The number of the call.
         number: u64,
-        /// Its time.
+        /// The time of the call.
         at: Timestamp,
         /// The encoded call.
         bytes: Vec<u8>,
@@ -38,14 +38,14 @@
 }
 
 impl RecordedItem {
-    /// How many bytes it holds.
+    /// The number of encoded bytes.
     pub fn len(&self) -> usize {
         match self {
             RecordedItem::Checkpoint { bytes, .. } | RecordedItem::Call { bytes, .. } => bytes.len(),
         }
     }
 
-    /// Whether it holds no bytes.
+    /// Whether there are no encoded bytes.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -57,34 +57,36 @@
     }
 }
 
-/// An operation on the disk. Operations are to be carried out in order.
+/// An operation on the disk, or on the memory that replaces the disk. Operations are to be carried out in the
+/// order in which the writer returns them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiskOperation {
-    /// Create a segment.
+    /// Create an empty segment.
     Create(SegmentMeta),
-    /// Append bytes to the segment that was created last, and update the catalogue.
+    /// Append bytes to the segment that was created last, and store its metadata in the catalogue.
     Append(Vec<u8>, SegmentMeta),
-    /// That segment is complete.
+    /// Mark the segment that was created last as complete.
     Seal(SegmentMeta),
-    /// Remove an old segment.
+    /// Remove the segment with this number.
     Remove(u64),
 }
 
-/// When segments end, and how many are kept.
+/// When blocks are written, when segments end, and how many segments are kept.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SegmentLimits {
-    /// A segment ends with this many bytes,
+    /// The length in bytes at which a segment ends.
     pub segment_bytes: u64,
-    /// or after this time.
+    /// The age at which a segment ends.
     pub segment_age: Micros,
-    /// The most segments that are kept.
+    /// The maximum number of segments that are kept.
     pub keep_segments: usize,
-    /// The most bytes of segments that are kept.
+    /// The maximum number of bytes of all segments that are kept.
     pub keep_bytes: u64,
-    /// A block is written with this many bytes of calls,
+    /// The bytes of buffered calls at which the calls are written as a block.
     pub block_bytes: usize,
-    /// or after this time: so much a killed process loses.
-    pub flush: Micros,
+    /// The time after which buffered calls are written as a block. A killed process loses the calls of up to
+    /// this time.
+    pub flush_interval: Micros,
 }
 
 impl Default for SegmentLimits {
@@ -95,7 +97,7 @@
             keep_segments: 144,
             keep_bytes: 1 << 30,
             block_bytes: 128 << 10,
-            flush: Micros(1_000_000),
+            flush_interval: Micros(1_000_000),
         }
     }
 }
@@ -104,13 +106,14 @@
 #[derive(Debug)]
 struct OpenSegment {
     meta: SegmentMeta,
-    /// How many blocks it has.
+    /// The number of blocks written so far, which is the sequence number of the next block.
     blocks: u32,
     index: Index,
-    /// Encoded calls that are in no block yet.
+    /// The encoded calls that are not in a block yet.
     calls: Vec<u8>,
-    /// The first and the last one of them.
+    /// The positions of the first and the last call in `calls`.
     buffered: Option<(CallPosition, CallPosition)>,
+    /// The time of the checkpoint with which the segment begins.
     started_at: Timestamp,
 }
 
@@ -118,8 +121,9 @@
 enum State {
     /// No segment is open; the next checkpoint begins one.
     Idle,
+    /// A segment is being written.
     Open(Box<OpenSegment>),
-    /// The disk failed and is tried again at this time.
+    /// The disk failed; a checkpoint at or after this time begins a new segment.
     BackingOff(Timestamp),
 }
 
@@ -129,22 +133,26 @@
     head: Head,
     limits: SegmentLimits,
     state: State,
-    /// The segments that are kept, oldest first, the open one among them.
+    /// The segments that are kept, oldest first, including the open one.
     segments: VecDeque<SegmentMeta>,
+    /// The number of the next segment.
     next_segment: u64,
+    /// The latest time of an item.
     now: Timestamp,
-    /// The last call that is known to be written.
+    /// The last call whose operations are known to have been carried out.
     written_call: u64,
-    /// The last call in the operations that were returned.
+    /// The last call in the operations that have been returned.
     pending_call: u64,
-    /// Why calls after `written_call` are in no segment.
+    /// Why the next calls after `written_call` are in no segment, if they are not.
     gap_reason: Option<GapReason>,
+    /// The backoff after the next failure of the disk.
     backoff: Micros,
     failures: u64,
 }
 
 impl SegmentWriter {
-    /// A writer for captures with this head; `segments` are those of earlier incarnations, oldest first.
+    /// A writer for a capture with this head; `segments` are the kept segments of earlier incarnations,
+    /// oldest first.
     pub fn new(head: Head, limits: SegmentLimits, segments: Vec<SegmentMeta>) -> Self {
         SegmentWriter {
             head,
@@ -161,7 +169,7 @@
         }
     }
 
-    /// Whether it is ready to begin a segment with a checkpoint.
+    /// Whether the next checkpoint should be recorded now, to begin a new segment with it.
     pub fn wants_checkpoint(&self) -> bool {
         match &self.state {
             State::Idle => true,
@@ -173,18 +181,18 @@
         }
     }
 
-    /// How often the disk has failed.
+    /// The number of failures of the disk so far.
     pub fn failures(&self) -> u64 {
         self.failures
     }
 
-    /// The segments that are kept, oldest first, the open one among them.
+    /// The segments that are kept, oldest first, including the open one.
     pub fn segments(&self) -> impl Iterator<Item = &SegmentMeta> {
         self.segments.iter()
     }
 
-    /// Handles an item, and appends the operations that follow. All earlier operations were carried out, unless
-    /// [`operation_failed`](Self::operation_failed) was called.
+    /// Handles an item, and appends the operations to carry out to `out`. All operations that were returned
+    /// before count as carried out, unless [`operation_failed`](Self::operation_failed) was called.
     pub fn handle(&mut self, item: RecordedItem, out: &mut Vec<DiskOperation>) {
         self.now = self.now.max(item.at());
         self.confirm_operations();
@@ -198,7 +206,7 @@
         }
     }
 
-    /// Writes what is buffered, after some time without items.
+    /// Writes the buffered calls as a block; to be called after some time without items.
     pub fn flush_idle(&mut self, out: &mut Vec<DiskOperation>) {
         self.confirm_operations();
         self.flush(out);
@@ -211,8 +219,9 @@
         self.state = State::Idle;
     }
 
-    /// One of the last operations failed, and those after it were not carried out. The segment is left as it is, and the
-    /// disk tried again after a backoff.
+    /// To be called when one of the operations of the last item failed, and the operations after the failed
+    /// one were not carried out. The open segment is abandoned as it is, and a new one is begun after a
+    /// backoff.
     pub fn operation_failed(&mut self, reason: GapReason) {
         self.failures += 1;
         self.pending_call = self.written_call;
@@ -221,7 +230,8 @@
         self.backoff = Micros((2 * self.backoff.0).min(MAX_BACKOFF.0));
     }
 
-    /// The operations of the last item were carried out.
+    /// Takes the operations that were returned before as carried out, and resets the backoff if calls were
+    /// written.
     fn confirm_operations(&mut self) {
         if matches!(self.state, State::Open(_)) && self.written_call != self.pending_call {
             self.backoff = MIN_BACKOFF;
@@ -229,9 +239,10 @@
         self.written_call = self.pending_call;
     }
 
+    /// Buffers a call, and writes the buffered calls when they reach a limit.
     fn add_call(&mut self, call: CallPosition, bytes: Vec<u8>, out: &mut Vec<DiskOperation>) {
         let State::Open(open) = &mut self.state else { return };
-        // A call after dropped ones cannot be replayed from this segment's checkpoint.
+        // A call after dropped calls cannot be replayed from the checkpoint of this segment.
         if call.number != open.meta.last.number + 1 {
             self.gap_reason = self.gap_reason.take().or(Some(GapReason::QueueFull));
             self.seal(out);
@@ -243,11 +254,12 @@
         let first = open.buffered.map_or(call, |(first, _)| first);
         open.buffered = Some((first, call));
         let age = call.at.0.saturating_sub(first.at.0);
-        if open.calls.len() >= self.limits.block_bytes || age >= self.limits.flush.0 {
+        if open.calls.len() >= self.limits.block_bytes || age >= self.limits.flush_interval.0 {
             self.flush(out);
         }
     }
 
+    /// Ends the open segment, if any, and begins one with this checkpoint; does nothing during a backoff.
     fn begin_segment(
         &mut self,
         next_call: CallPosition,
@@ -270,14 +282,15 @@
         };
         self.next_segment += 1;
         out.push(DiskOperation::Create(meta.clone()));
-        let open = self.first_blocks(meta, gap, checkpoint, out);
+        let open = self.append_first_blocks(meta, gap, checkpoint, out);
         self.segments.push_back(open.meta.clone());
         self.state = State::Open(Box::new(open));
         self.pending_call = next_call.number - 1;
         self.enforce_retention(out);
     }
 
-    /// The calls before a checkpoint that are in no segment.
+    /// The calls directly before a checkpoint that are in no segment, if any; `next_call` is the first call
+    /// after the checkpoint.
     fn gap_before(&mut self, next_call: u64, reason: Option<GapReason>) -> Option<Gap> {
         (next_call > self.pending_call + 1).then(|| Gap {
             from: self.pending_call + 1,
@@ -286,8 +299,8 @@
         })
     }
 
-    /// Appends the head and the checkpoint of a new segment.
-    fn first_blocks(
+    /// Appends the blocks with the head and the checkpoint of a new segment.
+    fn append_first_blocks(
         &self,
         mut meta: SegmentMeta,
         gap: Option<Gap>,
@@ -296,11 +309,11 @@
     ) -> OpenSegment {
         let next_call = meta.first;
         let head = Head { segment: meta.segment, ..self.head.clone() };
-        let head = rmp_serde::to_vec_named(&head).expect("heads are plain, written to memory");
+        let head = rmp_serde::to_vec_named(&head).expect("encoding a head into memory cannot fail");
         let head_block = block::encode(BlockKind::Head, 0, &head);
         let checkpoint_head = CheckpointHead { call: next_call.number, at: next_call.at, gap };
-        let mut contents =
-            postcard::to_allocvec(&checkpoint_head).expect("heads are plain, written to memory");
+        let mut contents = postcard::to_allocvec(&checkpoint_head)
+            .expect("encoding a checkpoint head into memory cannot fail");
         contents.extend(checkpoint);
         let checkpoint_block = block::encode(BlockKind::Checkpoint, 1, &contents);
         let offset = head_block.len() as u64;
@@ -318,10 +331,11 @@
         }
     }
 
-    /// Removes the oldest segments until all limits hold; the open one stays.
+    /// Removes the oldest segments until the kept ones are within the limits; the newest segment always
+    /// stays.
     fn enforce_retention(&mut self, out: &mut Vec<DiskOperation>) {
         while self.segments.len() > 1 && self.exceeds_retention() {
-            let oldest = self.segments.pop_front().expect("more than one is kept");
+            let oldest = self.segments.pop_front().expect("more than one segment is kept");
             out.push(DiskOperation::Remove(oldest.segment));
         }
     }
@@ -331,7 +345,7 @@
         self.segments.len() > self.limits.keep_segments || bytes > self.limits.keep_bytes
     }
 
-    /// Writes the buffered calls as a block.
+    /// Writes the buffered calls, if any, as a block.
     fn flush(&mut self, out: &mut Vec<DiskOperation>) {
         let State::Open(open) = &mut self.state else { return };
         let Some((first, last)) = open.buffered.take() else { return };
@@ -348,11 +362,11 @@
         self.enforce_retention(out);
     }
 
-    /// Ends the open segment, if there is one, with its index.
+    /// Ends the open segment, if any, with its index.
     fn seal(&mut self, out: &mut Vec<DiskOperation>) {
         self.flush(out);
         let State::Open(open) = &mut self.state else { return };
-        let index = postcard::to_allocvec(&open.index).expect("an index is plain, written to memory");
+        let index = postcard::to_allocvec(&open.index).expect("encoding an index into memory cannot fail");
         let bytes = block::encode(BlockKind::Index, open.blocks, &index);
         open.meta.bytes += bytes.len() as u64;
         open.meta.sealed = true;
@@ -363,6 +377,7 @@
         self.state = State::Idle;
     }
 
+    /// Replaces the metadata of the newest segment.
     fn update_last_segment(&mut self, meta: &SegmentMeta) {
         if let Some(last) = self.segments.back_mut() {
             *last = meta.clone();
--- a/crates/wingfold-capture/tests/notice_wording.rs
+++ b/crates/wingfold-capture/tests/notice_wording.rs
@@ -1,5 +1,6 @@
-//! Replays compare the texts of notices byte by byte. Captures of earlier builds hold them in the original wording and do
-//! not say so in their heads; captures that are written from now on hold them as the director renders them.
+//! Replays compare the texts of notices byte by byte. Captures of earlier builds hold them in the original
+//! wording and do not say so in their heads; captures that are written from now on hold them as the director
+//! renders them.
 use serde::Serialize;
 use std::path::Path;
 use wingfold_capture::block::{self, Block, BlockKind};
--- a/crates/wingfold-capture/tests/positions.rs
+++ b/crates/wingfold-capture/tests/positions.rs
@@ -1,13 +1,14 @@
-//! Captures hold events and actions by position (postcard), without names: a variant or field that changes its place would
-//! make captures of earlier builds say something else.
+//! Captures store events, actions and most contents of blocks by position (postcard), without names: a
+//! variant or field at another position would change the meaning of captures of earlier builds.
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 use wingfold_capture::model::{CallPosition, CheckpointHead, EncodableCall, Index, IndexEntry};
 use wingfold_capture::{Call, Gap, GapReason, SegmentMeta};
 use wingfold_director::interface::*;
 
-/// [`events`] and [`actions`] as an earlier build wrote them.
+/// [`events`] as an earlier build encoded them.
 const EVENTS: &[u8] = include_bytes!("data/events.postcard");
+/// [`actions`] as an earlier build encoded them.
 const ACTIONS: &[u8] = include_bytes!("data/actions.postcard");
 
 fn host() -> HostId {
@@ -29,7 +30,7 @@
     }
 }
 
-/// Every event, with every value that an enumeration in it can have.
+/// Every variant of [`Event`], with every variant of the enums in its fields.
 fn events() -> Vec<Event> {
     let load =
         HostLoad { in_flight: Some(3.0), queued: None, utilization: Some(0.25), service_ms: Some(12.5) };
@@ -59,7 +60,7 @@
     ]
 }
 
-/// Every action, with every value that an enumeration in it can have.
+/// Every variant of [`Action`], with every variant of the enums in its fields.
 fn actions() -> Vec<Action> {
     let table = TableId(6);
     let admission = |retry| Action::SetAdmission { table: None, classes: ClassMask(0), level: 1.0, retry };
@@ -109,7 +110,7 @@
         GapReason::QueueFull,
         GapReason::DiskFull,
         GapReason::ReadOnly,
-        GapReason::Gone,
+        GapReason::FolderMissing,
         GapReason::Failed("io".into()),
     ];
     assert_encoding(&reasons, &[5, 0, 1, 2, 3, 4, 2, b'i', b'o']);
--- a/crates/wingfold-capture/tests/stored_names.rs
+++ b/crates/wingfold-capture/tests/stored_names.rs
@@ -1,24 +1,25 @@
-//! Heads of captures are stored with the names that their fields had when they were first written.
+//! The heads of captures are stored with field names, which must stay as they were first written.
 use serde::de::IgnoredAny;
 use std::collections::BTreeMap;
 use std::path::Path;
 use wingfold_capture::block::Block;
 use wingfold_capture::{reader, Head};
 
+/// The field names of an encoded head.
 fn field_names(encoded: &[u8]) -> Vec<String> {
     let fields: BTreeMap<String, IgnoredAny> = rmp_serde::from_slice(encoded).unwrap();
     fields.into_keys().collect()
 }
 
 #[test]
-fn heads_keep_the_names_of_their_fields() {
+fn heads_are_written_with_the_stored_field_names() {
     let encoded = rmp_serde::to_vec_named(&Head::default()).unwrap();
     let expected = ["build", "classes", "name", "notice_wording", "run", "seed", "segment", "settings"];
     assert_eq!(field_names(&encoded), expected);
 }
 
 #[test]
-fn heads_of_kept_captures_are_read_with_all_their_fields() {
+fn heads_of_kept_captures_are_read_with_all_fields() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../captures");
     for folder in std::fs::read_dir(root).unwrap() {
         let bytes = std::fs::read(folder.unwrap().path().join("capture.wfcap")).unwrap();
--- a/crates/wingfold-node/src/recorder.rs
+++ b/crates/wingfold-node/src/recorder.rs
@@ -91,7 +91,7 @@
         segment_age: micros(capture.segment_age),
         keep_segments: capture.max_segments,
         keep_bytes: capture.max_bytes,
-        flush: micros(capture.flush_interval),
+        flush_interval: micros(capture.flush_interval),
         ..SegmentLimits::default()
     }
 }
