--- a/crates/wingfold-capture/src/case.rs
+++ b/crates/wingfold-capture/src/case.rs
@@ -1,4 +1,4 @@
-//! Cases: a kept capture, and the conditions that must hold when any build replays it.
+//! Cases: a case is a kept capture with the conditions that must hold whenever a build replays the capture.
 
 use crate::block::BlockError;
 use crate::model::Head;
@@ -10,22 +10,23 @@
 use wingfold_director::Director;
 use wingfold_settings::hcl::{self, Block, Diagnostics};
 
-/// What a condition expects of the status of a host in a zone.
+/// The status that a condition expects of a host in a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExpectedStatus {
-    /// It has its full weight.
+    /// The host is in the leading group and has its full weight.
     Leading,
-    /// The ranking has halved its weight.
+    /// The ranking has halved the weight of the host at least once.
     WeightHalved,
-    /// It is ejected.
+    /// The host is ejected.
     Ejected,
-    /// It is in probation.
+    /// The host is in probation.
     Probation,
-    /// It is draining or removed.
+    /// The host is draining or removed.
     NotReady,
 }
 
 impl ExpectedStatus {
+    /// The names of the statuses in case files, in the order of the variants.
     const NAMES: [&'static str; 5] = ["leading", "halved", "out", "trial", "leaving"];
     const ALL: [ExpectedStatus; 5] = [
         ExpectedStatus::Leading,
@@ -35,7 +36,7 @@
         ExpectedStatus::NotReady,
     ];
 
-    /// The name of the status in the files of cases.
+    /// The name of the status in case files.
     fn name(self) -> &'static str {
         ExpectedStatus::NAMES[self as usize]
     }
@@ -55,7 +56,7 @@
     }
 }
 
-/// What must hold.
+/// A condition on the state of the replayed director after a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Condition {
     /// A host is in none of a zone's tables.
@@ -76,14 +77,14 @@
         /// The highest share, as a ratio.
         most: f64,
     },
-    /// A host has a status in a zone.
+    /// A host has the expected status in a zone.
     Status {
         /// The host.
         host: String,
         /// The zone; `None`: all zones.
         zone: Option<String>,
-        /// The status.
-        is: ExpectedStatus,
+        /// The expected status.
+        expected: ExpectedStatus,
     },
     /// The admission level of a class is within bounds.
     AdmissionLevel {
@@ -98,44 +99,45 @@
     },
 }
 
-/// A condition that must hold in a span of time.
+/// A condition that must hold after every call in a span of time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expectation {
-    /// What must hold.
+    /// The condition.
     pub condition: Condition,
-    /// The start of the span, from the first call of the case.
+    /// The start of the span, as the time since the first call of the case.
     pub after: Duration,
-    /// The end of the span, from the first call of the case.
+    /// The end of the span, as the time since the first call of the case.
     pub until: Duration,
 }
 
-/// A case.
+/// A case: what its replay must fulfil, as its file describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Case {
-    /// Its name.
+    /// The name of the case.
     pub name: String,
-    /// What went wrong, and where that is written up.
+    /// The incident that the case reproduces, and where the incident is described.
     pub about: String,
-    /// Whether all actions and tables must be as recorded; otherwise only the expectations count.
+    /// Whether all actions and tables must equal the recorded ones; otherwise only the expectations are
+    /// checked.
     pub identical: bool,
-    /// What must hold.
+    /// The expectations, in the order of the file.
     pub expectations: Vec<Expectation>,
 }
 
 /// Why a condition does not hold.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ConditionFailure {
-    /// The director does not know the zone.
-    #[error("there is no such zone")]
+    /// The director does not know the zone of the condition, or has no zones.
+    #[error("the director has no zone that matches the expectation")]
     UnknownZone,
-    /// The capture has no such class.
-    #[error("there is no class `{class}`")]
+    /// The head of the capture has no class of this name.
+    #[error("the capture has no class `{class}`")]
     UnknownClass {
         /// The class.
         class: String,
     },
     /// A host that should be in no table is in one.
-    #[error("{host} is in table {table} of {zone}")]
+    #[error("host {host} is in table {table} of zone {zone}, expected in none")]
     InTable {
         /// The host.
         host: String,
@@ -145,61 +147,65 @@
         zone: String,
     },
     /// The share of a host is out of bounds.
-    #[error("{host} has {share:.4} of table {table} of {zone}, not {least} to {most}")]
+    #[error("host {host} has share {share:.4} in table {table} of zone {zone}, expected {least} to {most}")]
     Share {
         /// The host.
         host: String,
-        /// Its share, as a ratio.
+        /// The share of the host, as a ratio.
         share: f64,
         /// The number of the table.
         table: u32,
         /// The zone.
         zone: String,
-        /// The lowest share expected.
+        /// The lowest expected share.
         least: f64,
-        /// The highest share expected.
+        /// The highest expected share.
         most: f64,
     },
-    /// A host has another status, or is unknown.
-    #[error("{host} is {} in {zone}, not {}", .found.map_or("unknown", ExpectedStatus::name), .expected.name())]
+    /// A host has another status than expected, or is unknown.
+    #[error(
+        "host {host} has status {} in zone {zone}, expected {}",
+        .found.map_or("unknown", ExpectedStatus::name),
+        .expected.name()
+    )]
     Status {
         /// The host.
         host: String,
-        /// Its status; `None`: it is unknown.
+        /// The status of the host; `None`: the host is unknown.
         found: Option<ExpectedStatus>,
         /// The zone.
         zone: String,
-        /// The status expected.
+        /// The expected status.
         expected: ExpectedStatus,
     },
     /// The admission level of a class is out of bounds.
-    #[error("{class} is at level {level} in {zone}, not {least} to {most}")]
+    #[error("class {class} has admission level {level} in zone {zone}, expected {least} to {most}")]
     AdmissionLevel {
         /// The class.
         class: String,
-        /// Its level.
+        /// The admission level of the class.
         level: f64,
         /// The zone.
         zone: String,
-        /// The lowest level expected.
+        /// The lowest expected level.
         least: f64,
-        /// The highest level expected.
+        /// The highest expected level.
         most: f64,
     },
 }
 
-/// Why a case fails. Times are given from its first call.
+/// Why a case fails. Times are given since the first call of the case.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CaseFailure {
     /// The capture cannot be replayed.
-    #[error("cannot be replayed: {0}")]
+    #[error("the capture cannot be replayed: {0}")]
     Replay(ReplayError),
     /// A condition does not hold.
     #[error("+{:.2}s: {failure}", .after.as_secs_f64())]
     Condition {
-        /// The time.
+        /// The time of the call after which the condition does not hold.
         after: Duration,
-        /// Why it does not hold.
+        /// Why the condition does not hold.
         failure: ConditionFailure,
     },
     /// There is no call in the span of an expectation.
@@ -212,21 +218,23 @@
     #[error("no call could be replayed")]
     NoCalls,
     /// The capture is damaged.
-    #[error("damaged at byte {offset}: {fault}")]
+    #[error("the capture is damaged at byte {offset}: {fault}")]
     Damaged {
-        /// The byte of the segment.
+        /// The offset in the segment at which the damaged part begins, in bytes.
         offset: usize,
-        /// What is wrong there.
+        /// The fault at that offset.
         fault: BlockError,
     },
     /// The replayed director differs from the recorded one.
-    #[error("+{after_s:.2}s, call {call}: not as it was then ({differences} calls differ)")]
+    #[error(
+        "+{after_s:.2}s, call {call}: the replay differs from the recording ({differences} differences)"
+    )]
     Different {
         /// The time of the first difference, in seconds.
         after_s: f64,
-        /// Its call.
+        /// The number of the call of the first difference.
         call: u64,
-        /// How many calls differ.
+        /// The number of calls and checkpoints that differ.
         differences: u64,
     },
 }
@@ -234,14 +242,14 @@
 /// The result of a case.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CaseResult {
-    /// Replayed calls.
+    /// The number of replayed calls.
     pub calls: u64,
-    /// Why it fails; of each expectation the first failure. Empty if it passes.
+    /// Why the case fails, with the first failure of each expectation; empty if the case passes.
     pub failures: Vec<CaseFailure>,
 }
 
 impl Case {
-    /// Reads a case from its file; an error lists everything that is wrong with it.
+    /// Reads a case from the text of its file; the error lists all faults of the file.
     pub fn read(file: &str, text: &str) -> Result<Case, Diagnostics> {
         hcl::read(file, text, |top| {
             let block = top.block("case");
@@ -260,12 +268,13 @@
     }
 }
 
-/// The longest span of an expectation.
-const MAX_SPAN: Duration = Duration::from_secs(86_400);
+/// The latest time of an expectation after the first call of the case, which is also the default end of its
+/// span.
+const MAX_OFFSET: Duration = Duration::from_secs(86_400);
 
 fn read_expectation(block: &Block) -> Option<Expectation> {
-    let time = |name, default| block.duration(name, Duration::ZERO..=MAX_SPAN).unwrap_or(default);
-    let (after, until) = (time("after", Duration::ZERO), time("until", MAX_SPAN));
+    let time = |name, default| block.duration(name, Duration::ZERO..=MAX_OFFSET).unwrap_or(default);
+    let (after, until) = (time("after", Duration::ZERO), time("until", MAX_OFFSET));
     if after > until {
         block.report("`until` comes before `after`");
     }
@@ -285,7 +294,8 @@
         Some("standing") => {
             let name = block.keyword("is", &ExpectedStatus::NAMES).and_then(ExpectedStatus::from_name);
             let host = host();
-            Some(Condition::Status { host, zone, is: block.require("is", name, ExpectedStatus::Leading) })
+            let expected = block.require("is", name, ExpectedStatus::Leading);
+            Some(Condition::Status { host, zone, expected })
         }
         Some("level") => {
             let class = block.require("class", block.string("class"), String::new());
@@ -293,7 +303,7 @@
             Some(Condition::AdmissionLevel { class, zone, least, most })
         }
         _ => {
-            block.reject("is not known; here are out, share, standing, level");
+            block.reject("is not a kind of condition; expected out, share, standing or level");
             None
         }
     }
@@ -303,12 +313,12 @@
 struct OpenExpectation<'a> {
     number: usize,
     expectation: &'a Expectation,
-    /// Whether there was a call in its span.
+    /// Whether a call was in its span.
     was_checked: bool,
 }
 
 impl OpenExpectation<'_> {
-    /// Checks the condition, if `after` is in its span.
+    /// Checks the condition, if `after` is in the span of the expectation.
     fn check(&mut self, after: Duration, director: &Director, head: &Head) -> Result<(), CaseFailure> {
         if after < self.expectation.after || after > self.expectation.until {
             return Ok(());
@@ -321,7 +331,7 @@
     }
 }
 
-/// Replays a case and checks all that must hold.
+/// Replays the capture of a case and checks the expectations of the case.
 pub fn check(case: &Case, entries: impl Iterator<Item = Entry>) -> CaseResult {
     let mode = if case.identical { ReplayMode::Strict } else { ReplayMode::Compare };
     let mut replayer = Replayer::new(mode);
@@ -355,7 +365,7 @@
     CaseResult { calls: replayer.report.calls, failures }
 }
 
-/// What the replay as a whole shows: missing calls, damage, and differences where there must be none.
+/// The failures of the replay as a whole: no replayed call, damage, and differences if the case allows none.
 fn replay_failures(case: &Case, replayer: &Replayer, first_call_at: Option<Timestamp>) -> Vec<CaseFailure> {
     let mut failures = Vec::new();
     let report = &replayer.report;
@@ -376,6 +386,7 @@
 }
 
 impl Condition {
+    /// The zone that the condition names; `None`: all zones.
     fn zone(&self) -> Option<&str> {
         match self {
             Condition::NotInTables { zone, .. }
@@ -385,7 +396,7 @@
         }
     }
 
-    /// Checks the condition in its zone, or in all zones.
+    /// Checks the condition in the zone that it names, or in all zones of the director.
     fn check(&self, director: &Director, head: &Head) -> Result<(), ConditionFailure> {
         let zones = director.zone_views().into_iter().map(|view| view.zone);
         let zones: Vec<ZoneId> =
@@ -400,7 +411,7 @@
         match self {
             Condition::NotInTables { host, .. } => check_not_in_tables(host, zone, director),
             Condition::Share { host, least, most, .. } => check_share(host, *least, *most, zone, director),
-            Condition::Status { host, is, .. } => check_status(host, *is, zone, director),
+            Condition::Status { host, expected, .. } => check_status(host, *expected, zone, director),
             Condition::AdmissionLevel { class, least, most, .. } => {
                 check_admission_level(class, *least, *most, zone, director, head)
             }
@@ -409,7 +420,7 @@
 }
 
 /// The tables of a zone that have entries.
-fn filled_tables(zone: &ZoneId, director: &Director) -> impl Iterator<Item = TableView> {
+fn tables_with_entries(zone: &ZoneId, director: &Director) -> impl Iterator<Item = TableView> {
     let zone = zone.clone();
     let tables = director.table_views().into_iter();
     tables.filter(move |table| table.zone == zone && !table.entries.is_empty())
@@ -421,7 +432,7 @@
 
 fn check_not_in_tables(host: &str, zone: &ZoneId, director: &Director) -> Result<(), ConditionFailure> {
     let id = host_id(host);
-    match filled_tables(zone, director).find(|table| table.share(&id) > 0.0) {
+    match tables_with_entries(zone, director).find(|table| table.share(&id) > 0.0) {
         None => Ok(()),
         Some(table) => Err(ConditionFailure::InTable {
             host: host.into(),
@@ -439,7 +450,7 @@
     director: &Director,
 ) -> Result<(), ConditionFailure> {
     let id = host_id(host);
-    for table in filled_tables(zone, director) {
+    for table in tables_with_entries(zone, director) {
         let share = table.share(&id);
         if share < least || share > most {
             let (host, zone) = (host.into(), zone.0.to_string());
--- a/crates/wingfold-capture/src/edit.rs
+++ b/crates/wingfold-capture/src/edit.rs
@@ -1,4 +1,5 @@
-//! Writes a part of a capture as one segment. It begins with a checkpoint, so that it can be replayed alone.
+//! Writes a part of a capture as one segment. The segment begins with a checkpoint, so that it can be
+//! replayed without the rest of the capture.
 
 use crate::model::{encode_actions, Call, EncodableCall, Head, NoticeWording};
 use crate::reader::Entry;
@@ -7,7 +8,7 @@
 use wingfold_director::interface::{Micros, Timestamp};
 use wingfold_director::Director;
 
-/// Writes one segment in memory.
+/// Assembles one segment in memory.
 #[derive(Debug)]
 pub struct SegmentAssembler {
     writer: SegmentWriter,
@@ -16,8 +17,8 @@
 }
 
 impl SegmentAssembler {
-    /// Begins a segment of the capture with this head, with the state of the director before call number
-    /// `call`.
+    /// Begins a segment with a copy of `head` and a checkpoint of the director before the call with the
+    /// number `call` at time `at`.
     pub fn new(head: &Head, call: u64, at: Timestamp, director: &Director) -> Self {
         let limits = SegmentLimits {
             segment_bytes: u64::MAX,
@@ -36,11 +37,11 @@
     pub fn add_call(&mut self, call: &Call) {
         let Call { number, at, events, actions, digest } = call;
         let encodable = EncodableCall { number: *number, at: *at, events, actions, digest: *digest };
-        let bytes = postcard::to_allocvec(&encodable).expect("calls are plain, written to memory");
+        let bytes = postcard::to_allocvec(&encodable).expect("encoding calls into memory cannot fail");
         self.add(RecordedItem::Call { number: *number, at: *at, bytes });
     }
 
-    /// The bytes of the segment.
+    /// Seals the segment and returns its bytes.
     pub fn finish(mut self) -> Vec<u8> {
         self.writer.finish(&mut self.operations);
         self.collect_bytes();
@@ -61,8 +62,8 @@
     }
 }
 
-/// Extracts the calls of a span. Returns `None` if no call in it can be replayed; the segment ends before the
-/// first call that is missing.
+/// Extracts the calls of a span of time into a segment. Returns `None` if no call in the span can be
+/// replayed. The segment ends before the first missing call.
 pub fn extract(
     entries: impl Iterator<Item = Entry>,
     from: Timestamp,
@@ -91,7 +92,9 @@
     Ok(assembler.map(SegmentAssembler::finish))
 }
 
-/// Replaces the recorded actions by those of this build: for a case whose decisions were changed on purpose.
+/// Replays a capture and returns it as one segment, with the actions of this build in place of the recorded
+/// ones. It updates a case after an intended change of decisions. Returns `None` if the capture has no
+/// checkpoint.
 pub fn accept(entries: impl Iterator<Item = Entry>) -> Result<Option<Vec<u8>>, ReplayError> {
     let mut replayer = Replayer::new(ReplayMode::Compare);
     let mut assembler: Option<SegmentAssembler> = None;
@@ -103,7 +106,8 @@
         let replayed = replayer.feed(entry)?.map(|(call, actions)| (call, encode_actions(actions)));
         let Some(director) = replayer.director() else { continue };
         if let (Some((call, at)), None) = (checkpoint, &assembler) {
-            // The replayed notices are worded as this build renders them, whatever the recorded ones were.
+            // The segment contains replayed notices, in the wording of this build instead of the recorded
+            // one.
             let head = Head { notice_wording: NoticeWording::KeyValue, ..replayer.head().clone() };
             assembler = Some(SegmentAssembler::new(&head, call, at, director));
         }
--- a/crates/wingfold-capture/src/explain.rs
+++ b/crates/wingfold-capture/src/explain.rs
@@ -1,7 +1,8 @@
-//! Explains why tables held what they held: the director's own view at a time, and what changed each host
-//! before it.
+//! Explains the entries of tables at a time: the director's view at that time, and the changes of each host
+//! before that time.
 //!
-//! Explanations are printed as JSON: their fields keep the names that they had there first.
+//! Explanations are printed as JSON. The JSON names of fields must stay, also where a field has another name
+//! here.
 
 use crate::model::{Call, CallPosition};
 use crate::replay::Replayer;
@@ -11,28 +12,28 @@
 use wingfold_director::interface::{Action, Event, HostId, Micros, ProxyId, TableId, Timestamp, ZoneId};
 use wingfold_director::Director;
 
-/// The most recent events of a host that are kept.
+/// The maximum number of recent events that are kept for a host.
 const MAX_RECENT_EVENTS: usize = 24;
-/// The most changes of a host that are kept.
+/// The maximum number of changes that are kept for a host in a zone; the oldest are dropped first.
 const MAX_CHANGES: usize = 64;
-/// The smallest change of a share that counts as one, relative to the share. Shares change a little with
-/// every other host.
+/// The smallest change of a share that is listed, relative to the larger share. Smaller changes are ignored,
+/// as the share of a host changes a little with every change of another host.
 const MIN_SHARE_CHANGE_RATIO: f64 = 0.2;
-/// Smaller shares count as this one.
+/// In the comparison of shares, a larger share below this value counts as this value.
 const MIN_SHARE: f64 = 0.01;
 
-/// What to explain.
+/// What is to be explained.
 #[derive(Clone, Debug, Default)]
 pub struct Question {
-    /// The time.
+    /// The time whose state is explained.
     pub at: Timestamp,
-    /// How long before that time changes of hosts are listed.
+    /// The length of the span before `at` in which changes of hosts are listed.
     pub lookback: Micros,
-    /// Only this zone.
+    /// If set, only this zone is explained.
     pub zone: Option<ZoneId>,
-    /// Only this host.
+    /// If set, only this host is explained.
     pub host: Option<HostId>,
-    /// Only the zone and the tables of this proxy.
+    /// If set, only the tables of this proxy are explained, and its zone, unless `zone` is set.
     pub proxy: Option<ProxyId>,
 }
 
@@ -46,19 +47,21 @@
 /// A change of how a zone treats a host.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct HostChange {
-    /// The call that changed it.
+    /// The number of the call that made the change.
     pub call: u64,
-    /// Its time.
+    /// The time of the call.
     pub at: Timestamp,
-    /// The status of the host before and after, if it changed. `None` before: the host was not known.
+    /// The previous and the new status of the host, if the status changed. The previous status is `None` if
+    /// the host was unknown.
     #[serde(rename = "standing")]
     pub status: Option<(Option<HostStatus>, HostStatus)>,
-    /// The share of the host in the weight of the zone's tables before and after, as the mean over tables.
+    /// The previous and the new share of the host in the total weight of a table, as the mean over the zone's
+    /// tables.
     pub share: (f64, f64),
-    /// The last events of the host, oldest first, with their times.
+    /// The last events of the host up to the call, oldest first, with their times.
     #[serde(rename = "heard")]
     pub recent_events: Vec<(Timestamp, Event)>,
-    /// The notices of the director on the host in that call.
+    /// The notices of the director in that call that contain the name of the host.
     #[serde(rename = "noted")]
     pub notices: Vec<String>,
 }
@@ -68,9 +71,9 @@
 pub struct HostExplanation {
     /// The director's view of the host.
     pub view: HostView,
-    /// The share of the host in the weight of each table.
+    /// The share of the host in the total weight of each table.
     pub shares: Vec<(TableId, f64)>,
-    /// What changed it, oldest first.
+    /// The changes of the host in the span of the question, oldest first.
     #[serde(rename = "moves")]
     pub changes: Vec<HostChange>,
 }
@@ -81,21 +84,21 @@
     /// The name of the director.
     #[serde(rename = "name")]
     pub director: String,
-    /// The last call at or before the time of the question.
+    /// The number of the last call at or before the time of the question.
     pub call: u64,
-    /// Its time.
+    /// The time of that call.
     pub at: Timestamp,
     /// The fleet as a whole.
     pub fleet: FleetView,
-    /// The zones concerned.
+    /// The zones of the explained hosts.
     pub zones: Vec<ZoneView>,
-    /// The tables of the proxy, if the question names one.
+    /// The tables of the proxy, if the question names a proxy.
     pub tables: Vec<TableId>,
-    /// The hosts concerned, by zone and name.
+    /// The explained hosts, by zone and host.
     pub hosts: Vec<HostExplanation>,
 }
 
-/// What was last observed of a host in a zone.
+/// The last observed status and share of a host in a zone, and the changes so far.
 #[derive(Clone, Debug, Default)]
 struct ObservedHost {
     status: Option<HostStatus>,
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Observes a call after its replay.
+    /// Observes a call; to be called after the replay of each call.
     pub fn observe(&mut self, call: &Call, actions: &[Action], director: &Director) {
         if call.at > self.question.at {
             return;
@@ -141,13 +144,13 @@
         for event in &call.events {
             self.record_event(call.at, event);
         }
-        // Views cost as much as a call itself: they are taken within the span of the question, and once
-        // before it.
+        // Building the views costs as much as the call itself, so views are built only for calls in the span
+        // of the question, and once before the span.
         if call.at < self.question.changes_from() && !self.observed.is_empty() {
             return;
         }
         let notices = notices(actions);
-        for (zone, host) in self.hosts_concerned(director) {
+        for (zone, host) in self.selected_hosts(director) {
             self.observe_host(call, &notices, director, zone, host);
         }
     }
@@ -169,8 +172,8 @@
         let (previous, status) = (observed.status, view.status);
         let status_changed = previous.is_none_or(|previous| !is_same_status(previous, status));
         if (status_changed || share_changed(observed.share, share)) && !is_first {
-            // Events of all zones: hosts are judged by the attempts of all, and the endpoint list is the same
-            // for all.
+            // Events of all zones: a host is judged by the attempts of all zones, and all zones have the same
+            // endpoint list.
             let recent_events = self.recent_events.get(&host).into_iter().flatten();
             observed.add_change(HostChange {
                 call: call.number,
@@ -184,18 +187,18 @@
         (observed.status, observed.share) = (Some(status), share);
     }
 
-    /// The zones and hosts that the question is about.
-    fn hosts_concerned(&self, director: &Director) -> Vec<(ZoneId, HostId)> {
+    /// The zones and hosts that the question selects.
+    fn selected_hosts(&self, director: &Director) -> Vec<(ZoneId, HostId)> {
         let mut zone = self.question.zone.clone();
         if let Some(proxy) = self.question.proxy {
             // A proxy that is not connected to this director uses none of its tables.
             let Some((zone_of_proxy, _)) = director.proxy_view(proxy) else { return Vec::new() };
             zone = zone.or(Some(zone_of_proxy));
         }
-        let is_concerned = |host: &&HostId| self.question.host.as_ref().is_none_or(|asked| asked == *host);
+        let is_selected = |host: &&HostId| self.question.host.as_ref().is_none_or(|asked| asked == *host);
         let zones = director.zone_views().into_iter().map(|view| view.zone);
         let zones = zones.filter(|known| zone.as_ref().is_none_or(|asked| asked == known));
-        let hosts = || director.hosts().filter(is_concerned);
+        let hosts = || director.hosts().filter(is_selected);
         zones.flat_map(|zone| hosts().map(move |host| (zone.clone(), host.clone()))).collect()
     }
 
@@ -222,26 +225,26 @@
         events.push_back((at, event));
     }
 
-    /// The answer, after the replay has reached the time of the question.
+    /// Returns the answer; to be called after the replay has reached the time of the question.
     pub fn explain(mut self, replayer: &Replayer, director: &Director) -> Explanation {
         let proxy = self.question.proxy.and_then(|proxy| director.proxy_view(proxy));
         let tables = proxy.map(|(_, tables)| tables).unwrap_or_default();
-        let concerned = self.hosts_concerned(director).into_iter();
+        let selected = self.selected_hosts(director).into_iter();
         let hosts: Vec<HostExplanation> =
-            concerned.filter_map(|(zone, host)| self.explain_host(director, &tables, zone, host)).collect();
-        let is_concerned = |zone: &ZoneView| hosts.iter().any(|host| host.view.zone == zone.zone);
+            selected.filter_map(|(zone, host)| self.explain_host(director, &tables, zone, host)).collect();
+        let is_explained = |zone: &ZoneView| hosts.iter().any(|host| host.view.zone == zone.zone);
         Explanation {
             director: replayer.head().director.clone(),
             call: self.last_call.number,
             at: self.last_call.at,
             fleet: director.fleet_view(),
-            zones: director.zone_views().into_iter().filter(is_concerned).collect(),
+            zones: director.zone_views().into_iter().filter(is_explained).collect(),
             tables,
             hosts,
         }
     }
 
-    /// `tables` are those of the proxy, if the question names one.
+    /// Explains a host in a zone. `tables` are the tables of the proxy, if the question names a proxy.
     fn explain_host(
         &mut self,
         director: &Director,
@@ -271,7 +274,8 @@
     notices.collect()
 }
 
-/// Whether two statuses are the same as far as changes are listed: the end of a probation does not count.
+/// Whether two statuses count as the same in the list of changes. Two probations do, whatever their end times
+/// are.
 fn is_same_status(one: HostStatus, other: HostStatus) -> bool {
     match (one, other) {
         (HostStatus::Probation(_), HostStatus::Probation(_)) => true,
@@ -280,6 +284,7 @@
     }
 }
 
+/// Whether a share has changed enough for the list of changes.
 fn share_changed(previous: f64, share: f64) -> bool {
     (share - previous).abs() > MIN_SHARE_CHANGE_RATIO * share.max(previous).max(MIN_SHARE)
 }
--- a/crates/wingfold-capture/src/replay.rs
+++ b/crates/wingfold-capture/src/replay.rs
@@ -1,5 +1,5 @@
-//! Replays a capture: runs the director over the recorded events and compares, call by call, its actions with
-//! the recorded ones.
+//! Replays a capture: runs a director over the recorded events, and compares its actions with the recorded
+//! actions call by call.
 
 mod report;
 mod validation;
@@ -16,28 +16,32 @@
 use wingfold_director::interface::{Action, ClassMask, TableId, Timestamp, ZoneId};
 use wingfold_director::Director;
 
-/// Replays the entries of a capture.
+/// Replays the entries of a capture, which are fed in the order of the capture.
 #[derive(Debug)]
 pub struct Replayer {
     mode: ReplayMode,
     head: Head,
-    /// `None` until a checkpoint is restored, and after calls that are missing.
+    /// `None` until a checkpoint is restored, and after missing calls.
     director: Option<Director>,
-    /// The number of the call that can be replayed next.
+    /// The number of the next call that can be replayed.
     next_call: u64,
+    /// The state after the recorded actions.
     recorded: ReplayState,
+    /// The state after the replayed actions.
     replayed: ReplayState,
     /// The zone and the classes of each table.
     table_owners: BTreeMap<TableId, (ZoneId, ClassMask)>,
     divergences: BTreeMap<TableId, Divergence>,
-    /// What the replay has found.
+    /// The counts and findings so far.
     pub report: ReplayReport,
-    /// The first difference.
+    /// The first difference, if any.
     pub first_difference: Option<Difference>,
     last_call_at: Timestamp,
+    /// The start of the span that is counted and compared.
     from: Timestamp,
+    /// The end of that span; later calls are not replayed.
     until: Timestamp,
-    /// The actions of the last call; the allocation is used again.
+    /// The replayed actions of the last call; the buffer is reused for the next call.
     actions: Vec<Action>,
 }
 
@@ -62,32 +66,35 @@
         }
     }
 
-    /// Restricts counts and comparisons to this span. Calls before it are replayed too, as the state depends
-    /// on them.
+    /// Restricts counts and comparisons to a span of time. Calls before the span are replayed too, as the
+    /// state of the director depends on them.
     pub fn between(mut self, from: Timestamp, until: Timestamp) -> Self {
         (self.from, self.until) = (from, until);
         self
     }
 
-    /// The director after the last replayed call.
+    /// The director after the last replayed call; `None` before the first checkpoint and after missing calls.
     pub fn director(&self) -> Option<&Director> {
         self.director.as_ref()
     }
 
-    /// The head of the capture.
+    /// The head of the segment that was fed last.
     pub fn head(&self) -> &Head {
         &self.head
     }
 
-    /// Whether the whole span has been replayed.
+    /// Whether a call after the span has been reached, so that the rest of the capture is not needed.
     pub fn is_done(&self) -> bool {
         self.last_call_at > self.until
     }
 
-    /// How far recorded and replayed tables have differed up to now, by zone and bits of the class mask.
+    /// How long and how far recorded and replayed tables have differed up to now, by the zone and the bits of
+    /// the class mask of each table.
     pub fn divergences(&self) -> BTreeMap<(ZoneId, u64), Vec<(TableId, Divergence)>> {
         let mut by_owner: BTreeMap<(ZoneId, u64), Vec<(TableId, Divergence)>> = BTreeMap::new();
-        for (table, divergence) in self.divergences.iter().filter(|(_, one)| one.first.is_some()) {
+        for (table, divergence) in
+            self.divergences.iter().filter(|(_, divergence)| divergence.first.is_some())
+        {
             let mut divergence = divergence.clone();
             divergence.end(self.last_call_at);
             let unknown = || (ZoneId("?".into()), ClassMask(0));
@@ -97,8 +104,8 @@
         by_owner
     }
 
-    /// Replays the next entry of the capture. Returns the call, if it is one that could be replayed, and the
-    /// actions of the replayed director.
+    /// Replays the next entry of the capture. If the entry is a call that can be replayed, returns the call
+    /// and the actions of the replayed director.
     pub fn feed(&mut self, entry: Entry) -> Result<Option<(Call, &[Action])>, ReplayError> {
         match entry {
             Entry::Head(head) => self.apply_head(*head)?,
@@ -144,7 +151,7 @@
         Ok(())
     }
 
-    /// Compares the state of the replayed director with a recorded checkpoint.
+    /// Compares the checkpoint of the replayed director with the recorded one.
     fn compare_state(&mut self, call: u64, at: Timestamp, checkpoint: &[u8]) {
         let Some(director) = &self.director else { return };
         self.report.compared_states += 1;
@@ -153,6 +160,7 @@
         }
     }
 
+    /// Whether a call follows directly on the replayed state and is not after the span.
     fn can_replay(&self, call: &Call) -> bool {
         self.director.is_some() && call.number == self.next_call && call.at <= self.until
     }
@@ -160,7 +168,7 @@
     fn skip_call(&mut self, call: &Call) {
         self.report.skipped_calls += u64::from(call.at <= self.until);
         self.last_call_at = self.last_call_at.max(call.at);
-        // Calls after a missing one cannot be replayed.
+        // Calls after a missing call cannot be replayed.
         if call.number != self.next_call {
             self.director = None;
         }
@@ -197,7 +205,7 @@
         self.report.events += call.events.len() as u64;
     }
 
-    /// The difference between a recorded call and the replayed one, byte by byte.
+    /// The difference, if any, between a recorded and a replayed call; actions are compared as encoded bytes.
     fn difference(&self, call: &Call, actions: &[Action], digest: u64) -> Option<DifferenceKind> {
         let replayed = match self.head.notice_wording {
             NoticeWording::Original => in_original_wording(actions),
@@ -213,8 +221,8 @@
         (digest != call.digest).then_some(DifferenceKind::Tables { recorded: call.digest, replayed: digest })
     }
 
-    /// Applies the actions of a call to both states, and once there was a difference compares the tables
-    /// concerned.
+    /// Applies the recorded and the replayed actions of a call to their states. After the first difference of
+    /// the replay also compares the tables that the actions change.
     fn compare_tables(
         &mut self,
         call: &Call,
--- a/crates/wingfold-capture/src/replay/validation.rs
+++ b/crates/wingfold-capture/src/replay/validation.rs
@@ -1,19 +1,21 @@
-//! Checks of recorded calls. The node admits no other events, but a file may hold anything.
+//! Validates recorded calls before they are replayed. The node passes only valid events to its director, but
+//! a file may contain anything.
 
 use crate::model::Call;
 use wingfold_director::interface::{AttemptCounts, Endpoint, Event, HostLoad, Micros, Timestamp};
 use wingfold_director::Director;
 
-/// Bound of weights and of requests per second.
+/// The exclusive upper bound of weights and of requests per second.
 const MAX_RATE: f64 = 1e12;
-/// Bound of the attempts in one report.
+/// The exclusive upper bound of the attempts or requests in one report.
 const MAX_ATTEMPTS: u64 = 1 << 40;
-/// Zones that proxies may add to those of the settings.
+/// The maximum number of zones that proxies add to the zones in the settings.
 const MAX_ADDED_ZONES: usize = 4096;
-/// Numbers of proxies beyond those of the settings.
+/// The number of proxy ids that are accepted beyond twice the number of proxies in the settings.
 const MAX_ADDED_PROXIES: u32 = 1024;
 
-/// Whether a director can get such a call.
+/// Whether the time and the events of a call are valid, and the number of the director's zones is within
+/// bounds.
 pub(super) fn is_valid_call(call: &Call, director: &Director) -> bool {
     let max_zones = director.settings().zones.len() + MAX_ADDED_ZONES;
     call.at <= Timestamp::LATEST
--- a/crates/wingfold-capture/src/replay_state.rs
+++ b/crates/wingfold-capture/src/replay_state.rs
@@ -1,4 +1,5 @@
-//! The tables that proxies would hold after a sequence of actions, for recorded and for replayed ones.
+//! The tables that proxies hold after a sequence of actions. A replay keeps this state twice, for the
+//! recorded and for the replayed actions, and measures how far the two diverge.
 
 use std::collections::BTreeMap;
 use wingfold_director::inspect::TableView;
@@ -8,14 +9,15 @@
 /// The contents of a table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TableState {
-    /// Weight by host.
+    /// The weight of each host.
     pub entries: BTreeMap<HostId, f64>,
-    /// Admission level by the bits of the class mask that it was set for.
+    /// The admission levels, by the bits of the class mask for which a level was set.
     pub admission_levels: BTreeMap<u64, f64>,
 }
 
 impl TableState {
-    fn equals_bit_for_bit(&self, other: &TableState) -> bool {
+    /// Whether both tables are equal. Weights are compared bit for bit.
+    fn is_identical(&self, other: &TableState) -> bool {
         let same_entry =
             |((host, weight), (other_host, other_weight)): ((&HostId, &f64), (&HostId, &f64))| {
                 host == other_host && weight.to_bits() == other_weight.to_bits()
@@ -25,28 +27,29 @@
             && self.admission_levels == other.admission_levels
     }
 
-    /// The share of a host in the weight of the table.
+    /// The share of a host in the total weight of the table.
     fn share(&self, host: &HostId) -> f64 {
         let total: f64 = self.entries.values().sum();
         self.entries.get(host).map_or(0.0, |weight| weight / total.max(1e-300))
     }
 }
 
-/// All tables, and the proxies that are assigned to them.
+/// The state of all proxies that follows from a director's actions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplayState {
-    /// The tables by number.
+    /// The tables, by their ids.
     pub tables: BTreeMap<TableId, TableState>,
-    /// The table of a proxy, by the bits of the class mask that it is assigned for.
+    /// The table that is assigned to a proxy, by the proxy and the bits of the class mask of the assignment.
     pub assignments: BTreeMap<(ProxyId, u64), TableId>,
-    /// Whether a host is ejected from all tables.
+    /// Whether a host is ejected from all tables, by the last action on the host.
     pub ejected: BTreeMap<HostId, bool>,
-    /// Admission level and retry policy for all proxies, by the bits of the class mask.
+    /// The admission level and the retry policy for all proxies, by the bits of the class mask.
     pub default_admission: BTreeMap<u64, (f64, Retry)>,
 }
 
 impl ReplayState {
-    /// The state that a director's actions have led to so far.
+    /// The tables and assignments that a director has now. Ejections and the admission of all proxies are
+    /// left out, as views of tables do not contain them.
     pub fn from_director(director: &Director) -> ReplayState {
         let mut state = ReplayState::default();
         for view in director.table_views() {
@@ -68,7 +71,7 @@
         self.assignments.extend(proxies.into_iter().map(|proxy| ((proxy, classes.0), table)));
     }
 
-    /// Applies the actions of one call. Returns the tables that they concern, in order and without
+    /// Applies the actions of one call. Returns the tables that the actions change, in order and without
     /// duplicates.
     pub fn apply(&mut self, actions: &[Action]) -> Vec<TableId> {
         let mut touched: Vec<TableId> =
@@ -78,7 +81,7 @@
         touched
     }
 
-    /// Applies an action. Returns the table whose contents it concerns.
+    /// Applies an action. Returns the table whose contents the action changes, if any.
     fn apply_action(&mut self, action: &Action) -> Option<TableId> {
         match action {
             Action::SetEntry { table, host, weight } => {
@@ -114,27 +117,27 @@
     }
 }
 
-/// For how long, and how far, the recorded and the replayed state of a table have differed.
+/// How long and how far the recorded and the replayed state of a table have differed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Divergence {
-    /// Since when they differ, if they differ now.
+    /// The time since which the states have differed; `None` while they are equal.
     pub since: Option<Timestamp>,
-    /// When they first differed.
+    /// The time at which the states first differed.
     pub first: Option<Timestamp>,
-    /// For how long they have differed in all, in seconds.
+    /// The total time for which the states have differed, in seconds, without the time after `since`.
     pub total_s: f64,
-    /// The most entries that differed at a time.
+    /// The largest number of entries that differed at the same time.
     pub max_entries: usize,
-    /// The largest share of the table's weight that was on other hosts.
+    /// The largest share of the table's weight that was on other hosts than recorded.
     pub max_moved_share: f64,
-    /// Whether admission levels have differed as well.
+    /// Whether admission levels have differed.
     pub admission_differs: bool,
 }
 
 impl Divergence {
-    /// Compares both states of the table at a time.
+    /// Compares both states of the table after the call at time `at`.
     pub fn observe(&mut self, at: Timestamp, recorded: &TableState, replayed: &TableState) {
-        if recorded.equals_bit_for_bit(replayed) {
+        if recorded.is_identical(replayed) {
             self.end(at);
             return;
         }
@@ -149,7 +152,7 @@
         self.admission_differs |= recorded.admission_levels != replayed.admission_levels;
     }
 
-    /// The states are equal again, or the capture ends.
+    /// Adds the time since the states differed to the total, as they are equal again or the replay ends.
     pub fn end(&mut self, at: Timestamp) {
         self.total_s += self.since.take().map_or(0.0, |since| at.since(since));
     }
