--- a/crates/wingfold-capture/src/block.rs
+++ b/crates/wingfold-capture/src/block.rs
@@ -8,8 +8,8 @@
 pub const FORMAT_VERSION: u8 = 1;
 /// The length of a block's head in bytes.
 pub const HEAD_BYTES: usize = 28;
-/// The maximum length of the uncompressed contents in bytes; a checkpoint of the largest fleet has some 10
-/// MB. A block whose head claims more is rejected before memory is allocated for its contents.
+/// The maximum length of the uncompressed contents in bytes; a checkpoint of the largest fleet takes about
+/// 10 MB. A block whose head claims more is rejected before memory is allocated for its contents.
 pub const MAX_CONTENTS_BYTES: usize = 64 << 20;
 
 /// The magic number: the first bytes of every block.
@@ -18,14 +18,14 @@
 const CHECKED_HEAD_BYTES: usize = HEAD_BYTES - 4;
 /// The maximum length of the compressed contents in bytes. It exceeds [`MAX_CONTENTS_BYTES`], as compression
 /// makes incompressible contents slightly longer.
-const MAX_PACKED_BYTES: usize = MAX_CONTENTS_BYTES + (MAX_CONTENTS_BYTES >> 4);
+const MAX_COMPRESSED_BYTES: usize = MAX_CONTENTS_BYTES + (MAX_CONTENTS_BYTES >> 4);
 /// The maximum compression ratio that a head may claim. Captures are compressed by a factor of 10 to 40; a
 /// much higher ratio would let a small crafted block exhaust memory.
 const MAX_COMPRESSION_RATIO: usize = 1000;
-/// The zstd level.
+/// The compression level of zstd.
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// What a block holds.
+/// The kind of the contents of a block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BlockKind {
     /// The head of the capture; the first block of a segment.
@@ -86,7 +86,7 @@
     /// The length of the uncompressed contents, as the head claims it.
     contents_bytes: usize,
     /// The compressed contents.
-    packed: &'a [u8],
+    compressed: &'a [u8],
 }
 
 /// The head of a block, except for the magic number, the format version and the checksum of the head.
@@ -96,20 +96,20 @@
     /// The length of the uncompressed contents.
     contents_bytes: u32,
     /// The length of the compressed contents.
-    packed_bytes: u32,
+    compressed_bytes: u32,
     /// CRC-32 of the compressed contents.
-    packed_checksum: u32,
+    compressed_checksum: u32,
 }
 
 impl BlockHead {
     fn write(&self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(HEAD_BYTES + self.packed_bytes as usize);
+        let mut bytes = Vec::with_capacity(HEAD_BYTES + self.compressed_bytes as usize);
         bytes.extend(MAGIC);
         bytes.extend([self.kind as u8, FORMAT_VERSION, 0, 0]);
         bytes.extend(self.number.to_le_bytes());
         bytes.extend(self.contents_bytes.to_le_bytes());
-        bytes.extend(self.packed_bytes.to_le_bytes());
-        bytes.extend(self.packed_checksum.to_le_bytes());
+        bytes.extend(self.compressed_bytes.to_le_bytes());
+        bytes.extend(self.compressed_checksum.to_le_bytes());
         bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
         bytes
     }
@@ -122,8 +122,8 @@
         let ([kind, format, _, _], rest) = split_field::<4>(rest);
         let (number, rest) = split_u32(rest);
         let (contents_bytes, rest) = split_u32(rest);
-        let (packed_bytes, rest) = split_u32(rest);
-        let (packed_checksum, rest) = split_u32(rest);
+        let (compressed_bytes, rest) = split_u32(rest);
+        let (compressed_checksum, rest) = split_u32(rest);
         let (head_checksum, _) = split_u32(rest);
         if crc32fast::hash(&bytes[..CHECKED_HEAD_BYTES]) != head_checksum {
             return Err(BlockError::Head);
@@ -132,14 +132,15 @@
             return Err(BlockError::Format(format));
         }
         let kind = BlockKind::from_byte(kind).ok_or(BlockError::Head)?;
-        Ok(BlockHead { kind, number, contents_bytes, packed_bytes, packed_checksum })
+        Ok(BlockHead { kind, number, contents_bytes, compressed_bytes, compressed_checksum })
     }
 
+    /// Whether both lengths are within the bounds, and so is the compression ratio that they claim.
     fn has_valid_lengths(&self) -> bool {
-        let (contents, packed) = (self.contents_bytes as usize, self.packed_bytes as usize);
+        let (contents, compressed) = (self.contents_bytes as usize, self.compressed_bytes as usize);
         contents <= MAX_CONTENTS_BYTES
-            && contents / MAX_COMPRESSION_RATIO <= packed
-            && packed <= MAX_PACKED_BYTES
+            && contents / MAX_COMPRESSION_RATIO <= compressed
+            && compressed <= MAX_COMPRESSED_BYTES
     }
 }
 
@@ -157,23 +158,23 @@
 
 /// Compresses contents and returns a block with them.
 pub fn encode(kind: BlockKind, number: u32, contents: &[u8]) -> Vec<u8> {
-    let packed =
+    let compressed =
         zstd::bulk::compress(contents, COMPRESSION_LEVEL).expect("compressing into memory cannot fail");
     let head = BlockHead {
         kind,
         number,
         contents_bytes: contents.len() as u32,
-        packed_bytes: packed.len() as u32,
-        packed_checksum: crc32fast::hash(&packed),
+        compressed_bytes: compressed.len() as u32,
+        compressed_checksum: crc32fast::hash(&compressed),
     };
     let mut block = head.write();
-    block.extend(packed);
+    block.extend(compressed);
     block
 }
 
 impl<'a> Block<'a> {
-    /// Reads the block that begins at `offset`. Verifies the checksum of the contents, and does not
-    /// uncompress them.
+    /// Reads the block that begins at `offset`. Verifies the checksum of the compressed contents, but does
+    /// not uncompress the contents.
     pub fn at(bytes: &'a [u8], offset: usize) -> Result<Block<'a>, BlockError> {
         let rest = bytes.get(offset..).unwrap_or_default();
         let (head, rest) = rest.split_first_chunk::<HEAD_BYTES>().ok_or(BlockError::Truncated)?;
@@ -181,27 +182,27 @@
         if !head.has_valid_lengths() {
             return Err(BlockError::Length);
         }
-        let packed_bytes = head.packed_bytes as usize;
-        let packed = rest.get(..packed_bytes).ok_or(BlockError::Truncated)?;
-        if crc32fast::hash(packed) != head.packed_checksum {
+        let compressed_bytes = head.compressed_bytes as usize;
+        let compressed = rest.get(..compressed_bytes).ok_or(BlockError::Truncated)?;
+        if crc32fast::hash(compressed) != head.compressed_checksum {
             return Err(BlockError::Contents);
         }
         Ok(Block {
             kind: head.kind,
             number: head.number,
             offset,
-            end: offset + HEAD_BYTES + packed_bytes,
+            end: offset + HEAD_BYTES + compressed_bytes,
             contents_bytes: head.contents_bytes as usize,
-            packed,
+            compressed,
         })
     }
 
-    /// Uncompresses the contents. Memory grows with the bytes that are uncompressed, and not beyond the
-    /// length that the head claims.
+    /// Uncompresses the contents. Memory grows with the bytes that are uncompressed, and uncompressing stops
+    /// as soon as the contents exceed the length that the head claims.
     pub fn contents(&self) -> Result<Vec<u8>, BlockError> {
         let mut contents = Vec::new();
         let decoder =
-            zstd::stream::read::Decoder::with_buffer(self.packed).map_err(|_| BlockError::Contents)?;
+            zstd::stream::read::Decoder::with_buffer(self.compressed).map_err(|_| BlockError::Contents)?;
         let limit = self.contents_bytes as u64 + 1;
         decoder.take(limit).read_to_end(&mut contents).map_err(|_| BlockError::Contents)?;
         if contents.len() == self.contents_bytes {
--- a/crates/wingfold-capture/src/block/tests.rs
+++ b/crates/wingfold-capture/src/block/tests.rs
@@ -29,9 +29,15 @@
         assert_eq!(Block::at(&block, 0).unwrap_err(), BlockError::Length);
     }
     // Compressed contents that are much longer, when uncompressed, than the head claims.
-    let packed = zstd::bulk::compress(&vec![0; 8 << 20], COMPRESSION_LEVEL).unwrap();
-    let block =
-        Block { kind: BlockKind::Calls, number: 0, offset: 0, end: 0, contents_bytes: 100, packed: &packed };
+    let compressed = zstd::bulk::compress(&vec![0; 8 << 20], COMPRESSION_LEVEL).unwrap();
+    let block = Block {
+        kind: BlockKind::Calls,
+        number: 0,
+        offset: 0,
+        end: 0,
+        contents_bytes: 100,
+        compressed: &compressed,
+    };
     assert_eq!(block.contents().unwrap_err(), BlockError::Contents);
 }
 
--- a/crates/wingfold-capture/src/explain.rs
+++ b/crates/wingfold-capture/src/explain.rs
@@ -22,7 +22,7 @@
 /// In the comparison of shares, a larger share below this value counts as this value.
 const MIN_SHARE: f64 = 0.01;
 
-/// What is to be explained.
+/// A question about the tables at a time.
 #[derive(Clone, Debug, Default)]
 pub struct Question {
     /// The time whose state is explained.
@@ -33,7 +33,7 @@
     pub zone: Option<ZoneId>,
     /// If set, only this host is explained.
     pub host: Option<HostId>,
-    /// If set, only the tables of this proxy are explained, and its zone, unless `zone` is set.
+    /// If set, only the tables of this proxy are explained, in `zone` or else in the zone of the proxy.
     pub proxy: Option<ProxyId>,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// A change of how a zone treats a host.
+/// A change of the status or of the share of a host in a zone.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct HostChange {
     /// The number of the call that made the change.
@@ -66,7 +66,7 @@
     pub notices: Vec<String>,
 }
 
-/// How a zone treats a host, and why.
+/// The status and the shares of a host in a zone, and the changes that led to them.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct HostExplanation {
     /// The director's view of the host.
@@ -155,6 +155,7 @@
         }
     }
 
+    /// Compares the status and the share of a host in a zone with the last observed ones, and lists a change.
     fn observe_host(
         &mut self,
         call: &Call,
@@ -191,7 +192,7 @@
     fn selected_hosts(&self, director: &Director) -> Vec<(ZoneId, HostId)> {
         let mut zone = self.question.zone.clone();
         if let Some(proxy) = self.question.proxy {
-            // A proxy that is not connected to this director uses none of its tables.
+            // A proxy that is not connected to this director uses no tables of this director.
             let Some((zone_of_proxy, _)) = director.proxy_view(proxy) else { return Vec::new() };
             zone = zone.or(Some(zone_of_proxy));
         }
@@ -202,6 +203,7 @@
         zones.flat_map(|zone| hosts().map(move |host| (zone.clone(), host.clone()))).collect()
     }
 
+    /// Adds an event to the recent events of the hosts that it concerns.
     fn record_event(&mut self, at: Timestamp, event: &Event) {
         match event {
             Event::LoadReport { host, .. } | Event::HealthChecked { host, .. } => {
@@ -275,7 +277,7 @@
 }
 
 /// Whether two statuses count as the same in the list of changes. Two probations do, whatever their end times
-/// are.
+/// are; two ejections do if the low 32 bits of their end times are equal.
 fn is_same_status(one: HostStatus, other: HostStatus) -> bool {
     match (one, other) {
         (HostStatus::Probation(_), HostStatus::Probation(_)) => true,
--- a/crates/wingfold-capture/src/model.rs
+++ b/crates/wingfold-capture/src/model.rs
@@ -104,11 +104,11 @@
 /// Actions are encoded separately, so that a replay can compare the bytes of the actions.
 #[derive(Debug, Serialize)]
 pub struct EncodableCall<'a> {
-    /// Its number in this incarnation of the director, from 1.
+    /// The number of the call in this incarnation of the director, from 1.
     pub number: u64,
-    /// Its time, by the director's clock.
+    /// The time of the call, by the director's clock.
     pub at: Timestamp,
-    /// The events, in the order in which they were handled.
+    /// The events, in the order in which the director handled them.
     pub events: &'a [Event],
     /// The encoded actions.
     #[serde(with = "serde_bytes")]
@@ -121,11 +121,11 @@
 /// written.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Call {
-    /// Its number in this incarnation of the director, from 1.
+    /// The number of the call in this incarnation of the director, from 1.
     pub number: u64,
-    /// Its time, by the director's clock.
+    /// The time of the call, by the director's clock.
     pub at: Timestamp,
-    /// The events, in the order in which they were handled.
+    /// The events, in the order in which the director handled them.
     pub events: Vec<Event>,
     /// The encoded actions.
     #[serde(with = "serde_bytes")]
--- a/crates/wingfold-capture/src/reader.rs
+++ b/crates/wingfold-capture/src/reader.rs
@@ -88,7 +88,7 @@
         Entry::Damage { offset, fault }
     }
 
-    /// The next call of the current block of calls; `None` at its end.
+    /// The next call of the current block of calls, or its damage; `None` at the end of the block.
     fn next_call(&mut self) -> Option<Entry> {
         let unread = self.calls.get(self.calls_read..).filter(|unread| !unread.is_empty())?;
         match decode_front::<Call>(unread) {
--- a/crates/wingfold-capture/src/recorder.rs
+++ b/crates/wingfold-capture/src/recorder.rs
@@ -1,6 +1,6 @@
-//! The recorder, which runs in the thread of the director: it numbers the calls, encodes them and puts them
-//! into a queue without waiting. After dropped calls, recording continues from a new checkpoint, so that the
-//! calls after the checkpoint can be replayed.
+//! The recorder of a director's calls: it numbers the calls, encodes them and puts them into a queue without
+//! waiting, as the director does not wait for the capture. After dropped calls, recording continues from a
+//! new checkpoint, so that the calls after the checkpoint can be replayed.
 
 use crate::model::{EncodableCall, GapReason};
 use crate::segment_writer::RecordedItem;
@@ -22,7 +22,7 @@
     fn has_room(&self, bytes: usize) -> bool;
     /// Adds an item; `false` if the queue had no room for the item.
     fn push(&mut self, item: RecordedItem) -> bool;
-    /// Whether the writer wants a checkpoint, with which it begins a new segment.
+    /// Whether the writer is ready to begin a new segment, for which it needs a checkpoint.
     fn wants_checkpoint(&self) -> bool;
     /// Ends the capture, for queues that write the segments themselves; returns the first write error.
     fn finish(&mut self) -> std::io::Result<()> {
@@ -45,6 +45,7 @@
     }
 }
 
+/// Whether the recorder records calls or drops them.
 #[derive(Debug, PartialEq)]
 enum State {
     /// Calls are recorded.
@@ -90,7 +91,7 @@
         self.dropped_calls
     }
 
-    /// The queue of the recorder.
+    /// The queue into which the recorder puts its items.
     pub fn queue(&mut self) -> &mut Q {
         &mut self.queue
     }
@@ -105,8 +106,8 @@
         } else if self.state != State::Recording {
             self.pause(at);
         }
-        // Without room while recording, calls are still added to the current segment; the writer keeps
-        // asking.
+        // If the queue has no room for a checkpoint while calls are recorded, the calls still go into the
+        // current segment, and the writer continues to ask for a checkpoint.
     }
 
     /// To be called after each call of the director: records the call, and returns its number. `digest` is
--- a/crates/wingfold-capture/src/replay_state.rs
+++ b/crates/wingfold-capture/src/replay_state.rs
@@ -124,7 +124,7 @@
     pub since: Option<Timestamp>,
     /// The time at which the states first differed.
     pub first: Option<Timestamp>,
-    /// The total time for which the states have differed, in seconds, without the time after `since`.
+    /// The total length of the ended spans in which the states differed, in seconds.
     pub total_s: f64,
     /// The largest number of entries that differed at the same time.
     pub max_entries: usize,
@@ -152,7 +152,8 @@
         self.admission_differs |= recorded.admission_levels != replayed.admission_levels;
     }
 
-    /// Adds the time since the states differed to the total, as they are equal again or the replay ends.
+    /// Ends the span in which the states differ, if they do, and adds its length to the total: the states are
+    /// equal again, or the replay ends.
     pub fn end(&mut self, at: Timestamp) {
         self.total_s += self.since.take().map_or(0.0, |since| at.since(since));
     }
--- a/crates/wingfold-capture/src/segment_writer.rs
+++ b/crates/wingfold-capture/src/segment_writer.rs
@@ -9,7 +9,7 @@
 
 /// The backoff after the first failure of the disk; each further failure doubles the backoff.
 const MIN_BACKOFF: Micros = Micros(1_000_000);
-/// The longest backoff.
+/// The maximum backoff.
 const MAX_BACKOFF: Micros = Micros(60_000_000);
 
 /// An item that a recorder passes to the writer.
@@ -108,6 +108,7 @@
     meta: SegmentMeta,
     /// The number of blocks written so far, which is the sequence number of the next block.
     blocks: u32,
+    /// The index of the blocks written so far.
     index: Index,
     /// The encoded calls that are not in a block yet.
     calls: Vec<u8>,
@@ -117,6 +118,7 @@
     started_at: Timestamp,
 }
 
+/// The state of the segment that is being written.
 #[derive(Debug)]
 enum State {
     /// No segment is open; the next checkpoint begins one.
@@ -127,7 +129,7 @@
     BackingOff(Timestamp),
 }
 
-/// Writes the capture of one director.
+/// Turns the recorded items of one director into the segments of its capture.
 #[derive(Debug)]
 pub struct SegmentWriter {
     head: Head,
@@ -143,7 +145,7 @@
     written_call: u64,
     /// The last call in the operations that have been returned.
     pending_call: u64,
-    /// Why the next calls after `written_call` are in no segment, if they are not.
+    /// Why calls after `written_call` are missing from the segments, if any are.
     gap_reason: Option<GapReason>,
     /// The backoff after the next failure of the disk.
     backoff: Micros,
@@ -169,7 +171,7 @@
         }
     }
 
-    /// Whether the next checkpoint should be recorded now, to begin a new segment with it.
+    /// Whether the writer is ready to begin a new segment, for which it needs a checkpoint.
     pub fn wants_checkpoint(&self) -> bool {
         match &self.state {
             State::Idle => true,
--- a/crates/wingfold-capture/tests/notice_wording.rs
+++ b/crates/wingfold-capture/tests/notice_wording.rs
@@ -1,6 +1,6 @@
-//! Replays compare the texts of notices byte by byte. Captures of earlier builds hold them in the original
-//! wording and do not say so in their heads; captures that are written from now on hold them as the director
-//! renders them.
+//! Replays compare the texts of notices byte by byte, so they must know the wording of a capture. Captures of
+//! builds up to 0.1.0 contain notices in the original wording, and their heads do not name the wording; new
+//! captures contain notices as the director renders them.
 use serde::Serialize;
 use std::path::Path;
 use wingfold_capture::block::{self, Block, BlockKind};
@@ -13,28 +13,28 @@
 use wingfold_director::interface::*;
 use wingfold_director::Director;
 
-/// The bytes of all captures that earlier builds recorded.
+/// The bytes of all captures in `captures/`, which earlier builds recorded.
 fn kept_captures() -> Vec<Vec<u8>> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../captures");
     let folders = std::fs::read_dir(root).unwrap().map(|entry| entry.unwrap().path());
     folders.map(|folder| std::fs::read(folder.join("capture.wfcap")).unwrap()).collect()
 }
 
-/// Writes a segment in memory.
+/// A queue that writes the items into a segment in memory.
 struct MemoryQueue {
     writer: SegmentWriter,
-    work: Vec<DiskOperation>,
+    operations: Vec<DiskOperation>,
     bytes: Vec<u8>,
 }
 
 impl MemoryQueue {
     fn new(head: Head) -> MemoryQueue {
         let writer = SegmentWriter::new(head, SegmentLimits::default(), Vec::new());
-        MemoryQueue { writer, work: Vec::new(), bytes: Vec::new() }
+        MemoryQueue { writer, operations: Vec::new(), bytes: Vec::new() }
     }
 
-    fn collect(&mut self) {
-        for operation in self.work.drain(..) {
+    fn collect_bytes(&mut self) {
+        for operation in self.operations.drain(..) {
             if let DiskOperation::Append(bytes, _) = operation {
                 self.bytes.extend(bytes);
             }
@@ -48,8 +48,8 @@
     }
 
     fn push(&mut self, item: RecordedItem) -> bool {
-        self.writer.handle(item, &mut self.work);
-        self.collect();
+        self.writer.handle(item, &mut self.operations);
+        self.collect_bytes();
         true
     }
 
@@ -58,8 +58,8 @@
     }
 
     fn finish(&mut self) -> std::io::Result<()> {
-        self.writer.finish(&mut self.work);
-        self.collect();
+        self.writer.finish(&mut self.operations);
+        self.collect_bytes();
         Ok(())
     }
 }
@@ -75,8 +75,8 @@
     }
 }
 
-/// A capture that this build records with a default head. Its first notice comes in call 12.
-fn capture_recorded_now() -> Vec<u8> {
+/// A capture of 20 calls that this build records; call 12 is the first with a notice.
+fn record_capture() -> Vec<u8> {
     let settings = Settings { zones: vec![ZoneId("east".into())], ..Settings::default() };
     let head = Head { settings: settings.clone(), seed: 3, ..Head::default() };
     let mut director = Director::new(settings, head.seed);
@@ -106,7 +106,7 @@
     call.actions().unwrap().iter().any(|action| matches!(action, Action::Notice(_)))
 }
 
-/// The number of the first call of a capture that has a notice.
+/// The number of the first call with a notice in a capture.
 fn first_call_with_notice(bytes: &[u8]) -> Option<u64> {
     entries(bytes).find_map(|entry| match entry {
         Entry::Call(call) if has_notice(&call) => Some(call.number),
@@ -114,7 +114,7 @@
     })
 }
 
-/// Replays a capture after a change of its entries.
+/// Replays a capture, with `change` applied to each entry first.
 fn replay_changed(bytes: &[u8], change: impl Fn(&mut Entry)) -> Replayer {
     let mut replayer = Replayer::new(ReplayMode::Strict);
     for mut entry in entries(bytes) {
@@ -125,7 +125,7 @@
     replayer
 }
 
-/// Replaces the first notice of a call by one whose text has one more character.
+/// Appends a character to the first notice of the call with this number.
 fn change_notice(entry: &mut Entry, number: u64) {
     let Entry::Call(call) = entry else { return };
     if call.number != number {
@@ -133,12 +133,12 @@
     }
     let mut actions = call.actions().unwrap();
     let notice = actions.iter_mut().find(|action| matches!(action, Action::Notice(_))).unwrap();
-    let Action::Notice(text) = notice else { unreachable!("it was just found") };
+    let Action::Notice(text) = notice else { unreachable!("the search matched a notice") };
     *text = Notice::Recorded(format!("{text}."));
     call.actions = encode_actions(&actions);
 }
 
-/// The call of the first difference, which must be one of its actions.
+/// The call of the first difference of a replay, which must be a difference of actions.
 fn call_with_different_actions(replayer: &Replayer) -> Option<u64> {
     let first = replayer.first_difference.as_ref()?;
     assert!(matches!(first.kind, DifferenceKind::Actions { .. }), "{first:?}");
@@ -146,8 +146,8 @@
 }
 
 #[test]
-fn a_head_without_the_wording_means_the_original_one() {
-    /// A head as builds up to 0.1.0 wrote it.
+fn heads_without_notice_wording_are_read_as_original() {
+    /// The head that builds up to 0.1.0 wrote.
     #[derive(Serialize)]
     struct EarlierHead {
         build: String,
@@ -174,25 +174,28 @@
     let mut with_notices = 0;
     for bytes in kept_captures() {
         let contents = Block::at(&bytes, 0).unwrap().contents().unwrap();
-        assert!(!contents.windows(field.len()).any(|window| window == field), "an earlier build wrote it");
+        assert!(
+            !contents.windows(field.len()).any(|window| window == field),
+            "the head has the field notice_wording"
+        );
         assert_eq!(reader::head(&bytes).unwrap().notice_wording, NoticeWording::Original);
         let Some(number) = first_call_with_notice(&bytes) else { continue };
         with_notices += 1;
         assert_eq!(call_with_different_actions(&replay_changed(&bytes, |_| ())), None);
-        let claimed = replay_changed(&bytes, |entry| {
+        let replayer = replay_changed(&bytes, |entry| {
             if let Entry::Head(head) = entry {
                 head.notice_wording = NoticeWording::KeyValue;
             }
         });
-        assert_eq!(call_with_different_actions(&claimed), Some(number));
+        assert_eq!(call_with_different_actions(&replayer), Some(number));
     }
-    assert!(with_notices >= 5, "{with_notices} captures hold notices");
+    assert!(with_notices >= 5, "only {with_notices} captures have notices");
 }
 
 #[test]
 fn a_changed_notice_is_a_difference_in_either_wording() {
     let mut captures = kept_captures();
-    captures.push(capture_recorded_now());
+    captures.push(record_capture());
     for bytes in captures {
         let Some(number) = first_call_with_notice(&bytes) else { continue };
         let replayer = replay_changed(&bytes, |entry| change_notice(entry, number));
@@ -202,22 +205,22 @@
 }
 
 #[test]
-fn a_capture_recorded_now_is_compared_as_the_director_renders_notices() {
-    let bytes = capture_recorded_now();
+fn new_captures_are_compared_in_the_key_value_wording() {
+    let bytes = record_capture();
     assert_eq!(reader::head(&bytes).unwrap().notice_wording, NoticeWording::KeyValue);
     assert_eq!(first_call_with_notice(&bytes), Some(12));
     let replayer = replay_changed(&bytes, |_| ());
     assert_eq!((replayer.report.calls, replayer.report.differences), (20, 0));
-    let claimed = replay_changed(&bytes, |entry| {
+    let replayer = replay_changed(&bytes, |entry| {
         if let Entry::Head(head) = entry {
             head.notice_wording = NoticeWording::Original;
         }
     });
-    assert_eq!(call_with_different_actions(&claimed), Some(12));
+    assert_eq!(call_with_different_actions(&replayer), Some(12));
 }
 
 #[test]
-fn an_accepted_capture_of_an_earlier_build_replays_without_a_difference() {
+fn accepted_kept_captures_replay_without_differences() {
     let mut with_notices = 0;
     for bytes in kept_captures() {
         let accepted = edit::accept(entries(&bytes)).unwrap().unwrap();
@@ -227,5 +230,5 @@
         assert_eq!(replayer.report.differences, 0);
         with_notices += usize::from(first_call_with_notice(&accepted).is_some());
     }
-    assert!(with_notices >= 5, "{with_notices} accepted captures hold notices");
+    assert!(with_notices >= 5, "only {with_notices} accepted captures have notices");
 }
