--- a/crates/wingfold-capture/src/edit.rs
+++ b/crates/wingfold-capture/src/edit.rs
@@ -12,7 +12,9 @@
 #[derive(Debug)]
 pub struct SegmentAssembler {
     writer: SegmentWriter,
+    /// The operations of the writer that are not carried out yet.
     operations: Vec<DiskOperation>,
+    /// The bytes of the segment so far.
     bytes: Vec<u8>,
 }
 
@@ -33,7 +35,7 @@
         assembler
     }
 
-    /// Adds the next call.
+    /// Adds the next call to the segment.
     pub fn add_call(&mut self, call: &Call) {
         let Call { number, at, events, actions, digest } = call;
         let encodable = EncodableCall { number: *number, at: *at, events, actions, digest: *digest };
@@ -53,6 +55,7 @@
         self.collect_bytes();
     }
 
+    /// Carries out the operations of the writer: appends their bytes to the segment.
     fn collect_bytes(&mut self) {
         for operation in self.operations.drain(..) {
             if let DiskOperation::Append(bytes, _) = operation {
@@ -93,7 +96,7 @@
 }
 
 /// Replays a capture and returns it as one segment, with the actions of this build in place of the recorded
-/// ones. It updates a case after an intended change of decisions. Returns `None` if the capture has no
+/// ones. This updates a case after an intended change of decisions. Returns `None` if the capture has no
 /// checkpoint.
 pub fn accept(entries: impl Iterator<Item = Entry>) -> Result<Option<Vec<u8>>, ReplayError> {
     let mut replayer = Replayer::new(ReplayMode::Compare);
--- a/crates/wingfold-capture/src/explain.rs
+++ b/crates/wingfold-capture/src/explain.rs
@@ -88,13 +88,13 @@
     pub call: u64,
     /// The time of that call.
     pub at: Timestamp,
-    /// The fleet as a whole.
+    /// The director's view of the whole fleet.
     pub fleet: FleetView,
     /// The zones of the explained hosts.
     pub zones: Vec<ZoneView>,
     /// The tables of the proxy, if the question names a proxy.
     pub tables: Vec<TableId>,
-    /// The explained hosts, by zone and host.
+    /// The explained hosts, ordered by zone and host.
     pub hosts: Vec<HostExplanation>,
 }
 
@@ -119,8 +119,11 @@
 #[derive(Debug)]
 pub struct ReplayObserver {
     question: Question,
+    /// The last events of each host, of all zones, oldest first.
     recent_events: BTreeMap<HostId, VecDeque<(Timestamp, Event)>>,
+    /// The last observation of each selected host in each selected zone.
     observed: BTreeMap<(ZoneId, HostId), ObservedHost>,
+    /// The last call at or before the time of the question.
     last_call: CallPosition,
 }
 
@@ -203,23 +206,23 @@
         zones.flat_map(|zone| hosts().map(move |host| (zone.clone(), host.clone()))).collect()
     }
 
-    /// Adds an event to the recent events of the hosts that it concerns.
+    /// Adds an event to the recent events of each host in the event.
     fn record_event(&mut self, at: Timestamp, event: &Event) {
         match event {
             Event::LoadReport { host, .. } | Event::HealthChecked { host, .. } => {
-                self.record_event_of(host, at, event.clone());
+                self.add_recent_event(host, at, event.clone());
             }
             Event::EndpointList { kind, endpoints } => {
                 for endpoint in endpoints {
                     let event = Event::EndpointList { kind: *kind, endpoints: vec![endpoint.clone()] };
-                    self.record_event_of(&endpoint.host, at, event);
+                    self.add_recent_event(&endpoint.host, at, event);
                 }
             }
             _ => {}
         }
     }
 
-    fn record_event_of(&mut self, host: &HostId, at: Timestamp, event: Event) {
+    fn add_recent_event(&mut self, host: &HostId, at: Timestamp, event: Event) {
         let events = self.recent_events.entry(host.clone()).or_default();
         if events.len() == MAX_RECENT_EVENTS {
             events.pop_front();
@@ -291,7 +294,7 @@
     (share - previous).abs() > MIN_SHARE_CHANGE_RATIO * share.max(previous).max(MIN_SHARE)
 }
 
-/// The share of a host in the weight of each table of a zone.
+/// The share of a host in the total weight of each table of a zone.
 fn shares<'a>(
     director: &Director,
     zone: &ZoneId,
--- a/crates/wingfold-capture/src/replay.rs
+++ b/crates/wingfold-capture/src/replay.rs
@@ -30,12 +30,14 @@
     /// The state after the replayed actions.
     replayed: ReplayState,
     /// The zone and the classes of each table.
-    table_owners: BTreeMap<TableId, (ZoneId, ClassMask)>,
+    zones_and_classes: BTreeMap<TableId, (ZoneId, ClassMask)>,
+    /// How long and how far each table has differed.
     divergences: BTreeMap<TableId, Divergence>,
     /// The counts and findings so far.
     pub report: ReplayReport,
     /// The first difference, if any.
     pub first_difference: Option<Difference>,
+    /// The time of the last call, replayed or skipped.
     last_call_at: Timestamp,
     /// The start of the span that is counted and compared.
     from: Timestamp,
@@ -46,7 +48,7 @@
 }
 
 impl Replayer {
-    /// A replayer that has replayed nothing yet.
+    /// A replayer before the first entry of a capture.
     pub fn new(mode: ReplayMode) -> Self {
         Replayer {
             mode,
@@ -55,7 +57,7 @@
             next_call: 0,
             recorded: ReplayState::default(),
             replayed: ReplayState::default(),
-            table_owners: BTreeMap::new(),
+            zones_and_classes: BTreeMap::new(),
             divergences: BTreeMap::new(),
             report: ReplayReport::default(),
             first_difference: None,
@@ -91,17 +93,17 @@
     /// How long and how far recorded and replayed tables have differed up to now, by the zone and the bits of
     /// the class mask of each table.
     pub fn divergences(&self) -> BTreeMap<(ZoneId, u64), Vec<(TableId, Divergence)>> {
-        let mut by_owner: BTreeMap<(ZoneId, u64), Vec<(TableId, Divergence)>> = BTreeMap::new();
+        let mut by_zone_and_classes: BTreeMap<(ZoneId, u64), Vec<(TableId, Divergence)>> = BTreeMap::new();
         for (table, divergence) in
             self.divergences.iter().filter(|(_, divergence)| divergence.first.is_some())
         {
             let mut divergence = divergence.clone();
             divergence.end(self.last_call_at);
             let unknown = || (ZoneId("?".into()), ClassMask(0));
-            let (zone, classes) = self.table_owners.get(table).cloned().unwrap_or_else(unknown);
-            by_owner.entry((zone, classes.0)).or_default().push((*table, divergence));
+            let (zone, classes) = self.zones_and_classes.get(table).cloned().unwrap_or_else(unknown);
+            by_zone_and_classes.entry((zone, classes.0)).or_default().push((*table, divergence));
         }
-        by_owner
+        by_zone_and_classes
     }
 
     /// Replays the next entry of the capture. If the entry is a call that can be replayed, returns the call
@@ -120,6 +122,7 @@
         Ok(None)
     }
 
+    /// Takes over the head of a segment. The head of another director or incarnation ends the replayed state.
     fn apply_head(&mut self, head: Head) -> Result<(), ReplayError> {
         head.settings.validate().map_err(ReplayError::Settings)?;
         if !self.report.builds.contains(&head.build) {
@@ -132,6 +135,9 @@
         Ok(())
     }
 
+    /// Compares a checkpoint with the replayed state, if both are before the same call. Then restores the
+    /// director from the checkpoint, unless [`ReplayMode::Compare`] continues with the compared state after a
+    /// difference.
     fn apply_checkpoint(&mut self, head: CheckpointHead, bytes: &[u8]) -> Result<(), ReplayError> {
         let call = head.call;
         let at = head.at;
@@ -146,7 +152,7 @@
             .map_err(|error| ReplayError::Checkpoint { call, error })?;
         self.recorded = ReplayState::from_director(&director);
         self.replayed = self.recorded.clone();
-        self.update_table_owners(&director);
+        self.update_zones_and_classes(&director);
         (self.director, self.next_call) = (Some(director), call);
         Ok(())
     }
@@ -165,6 +171,7 @@
         self.director.is_some() && call.number == self.next_call && call.at <= self.until
     }
 
+    /// Skips a call that cannot be replayed, and counts the call unless it is after the span.
     fn skip_call(&mut self, call: &Call) {
         self.report.skipped_calls += u64::from(call.at <= self.until);
         self.last_call_at = self.last_call_at.max(call.at);
@@ -174,6 +181,7 @@
         }
     }
 
+    /// Replays a call and compares the result with the recording.
     fn replay_call(&mut self, call: Call) -> Result<(Call, &[Action]), ReplayError> {
         let invalid = ReplayError::Call(call.number);
         let director = self.director.take().filter(|director| is_valid_call(&call, director));
@@ -231,17 +239,17 @@
         is_in_span: bool,
     ) -> Result<(), ReplayError> {
         let recorded = call.actions().ok_or(ReplayError::Call(call.number))?;
-        let mut touched = self.recorded.apply(&recorded);
-        touched.extend(self.replayed.apply(actions));
+        let mut changed_tables = self.recorded.apply(&recorded);
+        changed_tables.extend(self.replayed.apply(actions));
         if !is_in_span || self.report.differences == 0 {
             return Ok(());
         }
-        let is_unknown = |table: &TableId| !self.table_owners.contains_key(table);
-        if touched.iter().any(is_unknown) || self.table_owners.is_empty() {
-            self.update_table_owners(director);
+        let is_unknown = |table: &TableId| !self.zones_and_classes.contains_key(table);
+        if changed_tables.iter().any(is_unknown) || self.zones_and_classes.is_empty() {
+            self.update_zones_and_classes(director);
         }
         let empty = Default::default();
-        for table in touched {
+        for table in changed_tables {
             let recorded = self.recorded.tables.get(&table).unwrap_or(&empty);
             let replayed = self.replayed.tables.get(&table).unwrap_or(&empty);
             self.divergences.entry(table).or_default().observe(call.at, recorded, replayed);
@@ -254,8 +262,8 @@
         self.first_difference.get_or_insert(difference);
     }
 
-    fn update_table_owners(&mut self, director: &Director) {
+    fn update_zones_and_classes(&mut self, director: &Director) {
         let views = director.table_views().into_iter();
-        self.table_owners.extend(views.map(|view| (view.table, (view.zone, view.classes))));
+        self.zones_and_classes.extend(views.map(|view| (view.table, (view.zone, view.classes))));
     }
 }
--- a/crates/wingfold-capture/src/replay/report.rs
+++ b/crates/wingfold-capture/src/replay/report.rs
@@ -108,6 +108,6 @@
     /// Verifies that this build decides as recorded: the director is restored from each checkpoint.
     Strict,
     /// Shows what this build would have decided: after a difference, checkpoints do not replace the
-    /// director's state.
+    /// director's state, except after missing calls.
     Compare,
 }
--- a/crates/wingfold-capture/src/replay_state.rs
+++ b/crates/wingfold-capture/src/replay_state.rs
@@ -58,6 +58,7 @@
         state
     }
 
+    /// Adds a table and the assignments of its proxies.
     fn add_table(&mut self, view: TableView) {
         let TableView { table, classes, entries, admission_levels, proxies, .. } = view;
         let contents = TableState {
@@ -74,11 +75,11 @@
     /// Applies the actions of one call. Returns the tables that the actions change, in order and without
     /// duplicates.
     pub fn apply(&mut self, actions: &[Action]) -> Vec<TableId> {
-        let mut touched: Vec<TableId> =
+        let mut changed_tables: Vec<TableId> =
             actions.iter().filter_map(|action| self.apply_action(action)).collect();
-        touched.sort();
-        touched.dedup();
-        touched
+        changed_tables.sort();
+        changed_tables.dedup();
+        changed_tables
     }
 
     /// Applies an action. Returns the table whose contents the action changes, if any.
