--- a/crates/wingfold-gossip/src/gossip.rs
+++ b/crates/wingfold-gossip/src/gossip.rs
@@ -390,3 +390,6 @@
     };
     report.is_remarkable().then_some(report)
 }
+
+#[cfg(test)]
+mod tests;
