--- a/crates/wingfold-gossip/src/authentication/tests.rs
+++ b/crates/wingfold-gossip/src/authentication/tests.rs
@@ -1,4 +1,4 @@
-//! Signed datagrams under lost, repeated and reordered delivery.
+//! Signed datagrams: key replacement, and repeated and reordered delivery.
 use super::*;
 use proptest::prelude::*;
 
@@ -7,15 +7,15 @@
 }
 
 #[test]
-fn a_datagram_is_accepted_once_under_a_known_key_and_keys_change_without_a_gap() {
+fn datagrams_are_accepted_once_and_during_key_replacement() {
     let (old, new) = (b"old".to_vec(), b"new".to_vec());
     let mut signer = Authenticator::new(vec![old.clone()]);
     let mut receiver = Authenticator::new(vec![old.clone()]);
     let first = signer.sign(b"news".to_vec());
     assert_eq!(first.len(), 4 + TRAILER_BYTES);
     assert_eq!(receiver.verify(&first, sender), Some(&b"news"[..]));
-    assert_eq!(receiver.verify(&first, sender), None, "once");
-    // Everybody accepts the new key, then everybody uses it, then the old one goes.
+    assert_eq!(receiver.verify(&first, sender), None, "a repeated datagram was accepted");
+    // All directors accept the new key, then all sign with it, then the old key is removed.
     receiver.replace_keys(vec![old.clone(), new.clone()]);
     let second = signer.sign(b"x".to_vec());
     assert!(receiver.verify(&second, sender).is_some());
@@ -26,22 +26,22 @@
     assert!(receiver.verify(&signer.sign(b"x".to_vec()), sender).is_some());
     let unknown = Authenticator::new(vec![b"other".to_vec()]).sign(b"x".to_vec());
     assert_eq!(receiver.verify(&unknown, sender), None);
-    assert_eq!(receiver.verify(b"x", sender), None, "without a tag");
+    assert_eq!(receiver.verify(b"x", sender), None, "a datagram without a tag was accepted");
     assert_eq!(receiver.rejections, Rejections { unauthenticated: 2, replayed: 1 });
 }
 
 proptest! {
     #[test]
-    fn each_datagram_is_accepted_once_in_whatever_order_they_come(
+    fn each_datagram_is_accepted_once_in_any_order(
         order in prop::collection::vec(0..40usize, 1..200),
     ) {
         let mut signer = Authenticator::new(vec![b"k".to_vec()]);
         let mut receiver = Authenticator::new(vec![b"k".to_vec()]);
-        let signed: Vec<Vec<u8>> = (0..40u8).map(|at| signer.sign(vec![at])).collect();
+        let signed: Vec<Vec<u8>> = (0..40u8).map(|index| signer.sign(vec![index])).collect();
         let mut accepted = std::collections::BTreeSet::new();
-        for at in order {
-            let is_accepted = receiver.verify(&signed[at], sender).is_some();
-            prop_assert_eq!(is_accepted, accepted.insert(at), "datagram {}", at);
+        for index in order {
+            let is_accepted = receiver.verify(&signed[index], sender).is_some();
+            prop_assert_eq!(is_accepted, accepted.insert(index), "datagram {}", index);
         }
     }
 }
--- a/crates/wingfold-gossip/src/datagram.rs
+++ b/crates/wingfold-gossip/src/datagram.rs
@@ -1,27 +1,29 @@
-//! Datagrams: a header, and parts each with a kind and a length, so that parts of a later version can be skipped.
+//! Encoding of datagrams: a header, then parts. Each part begins with its kind and its length, so that a
+//! receiver can skip parts of an unknown kind.
 
 /// Largest datagram between directors, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// Version of the header; datagrams of another version are ignored.
+/// Version of the datagram header; datagrams of another version are ignored.
 pub const VERSION: u8 = 1;
-/// Bytes of a header.
+/// Size of a header, in bytes.
 pub const HEADER_BYTES: usize = 13;
+/// First byte of every datagram.
 const MAGIC: u8 = 0xD7;
-/// Bytes of a part's kind and length.
+/// Size of the kind and the length before the contents of a part, in bytes.
 const PART_PREFIX_BYTES: usize = 2;
-/// Longest contents of a part, in bytes: its length is one byte.
+/// Largest contents of a part, in bytes: the length of a part is stored in one byte.
 const MAX_PART_BYTES: usize = 255;
 
-/// What a datagram is for.
+/// The purpose of a datagram. The order of the variants is their value in datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramKind {
     /// Asks whether the receiver is alive.
     Ping,
     /// Answers a ping.
     Ack,
-    /// Asks the receiver to ping another member for the sender.
+    /// Asks the receiver to ping another member on behalf of the sender.
     PingRequest,
-    /// Carries parts only.
+    /// Carries parts, and needs no answer.
     Gossip,
 }
 
@@ -35,76 +37,77 @@
 /// The header of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// What the datagram is for.
+    /// The purpose of the datagram.
     pub kind: DatagramKind,
-    /// The sender's number.
+    /// The number of the member that sends the datagram.
     pub from: u16,
     /// The sender's incarnation.
     pub incarnation: u32,
-    /// Number of the ping that the datagram is, or answers.
+    /// The sequence number of a ping; an ack and a ping request repeat that of the ping they refer to.
     pub sequence: u16,
-    /// The member that a ping request or its answer is about; the sender itself in all other cases.
-    pub about: u16,
+    /// The member that a ping request, or the ack to one, refers to; in all other datagrams the sender.
+    pub target: u16,
 }
 
 impl Header {
     fn parse(bytes: &[u8]) -> Option<Header> {
-        let two = |at: usize| u16::from_be_bytes([bytes[at], bytes[at + 1]]);
+        let read_u16 = |offset: usize| u16::from_be_bytes([bytes[offset], bytes[offset + 1]]);
         Some(Header {
             kind: DatagramKind::from_byte(bytes[2])?,
-            from: two(3),
+            from: read_u16(3),
             incarnation: u32::from_be_bytes(bytes[5..9].try_into().ok()?),
-            sequence: two(9),
-            about: two(11),
+            sequence: read_u16(9),
+            target: read_u16(11),
         })
     }
 }
 
 /// Kinds of parts.
 pub mod part {
-    /// States of members.
+    /// Statements about the states of members.
     pub const MEMBERS: u8 = 1;
-    /// Up to which number the entries of each owner are known.
+    /// For each owner, the version up to which the sender knows the owner's entries.
     pub const DIGEST: u8 = 2;
-    /// Entries of one owner, in the order of their numbers.
+    /// Entries of one owner, in ascending order of their versions.
     pub const ENTRIES: u8 = 3;
-    /// Entries of one owner that cannot wait, out of their order.
+    /// Urgent entries of one owner, each with its version, sent ahead of older entries.
     pub const URGENT_ENTRIES: u8 = 4;
 }
 
 /// A part of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part<'a> {
-    /// One of [`part`], or a kind of a later version.
+    /// One of the constants in [`part`], or a kind that only later builds know.
     pub kind: u8,
-    /// Its contents.
+    /// The bytes after the kind and the length.
     pub contents: &'a [u8],
 }
 
-/// Writes a datagram.
+/// Encodes a datagram part by part.
 #[derive(Clone, Debug)]
 pub struct DatagramWriter {
     bytes: Vec<u8>,
-    limit: usize,
+    /// Largest size of the header and all parts, in bytes.
+    max_bytes: usize,
 }
 
 impl DatagramWriter {
-    /// Begins a datagram; `reserved` bytes are kept free behind all parts.
-    pub fn new(header: Header, reserved: usize) -> DatagramWriter {
+    /// Begins a datagram. `trailer_bytes` of its largest size stay free for a trailer after the parts.
+    pub fn new(header: Header, trailer_bytes: usize) -> DatagramWriter {
         let mut bytes = vec![MAGIC, VERSION, header.kind as u8];
         bytes.extend(header.from.to_be_bytes());
         bytes.extend(header.incarnation.to_be_bytes());
         bytes.extend(header.sequence.to_be_bytes());
-        bytes.extend(header.about.to_be_bytes());
-        DatagramWriter { bytes, limit: MAX_DATAGRAM_BYTES - reserved }
+        bytes.extend(header.target.to_be_bytes());
+        DatagramWriter { bytes, max_bytes: MAX_DATAGRAM_BYTES - trailer_bytes }
     }
 
-    /// Bytes that the contents of one more part may have.
+    /// Largest contents of the next part, in bytes.
     pub fn remaining(&self) -> usize {
-        self.limit.saturating_sub(self.bytes.len() + PART_PREFIX_BYTES).min(MAX_PART_BYTES)
+        self.max_bytes.saturating_sub(self.bytes.len() + PART_PREFIX_BYTES).min(MAX_PART_BYTES)
     }
 
-    /// Adds a part if it has contents and fits.
+    /// Adds a part; does nothing if the contents are empty or larger than [`DatagramWriter::remaining`].
     pub fn add_part(&mut self, kind: u8, contents: &[u8]) {
         if contents.is_empty() || contents.len() > self.remaining() {
             return;
@@ -113,25 +116,25 @@
         self.bytes.extend(contents);
     }
 
-    /// The bytes of the datagram.
+    /// The encoded datagram.
     pub fn finish(self) -> Vec<u8> {
         self.bytes
     }
 }
 
-/// Reads the header and the parts of a datagram; `None` if it is malformed or of another version.
+/// Decodes the header and the parts of a datagram; `None` if the datagram is malformed or of another version.
 pub fn parse(bytes: &[u8]) -> Option<(Header, Vec<Part<'_>>)> {
-    let has_sound_length = (HEADER_BYTES..=MAX_DATAGRAM_BYTES).contains(&bytes.len());
-    if !has_sound_length || bytes[0] != MAGIC || bytes[1] != VERSION {
+    let has_valid_length = (HEADER_BYTES..=MAX_DATAGRAM_BYTES).contains(&bytes.len());
+    if !has_valid_length || bytes[0] != MAGIC || bytes[1] != VERSION {
         return None;
     }
     let header = Header::parse(bytes)?;
     let mut parts = Vec::new();
     let mut rest = &bytes[HEADER_BYTES..];
-    while let [kind, length, behind @ ..] = rest {
-        let contents = behind.get(..usize::from(*length))?;
+    while let [kind, length, after_prefix @ ..] = rest {
+        let contents = after_prefix.get(..usize::from(*length))?;
         parts.push(Part { kind: *kind, contents });
-        rest = &behind[contents.len()..];
+        rest = &after_prefix[contents.len()..];
     }
     rest.is_empty().then_some((header, parts))
 }
--- a/crates/wingfold-gossip/src/datagram/tests.rs
+++ b/crates/wingfold-gossip/src/datagram/tests.rs
@@ -1,15 +1,15 @@
-//! Datagrams as bytes.
+//! Round trips of datagrams, and malformed input.
 use super::*;
 use proptest::prelude::*;
 
 proptest! {
     #[test]
-    fn what_is_written_is_parsed_and_malformed_bytes_do_no_harm(
-        from in any::<u16>(), incarnation in any::<u32>(), sequence in any::<u16>(), about in any::<u16>(),
+    fn parts_round_trip_and_malformed_bytes_do_not_panic(
+        from in any::<u16>(), incarnation in any::<u32>(), sequence in any::<u16>(), target in any::<u16>(),
         parts in prop::collection::vec((1..20u8, prop::collection::vec(any::<u8>(), 1..90)), 0..5),
         noise in prop::collection::vec(any::<u8>(), 0..300),
     ) {
-        let header = Header { kind: DatagramKind::PingRequest, from, incarnation, sequence, about };
+        let header = Header { kind: DatagramKind::PingRequest, from, incarnation, sequence, target };
         let mut writer = DatagramWriter::new(header, 20);
         let mut written = Vec::new();
         for (kind, contents) in &parts {
--- a/crates/wingfold-gossip/src/gossip.rs
+++ b/crates/wingfold-gossip/src/gossip.rs
@@ -1,7 +1,8 @@
-//! One director's part in the gossip of its tier: membership and entries together.
+//! The gossip of one director: membership and entries together.
 //!
-//! Datagrams come in and advice for the decision module goes out; what the module has learned goes out as datagrams. Traffic
-//! is bounded: a ping with its answer and one exchange of entries each period, and pushes of what cannot wait.
+//! Received datagrams become advice for the decision module, and the module's treatment of hosts is sent as
+//! datagrams. Traffic is bounded: in each period one ping with its ack and one exchange of entries, besides
+//! pushes of urgent entries.
 
 use crate::authentication::{Authenticator, Rejections, Sender};
 use crate::datagram::{self, part, DatagramKind, DatagramWriter, Header};
@@ -12,60 +13,62 @@
 use wingfold_director::interface::{HostId, Micros, PeerAdvice, Timestamp, ZoneId};
 use wingfold_director::Director;
 
-/// Interval at which entries of the decision module's state are published.
+/// Interval at which the decision module's treatment of hosts is published as entries.
 const PUBLISH_INTERVAL: Micros = Micros(500_000);
-/// Parts of entries that answer one digest, at most: what is missing beyond them comes with the next exchange.
-const MAX_ANSWER_PARTS: usize = 4;
-/// Interval of exchanges of a director that has just started, until it has received an entry.
+/// Largest number of parts that answer one digest; the next exchange sends further entries.
+const MAX_DIGEST_ANSWER_PARTS: usize = 4;
+/// Interval at which a director that has just started begins exchanges, until it has received an entry.
 const STARTUP_EXCHANGE_INTERVAL: Micros = Micros(100_000);
-/// How long these exchanges go on at most.
-const STARTUP_DURATION: Micros = Micros(2_000_000);
-/// Members to which urgent entries are pushed at once; the others get them by exchanges.
-const MAX_URGENT_RECEIVERS: usize = 8;
-/// Bytes of a datagram that states of members may take.
-const MAX_STATEMENT_BYTES: usize = 64;
-/// Bytes of a ping or its answer that a digest may take.
+/// How long after its start a director uses [`STARTUP_EXCHANGE_INTERVAL`] at most.
+const MAX_STARTUP_DURATION: Micros = Micros(2_000_000);
+/// Largest number of members to which urgent entries are pushed; the others get them by exchanges.
+const MAX_PUSH_RECEIVERS: usize = 8;
+/// Largest size of the membership statements in a datagram, in bytes.
+const MAX_STATEMENTS_BYTES: usize = 64;
+/// Largest size of the digest in a ping or an ack, in bytes.
 const MAX_PING_DIGEST_BYTES: usize = 100;
-/// Zones that an entry can name.
+/// Number of zones that an entry can name: the position of the zone is stored in one byte.
 const MAX_ZONES: usize = 256;
-/// Weight halvings that an entry can tell.
+/// Largest number of weight halvings in an entry, which stores it in two bits.
 const MAX_WEIGHT_HALVINGS: u32 = 3;
 
-/// What a director is told of its tier.
+/// Configuration of one director's gossip.
 #[derive(Clone, Debug)]
 pub struct GossipConfig {
-    /// This director's number.
+    /// This director's number, from 0.
     pub own_id: u16,
-    /// Directors of the tier.
-    pub count: u16,
-    /// An incarnation that is most likely newer than the last one.
+    /// Number of directors in the tier.
+    pub member_count: u16,
+    /// This director's incarnation, which should be newer than that before the restart.
     pub incarnation: u32,
     /// Seed of all randomness.
     pub seed: u64,
-    /// What the directors of a tier share and others do not: short hashes of host names depend on it.
+    /// A value that the directors of a tier share and those of other tiers do not; short host hashes depend
+    /// on it.
     pub tier_hash: u64,
-    /// Keys, the signing one first; none: datagrams are not signed.
+    /// Accepted keys; the first one signs. Without keys datagrams are neither signed nor checked.
     pub keys: Vec<Vec<u8>>,
 }
 
-/// Counters.
+/// Counters of datagrams, entries and hash collisions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GossipCounts {
     /// Datagrams sent.
     pub datagrams_sent: u64,
-    /// Bytes of these.
+    /// Bytes of the datagrams sent, signatures included.
     pub bytes_sent: u64,
-    /// Datagrams received and used.
+    /// Valid datagrams received.
     pub datagrams_received: u64,
-    /// Datagrams that are malformed, of another version or from no other member.
+    /// Datagrams received that are malformed, of another version, or not from another member of the tier.
     pub datagrams_invalid: u64,
-    /// Entries received that were new here.
+    /// Entries received that this director did not know.
     pub entries_received: u64,
-    /// Hosts of this moment that share their short hash with another one: no entry names them.
+    /// Collisions among the short hashes of the current hosts. Hosts that share a hash are left out of
+    /// entries and advice.
     pub hash_collisions: u64,
 }
 
-/// One director's part in the gossip.
+/// The gossip of one director: handles datagrams, publishes entries and gives advice.
 #[derive(Debug)]
 pub struct Gossip {
     config: GossipConfig,
@@ -77,36 +80,36 @@
     next_exchange_at: Timestamp,
     /// Entries received since the last call of [`Gossip::advice`].
     received: Vec<ReceivedEntry>,
-    /// Hosts by their short hash; `None` where two hosts share it.
+    /// Hosts by their short hash; `None` if several hosts share the hash.
     host_hashes: BTreeMap<u32, Option<HostId>>,
-    /// Counters so far.
+    /// Counters since the start.
     pub counts: GossipCounts,
 }
 
 /// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// The receiver's number.
+    /// The number of the member that receives the datagram.
     pub to: u16,
-    /// The bytes.
+    /// The encoded datagram with its signature.
     pub bytes: Vec<u8>,
 }
 
-/// Datagrams to send, and what has changed.
+/// Datagrams to send, and changes of the membership.
 #[derive(Debug, Default)]
 pub struct GossipOutput {
-    /// Datagrams to send, in their order.
+    /// Datagrams to send, in this order.
     pub datagrams: Vec<OutgoingDatagram>,
-    /// Changes of the membership.
+    /// Changes of the membership, in the order in which they occurred.
     pub changes: Vec<MembershipChange>,
 }
 
 impl Gossip {
-    /// Begins to take part.
+    /// Starts the gossip of a director that knows of no other member and no entry yet.
     pub fn new(config: GossipConfig, now: Timestamp) -> Gossip {
-        let GossipConfig { own_id, count, incarnation, seed, .. } = config;
+        let GossipConfig { own_id, member_count, incarnation, seed, .. } = config;
         Gossip {
-            membership: Membership::new(own_id, count, incarnation, seed, now),
+            membership: Membership::new(own_id, member_count, incarnation, seed, now),
             entries: EntryStore::new(own_id, incarnation.max(1)),
             authenticator: Authenticator::new(config.keys.clone()),
             started_at: now,
@@ -129,29 +132,29 @@
         &self.membership
     }
 
-    /// The entries of all directors.
+    /// The entries of all directors, as far as this director knows them.
     pub fn entries(&self) -> &EntryStore {
         &self.entries
     }
 
-    /// Uses other keys from now on.
+    /// Replaces the keys; see [`Authenticator::replace_keys`].
     pub fn replace_keys(&mut self, keys: Vec<Vec<u8>>) {
         self.authenticator.replace_keys(keys);
     }
 
-    /// Datagrams rejected by their authentication.
+    /// Datagrams that failed authentication.
     pub fn rejections(&self) -> Rejections {
         self.authenticator.rejections
     }
 
-    /// Handles a datagram.
+    /// Handles a received datagram: checks its signature, updates membership and entries, and answers it.
     pub fn handle_datagram(&mut self, now: Timestamp, bytes: &[u8], output: &mut GossipOutput) {
-        let Some(datagram) = self.authenticator.verify(bytes, sender_of) else { return };
+        let Some(datagram) = self.authenticator.verify(bytes, parse_sender) else { return };
         let Some((header, parts)) = datagram::parse(datagram) else {
             self.counts.datagrams_invalid += 1;
             return;
         };
-        if header.from == self.config.own_id || header.from >= self.config.count {
+        if header.from == self.config.own_id || header.from >= self.config.member_count {
             self.counts.datagrams_invalid += 1;
             return;
         }
@@ -163,10 +166,11 @@
         }
         self.entries.set_incarnation(self.membership.incarnation());
         self.counts.entries_received += self.received.len() as u64;
-        self.send_all(now, outgoing, output);
+        self.send_membership_datagrams(now, outgoing, output);
     }
 
-    /// Does what is due: pings, publishing what the module has learned, and exchanges of entries.
+    /// Does what is due at this time: pings, publishing the module's treatment of hosts, and exchanges of
+    /// entries.
     pub fn tick(&mut self, now: Timestamp, director: &Director, output: &mut GossipOutput) {
         let mut outgoing = Vec::new();
         self.membership.tick(now, &mut outgoing, &mut output.changes);
@@ -178,26 +182,26 @@
         if now >= self.next_exchange_at {
             self.exchange(now, output);
         }
-        self.send_all(now, outgoing, output);
+        self.send_membership_datagrams(now, outgoing, output);
     }
 
-    /// Shuts down gracefully.
+    /// Leaves the tier before a graceful shutdown: notifies all members that may be alive.
     pub fn leave(&mut self, now: Timestamp, output: &mut GossipOutput) {
         let mut outgoing = Vec::new();
         self.membership.leave(&mut outgoing);
-        self.send_all(now, outgoing, output);
+        self.send_membership_datagrams(now, outgoing, output);
     }
 
-    /// What was received since the last call, in the module's terms. Entries of members that are dead or have left count as
-    /// long as they are fresh: what was learned holds whoever learned it.
+    /// Advice from the entries received since the last call. Entries of members that are dead or have left
+    /// are included: what a director observed of a host stays valid after the director has stopped.
     pub fn advice(&mut self, now: Timestamp, director: &Director) -> Vec<PeerAdvice> {
         let received = std::mem::take(&mut self.received);
         if received.is_empty() {
             return Vec::new();
         }
-        self.hash_hosts(director);
+        self.update_host_hashes(director);
         let zones = &director.settings().zones;
-        received.into_iter().filter_map(|entry| self.advice_of(now, &entry, zones)).collect()
+        received.into_iter().filter_map(|entry| self.peer_advice(now, &entry, zones)).collect()
     }
 
     fn handle_part(&mut self, now: Timestamp, from: u16, part: datagram::Part, output: &mut GossipOutput) {
@@ -207,15 +211,16 @@
             part::ENTRIES => self.entries.receive(now, contents, &mut self.received),
             part::URGENT_ENTRIES => self.entries.receive_urgent(now, contents, &mut self.received),
             part::DIGEST => self.answer_digest(now, from, contents, output),
-            // Kinds of a later version are skipped.
+            // A kind that only later builds know.
             _ => {}
         }
     }
 
-    /// Sends what a peer lacks by its digest, in a few datagrams at most.
+    /// Answers a digest with the entries that the peer lacks, at most [`MAX_DIGEST_ANSWER_PARTS`] parts of
+    /// them.
     fn answer_digest(&mut self, now: Timestamp, to: u16, digest: &[u8], output: &mut GossipOutput) {
         let part_bytes = self.gossip_writer().remaining();
-        let parts = self.entries.missing(now, digest, part_bytes, MAX_ANSWER_PARTS);
+        let parts = self.entries.missing_parts(now, digest, part_bytes, MAX_DIGEST_ANSWER_PARTS);
         let mut writer = self.gossip_writer();
         for part in parts {
             if part.len() > writer.remaining() {
@@ -230,14 +235,14 @@
         }
     }
 
-    /// A datagram that carries parts only.
+    /// A writer of a datagram that is neither a ping nor an ack.
     fn gossip_writer(&self) -> DatagramWriter {
         let header = Header {
             kind: DatagramKind::Gossip,
             from: self.config.own_id,
             incarnation: self.membership.incarnation(),
             sequence: 0,
-            about: self.config.own_id,
+            target: self.config.own_id,
         };
         DatagramWriter::new(header, self.authenticator.trailer_bytes())
     }
@@ -249,8 +254,14 @@
         output.datagrams.push(OutgoingDatagram { to, bytes });
     }
 
-    /// Sends datagrams of the membership, each with as much news as fits.
-    fn send_all(&mut self, now: Timestamp, outgoing: Vec<OutgoingHeader>, output: &mut GossipOutput) {
+    /// Sends the datagrams that the membership protocol needs. Each also carries membership statements,
+    /// urgent entries and, in pings and acks, a digest, as far as they fit.
+    fn send_membership_datagrams(
+        &mut self,
+        now: Timestamp,
+        outgoing: Vec<OutgoingHeader>,
+        output: &mut GossipOutput,
+    ) {
         for OutgoingHeader { to, header } in outgoing {
             let mut writer = DatagramWriter::new(header, self.authenticator.trailer_bytes());
             self.add_statements(&mut writer);
@@ -263,7 +274,7 @@
     }
 
     fn add_statements(&mut self, writer: &mut DatagramWriter) {
-        let statements = self.membership.statements(writer.remaining().min(MAX_STATEMENT_BYTES));
+        let statements = self.membership.statements(writer.remaining().min(MAX_STATEMENTS_BYTES));
         writer.add_part(part::MEMBERS, &statements);
     }
 
@@ -277,75 +288,78 @@
         writer.add_part(part::DIGEST, &digest);
     }
 
-    /// Publishes what the module has learned, and pushes what cannot wait.
+    /// Publishes the module's treatment of hosts as entries, and pushes the urgent ones to members that are
+    /// alive.
     fn publish(&mut self, now: Timestamp, director: &Director, output: &mut GossipOutput) {
-        self.hash_hosts(director);
-        let reports = self.reports(director);
+        self.update_host_hashes(director);
+        let reports = self.host_reports(director);
         if !self.entries.publish(now, &reports) {
             return;
         }
         let alive = self.membership.members_in(MemberState::Alive);
-        for to in alive.into_iter().take(MAX_URGENT_RECEIVERS) {
+        for to in alive.into_iter().take(MAX_PUSH_RECEIVERS) {
             let mut writer = self.gossip_writer();
             self.add_urgent_entries(now, &mut writer);
             self.send(to, writer, output);
         }
-        self.entries.count_push();
+        self.entries.record_push();
     }
 
-    /// Asks one member for what is missing here.
+    /// Sends a digest to one member, which answers with the entries that this director lacks.
     fn exchange(&mut self, now: Timestamp, output: &mut GossipOutput) {
-        let is_starting = now < self.started_at + STARTUP_DURATION && self.counts.entries_received == 0;
+        let is_starting = now < self.started_at + MAX_STARTUP_DURATION && self.counts.entries_received == 0;
         self.next_exchange_at = now + if is_starting { STARTUP_EXCHANGE_INTERVAL } else { PERIOD };
         let alive = self.membership.random_alive_member();
-        let Some(to) = alive.or_else(|| self.member_to_contact(now, is_starting)) else { return };
+        let Some(to) = alive.or_else(|| self.startup_contact(now, is_starting)) else { return };
         let mut writer = self.gossip_writer();
         self.add_statements(&mut writer);
         self.add_digest(&mut writer, usize::MAX);
         self.send(to, writer, output);
     }
 
-    /// The member that a starting director contacts while it knows of none that is alive: each in turn.
-    fn member_to_contact(&self, now: Timestamp, is_starting: bool) -> Option<u16> {
-        if !is_starting || self.config.count <= 1 {
+    /// The member that a starting director contacts while it knows of no member that is alive: the other
+    /// members in turn.
+    fn startup_contact(&self, now: Timestamp, is_starting: bool) -> Option<u16> {
+        if !is_starting || self.config.member_count <= 1 {
             return None;
         }
-        let turn = (now.0 / STARTUP_EXCHANGE_INTERVAL.0) % u64::from(self.config.count);
+        let turn = (now.0 / STARTUP_EXCHANGE_INTERVAL.0) % u64::from(self.config.member_count);
         Some(turn as u16).filter(|to| *to != self.config.own_id)
     }
 
-    /// The short hash that stands for a host in entries.
+    /// The short hash of a host's name, which identifies the host in entries.
     fn host_hash(&self, host: &HostId) -> u32 {
         xxhash_rust::xxh3::xxh3_64_with_seed(host.0.as_bytes(), self.config.tier_hash) as u32
     }
 
-    /// Works out the short hashes of all known hosts.
-    fn hash_hosts(&mut self, director: &Director) {
+    /// Computes the short hashes of all hosts that the module knows.
+    fn update_host_hashes(&mut self, director: &Director) {
         self.host_hashes.clear();
         let mut collisions = 0;
         for host in director.hosts() {
             let hash = self.host_hash(host);
-            let holder = self.host_hashes.entry(hash).or_insert_with(|| Some(host.clone()));
-            if holder.as_ref() != Some(host) {
-                *holder = None;
+            let hashed_host = self.host_hashes.entry(hash).or_insert_with(|| Some(host.clone()));
+            if hashed_host.as_ref() != Some(host) {
+                *hashed_host = None;
                 collisions += 1;
             }
         }
         self.counts.hash_collisions = collisions;
     }
 
-    /// A report on every remarkable host, as each zone with proxies sees it.
-    fn reports(&self, director: &Director) -> BTreeMap<EntryKey, HostReport> {
+    /// Reports on the hosts that a zone treats abnormally, for all zones with proxies.
+    fn host_reports(&self, director: &Director) -> BTreeMap<EntryKey, HostReport> {
         let views = director.zone_views().into_iter();
-        let served: Vec<ZoneId> = views.filter(|view| view.proxies > 0).map(|view| view.zone).collect();
+        let zones_with_proxies: Vec<ZoneId> =
+            views.filter(|view| view.proxies > 0).map(|view| view.zone).collect();
         let mut reports = BTreeMap::new();
         for (position, zone) in director.settings().zones.iter().enumerate().take(MAX_ZONES) {
-            if !served.contains(zone) {
+            if !zones_with_proxies.contains(zone) {
                 continue;
             }
             for (hash, host) in &self.host_hashes {
                 let view = host.as_ref().and_then(|host| director.host_view(zone, host));
-                if let Some(report) = view.as_ref().and_then(remarkable_report) {
+                if let Some(report) = view.as_ref().and_then(abnormal_report) {
                     reports.insert(EntryKey { zone: position as u8, host: *hash }, report);
                 }
             }
@@ -353,7 +367,9 @@
         reports
     }
 
-    fn advice_of(&self, now: Timestamp, received: &ReceivedEntry, zones: &[ZoneId]) -> Option<PeerAdvice> {
+    /// The advice from a received entry; `None` if this director does not know the zone, or cannot tell the
+    /// host by its short hash.
+    fn peer_advice(&self, now: Timestamp, received: &ReceivedEntry, zones: &[ZoneId]) -> Option<PeerAdvice> {
         let report = &received.entry.report;
         Some(PeerAdvice {
             from: u32::from(received.owner),
@@ -361,18 +377,19 @@
             host: self.host_hashes.get(&received.key.host)?.clone()?,
             ejected: report.health != HealthState::Healthy,
             weight_halvings: u32::from(report.weight_halvings),
-            age: Micros(now.0.saturating_sub(received.entry.at.0)),
+            age: Micros(now.0.saturating_sub(received.entry.published_at.0)),
         })
     }
 }
 
-fn sender_of(datagram: &[u8]) -> Option<Sender> {
+/// The sender by the header of a datagram; `None` if the datagram is malformed.
+fn parse_sender(datagram: &[u8]) -> Option<Sender> {
     let (header, _) = datagram::parse(datagram)?;
     Some(Sender { member: header.from, incarnation: header.incarnation })
 }
 
-/// The report on a host; `None` if there is nothing to say of it, or if it drains.
-fn remarkable_report(view: &HostView) -> Option<HostReport> {
+/// The report on a host; `None` if the host is treated normally, or if it drains or was removed.
+fn abnormal_report(view: &HostView) -> Option<HostReport> {
     let (health, halvings) = match view.status {
         HostStatus::Leading => (HealthState::Healthy, 0),
         HostStatus::WeightHalved(halvings) => (HealthState::Healthy, halvings),
@@ -388,7 +405,7 @@
         loss: (view.loss_ratio.clamp(0.0, 1.0) * f64::from(u8::MAX)) as u8,
         latency_ms: view.latency_ms.unwrap_or(0.0).clamp(0.0, f64::from(u16::MAX)) as u16,
     };
-    report.is_remarkable().then_some(report)
+    report.is_abnormal().then_some(report)
 }
 
 #[cfg(test)]
--- a/crates/wingfold-gossip/src/lib.rs
+++ b/crates/wingfold-gossip/src/lib.rs
@@ -1,8 +1,8 @@
-//! Gossip between the directors of a tier: who is there, and what each has learned of hosts.
+//! Gossip between the directors of a tier: which members are alive, and how each director treats its hosts.
 //!
-//! Datagrams have at most 256 bytes and may be lost, duplicated, delayed and reordered. There is no clock, no socket and no
-//! randomness but that of a seed in here. Nothing here decides about a host: what comes out is advice for the decision
-//! module, which needs none of it (docs/tier-design.md).
+//! Datagrams have at most 256 bytes and may be lost, duplicated, delayed and reordered. The crate uses no
+//! clock and no socket, and all randomness comes from a seed. It decides nothing about a host: its output is
+//! advice for the decision module, which also works without advice (docs/tier-design.md).
 #![forbid(unsafe_code)]
 
 pub mod authentication;
--- a/crates/wingfold-gossip/src/membership.rs
+++ b/crates/wingfold-gossip/src/membership.rs
@@ -1,10 +1,12 @@
-//! Which members of the tier are alive.
+//! Membership: which directors of the tier are alive.
 //!
-//! Each period one member is pinged. One that does not answer is pinged through others, since a path may be cut in one
-//! direction, then it is suspect, then dead. A member that learns of its own suspicion refutes it. Dead members are still
-//! pinged now and then, so that a partition heals by itself.
+//! In each period a director pings one member. If the member does not answer, other members are asked to ping
+//! it, since a path may be cut in one direction. A member that does not answer these pings either becomes
+//! suspect, and later dead. A member that learns that it is suspect refutes this. Dead members are still
+//! pinged from time to time, so that the two sides of a partition find each other again once it has ended.
 //!
-//! The protocol is SWIM (Das, Gupta and Motivala, 2002) with suspicion; incarnations tell restarts apart.
+//! The protocol is SWIM (Das, Gupta and Motivala, 2002) with suspicion. Unlike in SWIM, a refutation raises
+//! the revision, and the incarnation tells restarts apart.
 
 use crate::datagram::{DatagramKind, Header};
 use rand::seq::SliceRandom;
@@ -14,76 +16,79 @@
 use std::collections::{BTreeMap, VecDeque};
 use wingfold_director::interface::{Micros, Timestamp};
 
-/// Interval of pings.
+/// Interval at which a director pings one member.
 pub const PERIOD: Micros = Micros(1_000_000);
-/// Time after which a ping that was not answered is tried through other members.
+/// Time after which other members are asked to ping a member that has not answered.
 const ACK_TIMEOUT: Micros = Micros(400_000);
-/// Members that are asked to ping another one.
-const INDIRECT_PINGS: usize = 2;
-/// Periods after which a suspect is dead; one more for each doubling of the tier.
-const SUSPECT_PERIODS: u64 = 4;
-/// One of so many periods pings a member that is dead or has left.
-const DEAD_PING_INTERVAL: u64 = 5;
-/// Datagrams that carry a change of a member, for each doubling of the tier.
-const ANNOUNCEMENTS: u32 = 4;
-/// Bytes of a member's state in a datagram.
-const ENTRY_BYTES: usize = 10;
-/// Members whose state one datagram carries, at most.
-const MAX_ENTRIES: usize = 6;
-/// Pings on behalf of others that may be unanswered.
+/// Largest number of members that are asked to ping a member that has not answered.
+const INDIRECT_PING_RELAYS: usize = 2;
+/// Periods after which a suspect member is dead; one more for each doubling of the tier's size.
+const MIN_SUSPECT_PERIODS: u64 = 4;
+/// Interval at which a member that is dead or has left is pinged, in periods.
+const ABSENT_PING_PERIODS: u64 = 5;
+/// Number of datagrams that announce a change of a member's state, for each doubling of the tier's size.
+const ANNOUNCEMENTS_PER_DOUBLING: u32 = 4;
+/// Size of a statement in a datagram, in bytes.
+const STATEMENT_BYTES: usize = 10;
+/// Largest number of statements in a datagram.
+const MAX_STATEMENTS: usize = 6;
+/// Largest number of unanswered pings on behalf of other members; older ones are dropped.
 const MAX_RELAYED_PINGS: usize = 64;
-/// Periods after which an unanswered ping on behalf of another is dropped.
-const RELAY_PERIODS: u64 = 2;
+/// Periods after which an unanswered ping on behalf of another member is dropped.
+const RELAYED_PING_PERIODS: u64 = 2;
 
-/// State of a member. The order of the variants is their value in datagrams, and which of two states of one revision holds.
+/// State of a member. The order of the variants is their value in datagrams. Of two states with the same
+/// incarnation and revision, the later variant holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// Nothing came from it yet.
+    /// Nothing has been received from the member, or about it, yet.
     Unknown,
-    /// It answers.
+    /// The member responds.
     Alive,
-    /// It did not answer lately.
+    /// The member has not answered its last ping.
     Suspect,
-    /// It has been suspect for too long.
+    /// The member has been suspect for too long.
     Dead,
-    /// It has shut down gracefully.
+    /// The member has shut down gracefully.
     Left,
 }
 
 impl MemberState {
-    /// The state of a byte in a datagram.
+    /// The state that a byte in a datagram stands for; `None` for an unknown byte and for
+    /// [`MemberState::Unknown`], which is never sent.
     fn from_byte(byte: u8) -> Option<MemberState> {
         use MemberState::{Alive, Dead, Left, Suspect};
         [Alive, Suspect, Dead, Left].into_iter().find(|state| *state as u8 == byte)
     }
 
+    /// Whether the member is dead or has left.
     fn is_absent(self) -> bool {
         matches!(self, MemberState::Dead | MemberState::Left)
     }
 }
 
-/// What is known of a member.
+/// Another member, as this director knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its state.
+    /// The state of the member.
     pub state: MemberState,
-    /// Its incarnation: a restart begins a new one. 0: none is known.
+    /// The incarnation of the member, which is higher after each restart; 0 while it is not known.
     pub incarnation: u32,
-    /// How often it has refuted a suspicion in this incarnation.
+    /// How often the member has refuted its suspicion or death in this incarnation.
     pub revision: u16,
-    /// When it got into this state, by this director's clock.
+    /// When the member entered its state, by this director's clock.
     pub since: Timestamp,
 }
 
 impl Member {
-    /// Whether a statement about the member is newer than what is known.
+    /// Whether a statement about the member is newer than the known state.
     fn is_superseded_by(&self, statement: &Statement) -> bool {
         let known = (self.incarnation, self.revision, self.state);
         (statement.incarnation, statement.revision, statement.state) > known
     }
 }
 
-/// What somebody says of a member.
+/// A statement of any member about the state of one member, as datagrams carry it.
 #[derive(Clone, Copy, Debug)]
 struct Statement {
     member: u16,
@@ -93,6 +98,7 @@
 }
 
 impl Statement {
+    /// Decodes a statement; `None` if its state is invalid.
     fn parse(bytes: &[u8]) -> Option<Statement> {
         Some(Statement {
             member: u16::from_be_bytes([bytes[0], bytes[1]]),
@@ -102,6 +108,7 @@
         })
     }
 
+    /// Encodes the statement. The last byte is reserved.
     fn write_to(&self, bytes: &mut Vec<u8>) {
         const RESERVED: u8 = 0;
         bytes.extend(self.member.to_be_bytes());
@@ -115,45 +122,49 @@
 /// A change of the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// A member has got into another state.
+    /// A member has entered another state.
     StateChanged {
-        /// The member.
+        /// The number of the member.
         member: u16,
-        /// Its state from now on.
+        /// The state that the member has entered.
         state: MemberState,
     },
-    /// A member has a new incarnation: what was learned of the old one may no longer hold.
+    /// A member has a new incarnation; knowledge about the old one may be out of date.
     Restarted {
-        /// The member.
+        /// The number of the member.
         member: u16,
     },
 }
 
-/// A datagram to send; its parts come from members and entries.
+/// The header of a datagram to send; [`Gossip`](crate::Gossip) adds the parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutgoingHeader {
-    /// The receiver.
+    /// The number of the member that receives the datagram.
     pub to: u16,
-    /// The header.
+    /// The header of the datagram.
     pub header: Header,
 }
 
-/// The ping of this period.
+/// The ping of the current period, while it is unanswered.
 #[derive(Clone, Copy, Debug)]
 struct PendingPing {
     sequence: u16,
     member: u16,
     sent_at: Timestamp,
-    /// Other members have been asked to ping it as well.
+    /// Whether other members have been asked to ping the member as well.
     is_indirect: bool,
 }
 
-/// A ping on behalf of another member.
+/// An unanswered ping on behalf of another member.
 #[derive(Clone, Copy, Debug)]
 struct RelayedPing {
+    /// The sequence number of this director's ping.
     sequence: u16,
+    /// The member that was pinged.
     member: u16,
+    /// The member that asked for the ping.
     requester: u16,
+    /// The sequence number of the requester's own ping.
     requester_sequence: u16,
     sent_at: Timestamp,
 }
@@ -165,11 +176,12 @@
     incarnation: u32,
     revision: u16,
     members: BTreeMap<u16, Member>,
-    /// In how many datagrams the state of a member is still to be announced.
+    /// The number of datagrams that are still to announce the state of a member, by member.
     announcements: BTreeMap<u16, u32>,
-    /// Members still to be pinged in this round, the next one last.
+    /// Members still to be pinged in this ping round; the last element is the next one.
     ping_order: Vec<u16>,
     next_period_at: Timestamp,
+    /// Number of periods since the start.
     periods: u64,
     sequence: u16,
     pending_ping: Option<PendingPing>,
@@ -179,11 +191,12 @@
 }
 
 impl Membership {
-    /// For member `own_id` of `count` members. `incarnation` should be newer than the last one; it is corrected if others
-    /// remember a newer one.
-    pub fn new(own_id: u16, count: u16, incarnation: u32, seed: u64, now: Timestamp) -> Self {
+    /// The membership of member `own_id` in a tier of `member_count`; the state of all other members is
+    /// unknown. `incarnation` should be newer than that before the restart; it is raised if other members
+    /// know a newer one.
+    pub fn new(own_id: u16, member_count: u16, incarnation: u32, seed: u64, now: Timestamp) -> Self {
         let unknown = Member { state: MemberState::Unknown, incarnation: 0, revision: 0, since: now };
-        let others = (0..count).filter(|id| *id != own_id);
+        let others = (0..member_count).filter(|id| *id != own_id);
         let members: BTreeMap<u16, Member> = others.map(|id| (id, unknown)).collect();
         Membership {
             own_id,
@@ -207,22 +220,22 @@
         self.incarnation
     }
 
-    /// Every other member, by number.
+    /// All other members and their numbers, in ascending order of the numbers.
     pub fn members(&self) -> impl Iterator<Item = (u16, &Member)> {
         self.members.iter().map(|(id, member)| (*id, member))
     }
 
-    /// The state of a member.
+    /// The state of a member; [`MemberState::Unknown`] for this director and for a number outside the tier.
     pub fn state(&self, member: u16) -> MemberState {
         self.members.get(&member).map_or(MemberState::Unknown, |member| member.state)
     }
 
-    /// The members in a state, by number.
+    /// The numbers of the members in a state, in ascending order.
     pub fn members_in(&self, state: MemberState) -> Vec<u16> {
         self.members().filter(|(_, member)| member.state == state).map(|(id, _)| id).collect()
     }
 
-    /// A random member that is alive.
+    /// A random member that is alive; `None` if there is none.
     pub fn random_alive_member(&mut self) -> Option<u16> {
         let alive = self.members_in(MemberState::Alive);
         if alive.is_empty() {
@@ -243,13 +256,13 @@
         if !is_member || self.has_left {
             return;
         }
-        self.record_sign_of_life(now, header.from, header.incarnation, changes);
+        self.record_contact(now, header.from, header.incarnation, changes);
         match header.kind {
             DatagramKind::Ping => {
                 let ack = self.ack(header.sequence, self.own_id);
                 outgoing.push(OutgoingHeader { to: header.from, header: ack });
             }
-            DatagramKind::PingRequest if self.members.contains_key(&header.about) => {
+            DatagramKind::PingRequest if self.members.contains_key(&header.target) => {
                 outgoing.push(self.relay_ping(now, header));
             }
             DatagramKind::Ack => {
@@ -260,9 +273,9 @@
         }
     }
 
-    /// Handles what another director says of members.
+    /// Handles the statements in a datagram.
     pub fn handle_statements(&mut self, now: Timestamp, bytes: &[u8], changes: &mut Vec<MembershipChange>) {
-        for statement in bytes.chunks_exact(ENTRY_BYTES).filter_map(Statement::parse) {
+        for statement in bytes.chunks_exact(STATEMENT_BYTES).filter_map(Statement::parse) {
             if statement.member == self.own_id {
                 self.refute(&statement);
                 continue;
@@ -274,21 +287,23 @@
         }
     }
 
-    /// What a datagram carries of members, within `max_bytes`.
+    /// Encodes statements for a datagram, at most `max_bytes`: first this director's own state, then changes
+    /// that are still to be announced.
     pub fn statements(&mut self, max_bytes: usize) -> Vec<u8> {
         let mut bytes = Vec::new();
-        let count = (max_bytes / ENTRY_BYTES).min(MAX_ENTRIES);
+        let count = (max_bytes / STATEMENT_BYTES).min(MAX_STATEMENTS);
         if count == 0 {
             return bytes;
         }
         self.own_statement().write_to(&mut bytes);
-        // What was announced least goes first.
-        let mut pending: Vec<(u32, u16)> = self.announcements.iter().map(|(id, left)| (*left, *id)).collect();
-        pending.sort_by_key(|(left, id)| (Reverse(*left), *id));
-        for (left, id) in pending.into_iter().take(count - 1) {
+        // Changes with the most remaining announcements come first.
+        let pending = self.announcements.iter().map(|(id, remaining)| (*remaining, *id));
+        let mut pending: Vec<(u32, u16)> = pending.collect();
+        pending.sort_by_key(|(remaining, id)| (Reverse(*remaining), *id));
+        for (remaining, id) in pending.into_iter().take(count - 1) {
             self.statement_of(id).write_to(&mut bytes);
-            if left > 1 {
-                self.announcements.insert(id, left - 1);
+            if remaining > 1 {
+                self.announcements.insert(id, remaining - 1);
             } else {
                 self.announcements.remove(&id);
             }
@@ -296,7 +311,7 @@
         bytes
     }
 
-    /// Does what is due: pings, suspicions and deaths.
+    /// Does what is due at this time: pings members, and declares unresponsive ones suspect or dead.
     pub fn tick(
         &mut self,
         now: Timestamp,
@@ -312,7 +327,7 @@
         }
         self.next_period_at = now + PERIOD;
         self.periods += 1;
-        self.suspect_unanswered(now, changes);
+        self.suspect_unresponsive(now, changes);
         self.declare_dead(now, changes);
         if let Some(member) = self.next_to_ping() {
             let header = self.next_header(DatagramKind::Ping);
@@ -322,7 +337,7 @@
         }
     }
 
-    /// Shuts down gracefully: all members that may be alive are notified.
+    /// Leaves the tier before a graceful shutdown: notifies all members that may be alive.
     pub fn leave(&mut self, outgoing: &mut Vec<OutgoingHeader>) {
         self.has_left = true;
         let may_be_alive = |member: &Member| member.state <= MemberState::Suspect;
@@ -334,12 +349,12 @@
         }
     }
 
-    /// How often the tier has doubled from a single member, rounded up.
-    fn doublings(&self) -> u64 {
+    /// The binary logarithm of the tier's size, rounded up.
+    fn tier_size_log2(&self) -> u64 {
         u64::from((self.members.len() as u64 + 1).next_power_of_two().trailing_zeros())
     }
 
-    /// A header with a sequence number of its own.
+    /// A header with a new sequence number.
     fn next_header(&mut self, kind: DatagramKind) -> Header {
         self.sequence = self.sequence.wrapping_add(1);
         Header {
@@ -347,26 +362,30 @@
             from: self.own_id,
             incarnation: self.incarnation,
             sequence: self.sequence,
-            about: self.own_id,
+            target: self.own_id,
         }
     }
 
-    fn ack(&self, sequence: u16, about: u16) -> Header {
-        Header { kind: DatagramKind::Ack, from: self.own_id, incarnation: self.incarnation, sequence, about }
+    /// The header of an ack to the ping or ping request with this sequence number.
+    fn ack(&self, sequence: u16, target: u16) -> Header {
+        Header { kind: DatagramKind::Ack, from: self.own_id, incarnation: self.incarnation, sequence, target }
     }
 
+    /// The statement about this director's own state.
     fn own_statement(&self) -> Statement {
         let state = if self.has_left { MemberState::Left } else { MemberState::Alive };
         Statement { member: self.own_id, state, incarnation: self.incarnation, revision: self.revision }
     }
 
+    /// The statement that repeats the known state of another member.
     fn statement_of(&self, id: u16) -> Statement {
         let Member { state, incarnation, revision, .. } = self.members[&id];
         Statement { member: id, state, incarnation, revision }
     }
 
+    /// Takes over the state in a statement, schedules its announcement, and reports the changes.
     fn set_state(&mut self, now: Timestamp, statement: &Statement, changes: &mut Vec<MembershipChange>) {
-        let announcements = ANNOUNCEMENTS * (self.doublings() as u32).max(1);
+        let announcements = ANNOUNCEMENTS_PER_DOUBLING * (self.tier_size_log2() as u32).max(1);
         let Statement { member: id, state, incarnation, revision } = *statement;
         let Some(member) = self.members.get_mut(&id) else { return };
         let has_changed = member.state != state;
@@ -382,8 +401,8 @@
         }
     }
 
-    /// Something came from an incarnation of a member.
-    fn record_sign_of_life(
+    /// Records that a member was heard from in this incarnation: unless it has left, it is alive.
+    fn record_contact(
         &mut self,
         now: Timestamp,
         id: u16,
@@ -395,17 +414,18 @@
             return;
         }
         let is_new = incarnation > member.incarnation;
-        // A late datagram must not revive a member that has left: a new incarnation comes with a newer number.
-        let is_doubted =
+        // A delayed datagram must not revive a member that has left: after a restart its incarnation is
+        // higher.
+        let can_revive =
             matches!(member.state, MemberState::Unknown | MemberState::Suspect | MemberState::Dead);
-        if is_new || is_doubted {
+        if is_new || can_revive {
             let revision = if is_new { 0 } else { member.revision };
             let alive = Statement { member: id, state: MemberState::Alive, incarnation, revision };
             self.set_state(now, &alive, changes);
         }
     }
 
-    /// Asks other members to ping the one that has not answered in time.
+    /// Asks other members to ping the member that has not answered this period's ping in time.
     fn send_indirect_pings(&mut self, now: Timestamp, outgoing: &mut Vec<OutgoingHeader>) {
         let Some(ping) = &mut self.pending_ping else { return };
         if ping.is_indirect || now < ping.sent_at + ACK_TIMEOUT {
@@ -416,20 +436,20 @@
         let mut relays = self.members_in(MemberState::Alive);
         relays.retain(|id| *id != member);
         relays.shuffle(&mut self.rng);
-        for to in relays.into_iter().take(INDIRECT_PINGS) {
+        for to in relays.into_iter().take(INDIRECT_PING_RELAYS) {
             let header = Header {
                 kind: DatagramKind::PingRequest,
                 from: self.own_id,
                 incarnation: self.incarnation,
                 sequence,
-                about: member,
+                target: member,
             };
             outgoing.push(OutgoingHeader { to, header });
         }
     }
 
-    /// Suspects the member that has not answered the ping of the last period.
-    fn suspect_unanswered(&mut self, now: Timestamp, changes: &mut Vec<MembershipChange>) {
+    /// Declares the member suspect that has not answered the ping of the last period.
+    fn suspect_unresponsive(&mut self, now: Timestamp, changes: &mut Vec<MembershipChange>) {
         let Some(ping) = self.pending_ping.take() else { return };
         if self.members[&ping.member].state == MemberState::Alive {
             let suspicion = Statement { state: MemberState::Suspect, ..self.statement_of(ping.member) };
@@ -437,9 +457,10 @@
         }
     }
 
-    /// Declares members dead that have been suspect for too long.
+    /// Declares members dead that have been suspect for [`MIN_SUSPECT_PERIODS`], plus one period for each
+    /// doubling of the tier's size.
     fn declare_dead(&mut self, now: Timestamp, changes: &mut Vec<MembershipChange>) {
-        let timeout = Micros((SUSPECT_PERIODS + self.doublings()) * PERIOD.0);
+        let timeout = Micros((MIN_SUSPECT_PERIODS + self.tier_size_log2()) * PERIOD.0);
         for id in self.members_in(MemberState::Suspect) {
             if now >= self.members[&id].since + timeout {
                 let death = Statement { state: MemberState::Dead, ..self.statement_of(id) };
@@ -448,18 +469,20 @@
         }
     }
 
-    /// The member to ping in this period: each in turn, in an order drawn for each round; now and then an absent one.
+    /// The member to ping in this period. Present members take turns, in a random order that is drawn for
+    /// each ping round; every [`ABSENT_PING_PERIODS`] periods, and while all members are absent, a random
+    /// absent member is pinged.
     fn next_to_ping(&mut self) -> Option<u16> {
         let absent: Vec<u16> =
             self.members().filter(|(_, member)| member.state.is_absent()).map(|(id, _)| id).collect();
-        let is_turn_of_absent =
-            self.periods.is_multiple_of(DEAD_PING_INTERVAL) || absent.len() == self.members.len();
-        if !absent.is_empty() && is_turn_of_absent {
+        let must_ping_absent =
+            self.periods.is_multiple_of(ABSENT_PING_PERIODS) || absent.len() == self.members.len();
+        if !absent.is_empty() && must_ping_absent {
             return Some(absent[self.rng.random_range(0..absent.len())]);
         }
-        self.next_present_member().or_else(|| {
+        self.next_in_round().or_else(|| {
             self.begin_ping_round();
-            let next = self.next_present_member();
+            let next = self.next_in_round();
             if next.is_none() {
                 self.begin_ping_round();
             }
@@ -467,8 +490,8 @@
         })
     }
 
-    /// The next member of this round that is not absent.
-    fn next_present_member(&mut self) -> Option<u16> {
+    /// The next member of this ping round that is not absent; `None` if the round is over.
+    fn next_in_round(&mut self) -> Option<u16> {
         while let Some(id) = self.ping_order.pop() {
             if !self.members[&id].state.is_absent() {
                 return Some(id);
@@ -477,6 +500,7 @@
         None
     }
 
+    /// Draws a new random order of all members.
     fn begin_ping_round(&mut self) {
         self.ping_order = self.members.keys().copied().collect();
         self.ping_order.shuffle(&mut self.rng);
@@ -487,35 +511,36 @@
         let ping = self.next_header(DatagramKind::Ping);
         self.relayed_pings.push_back(RelayedPing {
             sequence: ping.sequence,
-            member: request.about,
+            member: request.target,
             requester: request.from,
             requester_sequence: request.sequence,
             sent_at: now,
         });
-        let oldest_kept = Micros(RELAY_PERIODS * PERIOD.0);
-        let is_too_old = |ping: &RelayedPing| now > ping.sent_at + oldest_kept;
+        let max_age = Micros(RELAYED_PING_PERIODS * PERIOD.0);
+        let is_expired = |ping: &RelayedPing| now > ping.sent_at + max_age;
         while self.relayed_pings.len() > MAX_RELAYED_PINGS
-            || self.relayed_pings.front().is_some_and(is_too_old)
+            || self.relayed_pings.front().is_some_and(is_expired)
         {
             self.relayed_pings.pop_front();
         }
-        OutgoingHeader { to: request.about, header: ping }
+        OutgoingHeader { to: request.target, header: ping }
     }
 
-    /// The answer to the ping of this period, from the member itself or from one that pinged it for this director.
+    /// Handles an ack to the ping of this period, from the pinged member or from a member that pinged it on
+    /// request.
     fn handle_ack(&mut self, now: Timestamp, ack: Header, changes: &mut Vec<MembershipChange>) {
-        let is_answered = |ping: &PendingPing| ping.sequence == ack.sequence && ping.member == ack.about;
+        let is_answered = |ping: &PendingPing| ping.sequence == ack.sequence && ping.member == ack.target;
         if !self.pending_ping.as_ref().is_some_and(is_answered) {
             return;
         }
         self.pending_ping = None;
-        if ack.about != ack.from {
-            let incarnation = self.members[&ack.about].incarnation;
-            self.record_sign_of_life(now, ack.about, incarnation, changes);
+        if ack.target != ack.from {
+            let incarnation = self.members[&ack.target].incarnation;
+            self.record_contact(now, ack.target, incarnation, changes);
         }
     }
 
-    /// Passes the answer to a relayed ping on to the member that asked for it.
+    /// The ack for the member that asked for a ping, if `ack` answers such a ping.
     fn relay_ack(&mut self, ack: Header) -> Option<OutgoingHeader> {
         let is_answered = |ping: &RelayedPing| ping.sequence == ack.sequence && ping.member == ack.from;
         let position = self.relayed_pings.iter().position(is_answered)?;
@@ -524,13 +549,15 @@
         Some(OutgoingHeader { to: ping.requester, header })
     }
 
-    /// Refutes what others say of this director: a suspicion, or an incarnation that seems newer.
+    /// Refutes a statement about this director that says it is suspect, dead or has left, or that has a newer
+    /// incarnation.
     fn refute(&mut self, statement: &Statement) {
-        let is_doubted = statement.state >= MemberState::Suspect && statement.revision >= self.revision;
+        let denies_alive = statement.state >= MemberState::Suspect && statement.revision >= self.revision;
         if statement.incarnation > self.incarnation {
-            // The clock was wrong at one of the starts, or went back.
+            // The incarnation comes from the clock at the start, which was wrong at one of the starts or went
+            // back.
             self.begin_incarnation(statement.incarnation.saturating_add(1));
-        } else if statement.incarnation == self.incarnation && is_doubted && !self.has_left {
+        } else if statement.incarnation == self.incarnation && denies_alive && !self.has_left {
             self.revision = statement.revision.saturating_add(1);
             if self.revision == u16::MAX {
                 self.begin_incarnation(self.incarnation.saturating_add(1));
@@ -538,6 +565,7 @@
         }
     }
 
+    /// Continues as another incarnation, without refutations so far.
     fn begin_incarnation(&mut self, incarnation: u32) {
         self.incarnation = incarnation;
         self.revision = 0;
--- a/crates/wingfold-gossip/tests/encoding.rs
+++ b/crates/wingfold-gossip/tests/encoding.rs
@@ -12,7 +12,7 @@
     from: 0x0102,
     incarnation: 0x0304_0506,
     sequence: 0x0708,
-    about: 0x090A,
+    target: 0x090A,
 };
 
 #[test]
@@ -55,10 +55,11 @@
     assert!(store.publish(Timestamp(1_000_000), &BTreeMap::from([(key, report)])));
     let now = Timestamp(3_500_000);
     let owner = [1, 2, 3, 4, 5, 6];
-    // Health 1, two halvings (2 << 2) and warming up (1 << 4) in one byte; the age of 2.5 s in tenths of a second.
+    // Health 1, two halvings (2 << 2) and warming up (1 << 4) in one byte; the age of 2.5 s in tenths of a
+    // second.
     let entry = [3, 0x11, 0x22, 0x33, 0x44, 0x19, 0, 25, 7, 250, 0x12, 0x34];
     let in_order = [&owner[..], &[0, 0, 0, 0], &[0, 0, 0, 1], &entry].concat();
-    assert_eq!(store.missing(now, &[], 100, 4), vec![in_order.clone()]);
+    assert_eq!(store.missing_parts(now, &[], 100, 4), vec![in_order.clone()]);
     let urgent = [&owner[..], &[0, 0, 0, 1], &entry].concat();
     assert_eq!(store.urgent_part(now, 100), urgent);
     assert_eq!(store.digest(100), [&owner[..], &[0, 0, 0, 1]].concat());
@@ -73,7 +74,10 @@
         }
         assert_eq!(received.len(), 1);
         assert_eq!((received[0].owner, received[0].key), (0x0102, key));
-        assert_eq!((received[0].entry.report, received[0].entry.at), (report, Timestamp(1_000_000)));
+        assert_eq!(
+            (received[0].entry.report, received[0].entry.published_at),
+            (report, Timestamp(1_000_000))
+        );
     }
 }
 
@@ -81,10 +85,10 @@
 fn health_state_bits_are_fixed() {
     use HealthState::{Ejected, Healthy, Probation};
     for (health, bits) in [(Healthy, 0), (Ejected, 1), (Probation, 2)] {
-        let report = HostReport { health, weight_halvings: 1, ..HostReport::UNREMARKABLE };
+        let report = HostReport { health, weight_halvings: 1, ..HostReport::NORMAL };
         let mut store = EntryStore::new(1, 1);
         store.publish(Timestamp(0), &BTreeMap::from([(EntryKey { zone: 0, host: 0 }, report)]));
-        let part = store.missing(Timestamp(0), &[], 100, 1).remove(0);
+        let part = store.missing_parts(Timestamp(0), &[], 100, 1).remove(0);
         assert_eq!(part[14 + 5], bits | 1 << 2, "{health:?}");
     }
 }
--- a/crates/wingfold-gossip/tests/model.rs
+++ b/crates/wingfold-gossip/tests/model.rs
@@ -1,4 +1,5 @@
-//! Every order of a few steps: entries of two owners, exchanges whose parts are lost, doubled and overtaken, pushes, and a restart.
+//! Every order of a few steps: entries of two owners, exchanges whose parts are lost, doubled and overtaken,
+//! pushes, and a restart.
 
 use std::collections::BTreeMap;
 use wingfold_director::interface::Timestamp;
@@ -18,7 +19,8 @@
     incarnations: [u32; 3],
     in_flight: Vec<InFlight>,
     now: u64,
-    /// Every report that an owner ever had, by owner, incarnation and key, in its order; and how far each other one has come in it.
+    /// Every report that an owner ever had, by owner, incarnation and key, in its order; and how far each
+    /// other one has come in it.
     said: BTreeMap<(u16, u32, EntryKey), Vec<HostReport>>,
     heard: BTreeMap<(usize, u16, u32, EntryKey), usize>,
 }
@@ -43,8 +45,8 @@
     fn publish(&mut self, owner: usize, all: BTreeMap<EntryKey, HostReport>) {
         self.stores[owner].publish(Timestamp(self.now), &all);
         for key in KEYS {
-            let Some(numbered) = self.stores[owner].entry(owner as u16, key) else { continue };
-            let report = numbered.entry.report;
+            let Some(versioned) = self.stores[owner].entry(owner as u16, key) else { continue };
+            let report = versioned.entry.report;
             let said = self.said.entry((owner as u16, self.incarnations[owner], key)).or_default();
             if said.last() != Some(&report) {
                 said.push(report);
@@ -56,7 +58,7 @@
     fn exchange(&mut self, asks: usize, of: usize) {
         let digest = self.stores[asks].digest(200);
         // Room for one note a part: parts are many and can be lost one by one.
-        let parts = self.stores[of].missing(Timestamp(self.now), &digest, 14 + 12, 4);
+        let parts = self.stores[of].missing_parts(Timestamp(self.now), &digest, 14 + 12, 4);
         self.in_flight.extend(parts.into_iter().map(|part| InFlight::Entries(asks, part)));
     }
 
@@ -74,11 +76,16 @@
             }
         };
         for ReceivedEntry { owner, key, entry } in received {
-            let incarnation =
-                self.stores[to].known().find(|(id, _)| *id == owner).expect("it has entries").1.incarnation;
+            let incarnation = self.stores[to]
+                .known_versions()
+                .find(|(id, _)| *id == owner)
+                .expect("it has entries")
+                .1
+                .incarnation;
             let said = &self.said[&(owner, incarnation, key)];
             let heard = self.heard.entry((to, owner, incarnation, key)).or_insert(0);
-            // What is new here is something that its owner did say, and nothing older than what was known already.
+            // What is new here is something that its owner did say, and nothing older than what was known
+            // already.
             let at = (*heard..said.len()).find(|at| said[*at] == entry.report);
             let at =
                 at.unwrap_or_else(|| panic!("{entry:?} of {owner} goes back behind {heard} of {said:?}"));
@@ -147,8 +154,8 @@
                 for key in KEYS {
                     let own = self.stores[usize::from(owner)]
                         .entry(owner, key)
-                        .map(|numbered| numbered.entry.report);
-                    let known = self.stores[at].entry(owner, key).map(|numbered| numbered.entry.report);
+                        .map(|versioned| versioned.entry.report);
+                    let known = self.stores[at].entry(owner, key).map(|versioned| versioned.entry.report);
                     assert!(own.is_none() || own == known, "{at} knows {known:?} of {owner}'s {own:?}");
                 }
             }
--- a/crates/wingfold-gossip/tests/network.rs
+++ b/crates/wingfold-gossip/tests/network.rs
@@ -1,4 +1,5 @@
-//! A tier in virtual time over a network that loses, duplicates and delays datagrams, and cuts paths in one direction.
+//! A tier in virtual time over a network that loses, duplicates and delays datagrams, and cuts paths in one
+//! direction.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -116,7 +117,7 @@
         let keys = self.keys.clone();
         let config = GossipConfig {
             own_id: at,
-            count: self.count,
+            member_count: self.count,
             incarnation,
             seed: u64::from(at) * 7 + u64::from(incarnation),
             tier_hash: 5,
@@ -148,7 +149,8 @@
         }
     }
 
-    /// Time passes; every second each director gets load reports in which the hosts of `dead` fail every attempt.
+    /// Time passes; every second each director gets load reports in which the hosts of `dead` fail every
+    /// attempt.
     fn run(&mut self, secs: f64, dead: &BTreeMap<u16, Vec<u32>>) {
         let end = self.now + (secs * 1e6) as u64;
         while self.now < end {
@@ -207,11 +209,11 @@
 
     /// All know each other's entries up to the last.
     fn converged(&self) -> bool {
-        let known = |of: &u16| self.nodes[of].0.entries().known().collect::<BTreeMap<_, _>>();
+        let known = |of: &u16| self.nodes[of].0.entries().known_versions().collect::<BTreeMap<_, _>>();
         self.nodes.keys().all(|of| {
             let mine = known(of);
             self.nodes.keys().all(|at| {
-                known(at).get(at).is_none_or(|theirs| theirs.up_to == 0 || mine.get(at) == Some(theirs))
+                known(at).get(at).is_none_or(|theirs| theirs.version == 0 || mine.get(at) == Some(theirs))
             })
         })
     }
