--- a/crates/wingfold-gossip/tests/network.rs
+++ b/crates/wingfold-gossip/tests/network.rs
@@ -1,5 +1,5 @@
-//! A tier in virtual time over a network that loses, duplicates and delays datagrams, and cuts paths in one
-//! direction.
+//! A tier of directors in simulated time. The network between them loses, duplicates and delays datagrams,
+//! and can cut paths in one direction.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -11,33 +11,48 @@
 use wingfold_gossip::membership::MemberState;
 use wingfold_gossip::{Gossip, GossipConfig, GossipOutput};
 
-const TICK: u64 = 100_000;
+/// Interval at which the simulated time advances, in microseconds.
+const TICK_US: u64 = 100_000;
 
-/// When it lands, its number, to whom, and what.
-type InFlight = (u64, u64, u16, Vec<u8>);
+/// A datagram in transit. The order of the fields makes datagrams arrive by time, then in the order of
+/// sending.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct InFlight {
+    arrives_at_us: u64,
+    number: u64,
+    to: u16,
+    bytes: Vec<u8>,
+}
 
-/// Directors with a little to say, and the network between them.
+/// The running directors of a tier, and the network between them.
 struct Network {
-    now: u64,
+    now_us: u64,
     rng: ChaCha8Rng,
-    loss: f64,
-    duplication: f64,
-    delay: (u64, u64),
-    /// Paths that carry nothing, from whom to whom.
-    cut: BTreeSet<(u16, u16)>,
+    /// Share of datagrams that are lost.
+    loss_ratio: f64,
+    /// Share of datagrams that arrive twice.
+    duplication_ratio: f64,
+    /// Shortest and longest delay of a datagram.
+    delay_us: (u64, u64),
+    /// Senders and receivers of paths that lose all datagrams.
+    cut_paths: BTreeSet<(u16, u16)>,
     nodes: BTreeMap<u16, (Gossip, Director)>,
     in_flight: BinaryHeap<std::cmp::Reverse<InFlight>>,
-    number: u64,
+    /// Number of the last datagram put in transit.
+    last_number: u64,
+    /// All advice given since the start of each director.
     advice: BTreeMap<u16, Vec<PeerAdvice>>,
-    bytes: u64,
-    datagrams: u64,
-    largest: usize,
-    old: Vec<(u16, Vec<u8>)>,
+    sent_bytes: u64,
+    sent_datagrams: u64,
+    largest_datagram: usize,
+    /// The first 200 datagrams sent, and their receivers, for replay.
+    early_datagrams: Vec<(u16, Vec<u8>)>,
+    /// Keys of directors that are started from now on.
     keys: Vec<Vec<u8>>,
-    count: u16,
+    member_count: u16,
 }
 
-fn settings(me: u32, directors: u32) -> Settings {
+fn settings(index: u32, directors: u32) -> Settings {
     let class = Class {
         latency_objective: Micros(1_000_000),
         deadline: Micros(3_000_000),
@@ -48,7 +63,7 @@
         allowed_machine_types: Vec::new(),
     };
     Settings {
-        director_index: me,
+        director_index: index,
         directors,
         zones: vec![ZoneId("a".into()), ZoneId("b".into())],
         classes: vec![class],
@@ -66,353 +81,382 @@
     }
 }
 
-fn host(at: u32) -> HostId {
-    HostId(format!("10.0.0.{at}:8443").into())
+fn host(number: u32) -> HostId {
+    HostId(format!("10.0.0.{number}:8443").into())
 }
 
-/// A director with ten hosts and a proxy in zone a.
-fn director(me: u32, count: u32, now: u64) -> Director {
-    let mut director = Director::new(settings(me, count), 1);
-    let entry = |at: u32| Endpoint {
-        host: host(at),
+/// A director with ten hosts in two zones, and a proxy in zone a.
+fn director(index: u32, count: u32, now_us: u64) -> Director {
+    let mut director = Director::new(settings(index, count), 1);
+    let endpoint = |number: u32| Endpoint {
+        host: host(number),
         machine_type: "box".into(),
-        zone: ZoneId(if at.is_multiple_of(2) { "a" } else { "b" }.into()),
+        zone: ZoneId(if number.is_multiple_of(2) { "a" } else { "b" }.into()),
         readiness: Readiness::Ready,
         weight: 1.0,
         started_at: None,
     };
     let events = [
-        Event::EndpointList { kind: EndpointListKind::Complete, endpoints: (0..10).map(entry).collect() },
-        Event::ProxyConnected { proxy: ProxyId(me), zone: ZoneId("a".into()), requests_per_s: 20.0 },
+        Event::EndpointList { kind: EndpointListKind::Complete, endpoints: (0..10).map(endpoint).collect() },
+        Event::ProxyConnected { proxy: ProxyId(index), zone: ZoneId("a".into()), requests_per_s: 20.0 },
     ];
-    director.handle(Timestamp(now), &events, &mut Vec::new());
+    director.handle(Timestamp(now_us), &events, &mut Vec::new());
     director
 }
 
 impl Network {
-    fn new(count: u16, seed: u64) -> Network {
-        let mut net = Network {
-            now: 1_000_000,
+    /// A tier in which all directors have just started, with incarnation 1.
+    fn new(member_count: u16, seed: u64) -> Network {
+        let mut network = Network {
+            now_us: 1_000_000,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            loss: 0.0,
-            duplication: 0.0,
-            delay: (1_000, 20_000),
-            cut: BTreeSet::new(),
+            loss_ratio: 0.0,
+            duplication_ratio: 0.0,
+            delay_us: (1_000, 20_000),
+            cut_paths: BTreeSet::new(),
             nodes: BTreeMap::new(),
             in_flight: BinaryHeap::new(),
-            number: 0,
+            last_number: 0,
             advice: BTreeMap::new(),
-            bytes: 0,
-            datagrams: 0,
-            largest: 0,
-            old: Vec::new(),
+            sent_bytes: 0,
+            sent_datagrams: 0,
+            largest_datagram: 0,
+            early_datagrams: Vec::new(),
             keys: Vec::new(),
-            count,
+            member_count,
         };
-        (0..count).for_each(|at| net.start(at, 1));
-        net
+        (0..member_count).for_each(|id| network.start(id, 1));
+        network
     }
 
-    fn start(&mut self, at: u16, incarnation: u32) {
+    /// Starts or restarts a director without any state.
+    fn start(&mut self, id: u16, incarnation: u32) {
         let keys = self.keys.clone();
         let config = GossipConfig {
-            own_id: at,
-            member_count: self.count,
+            own_id: id,
+            member_count: self.member_count,
             incarnation,
-            seed: u64::from(at) * 7 + u64::from(incarnation),
+            seed: u64::from(id) * 7 + u64::from(incarnation),
             tier_hash: 5,
             keys,
         };
-        let gossip = Gossip::new(config, Timestamp(self.now));
-        let director = director(u32::from(at), u32::from(self.count), self.now);
-        self.advice.remove(&at);
-        self.nodes.insert(at, (gossip, director));
+        let gossip = Gossip::new(config, Timestamp(self.now_us));
+        let director = director(u32::from(id), u32::from(self.member_count), self.now_us);
+        self.advice.remove(&id);
+        self.nodes.insert(id, (gossip, director));
     }
 
-    fn send(&mut self, from: u16, out: GossipOutput) {
-        for OutgoingDatagram { to, bytes } in out.datagrams {
-            self.bytes += bytes.len() as u64;
-            self.datagrams += 1;
-            self.largest = self.largest.max(bytes.len());
-            if self.old.len() < 200 {
-                self.old.push((to, bytes.clone()));
+    /// Puts the datagrams of a director in transit, as far as they are not lost.
+    fn send(&mut self, from: u16, output: GossipOutput) {
+        for OutgoingDatagram { to, bytes } in output.datagrams {
+            self.sent_bytes += bytes.len() as u64;
+            self.sent_datagrams += 1;
+            self.largest_datagram = self.largest_datagram.max(bytes.len());
+            if self.early_datagrams.len() < 200 {
+                self.early_datagrams.push((to, bytes.clone()));
             }
-            if self.cut.contains(&(from, to)) || self.rng.random::<f64>() < self.loss {
+            if self.cut_paths.contains(&(from, to)) || self.rng.random::<f64>() < self.loss_ratio {
                 continue;
             }
-            let times = if self.rng.random::<f64>() < self.duplication { 2 } else { 1 };
-            for _ in 0..times {
-                self.number += 1;
-                let at = self.now + self.rng.random_range(self.delay.0..=self.delay.1);
-                self.in_flight.push(std::cmp::Reverse((at, self.number, to, bytes.clone())));
+            let copies = if self.rng.random::<f64>() < self.duplication_ratio { 2 } else { 1 };
+            for _ in 0..copies {
+                self.last_number += 1;
+                let arrives_at_us = self.now_us + self.rng.random_range(self.delay_us.0..=self.delay_us.1);
+                let datagram = InFlight { arrives_at_us, number: self.last_number, to, bytes: bytes.clone() };
+                self.in_flight.push(std::cmp::Reverse(datagram));
             }
         }
     }
 
-    /// Time passes; every second each director gets load reports in which the hosts of `dead` fail every
-    /// attempt.
-    fn run(&mut self, secs: f64, dead: &BTreeMap<u16, Vec<u32>>) {
-        let end = self.now + (secs * 1e6) as u64;
-        while self.now < end {
-            self.now += TICK;
-            while self.in_flight.peek().is_some_and(|next| next.0 .0 <= self.now) {
-                let Some(std::cmp::Reverse((_, _, to, bytes))) = self.in_flight.pop() else { break };
-                let mut out = GossipOutput::default();
+    /// Advances the time. Every second each director gets load reports on its hosts; `failing` holds, by
+    /// director, the hosts that fail every attempt.
+    fn run(&mut self, duration_s: f64, failing: &BTreeMap<u16, Vec<u32>>) {
+        let end_us = self.now_us + (duration_s * 1e6) as u64;
+        while self.now_us < end_us {
+            self.now_us += TICK_US;
+            while self.in_flight.peek().is_some_and(|next| next.0.arrives_at_us <= self.now_us) {
+                let Some(std::cmp::Reverse(InFlight { to, bytes, .. })) = self.in_flight.pop() else { break };
+                let mut output = GossipOutput::default();
                 if let Some((gossip, _)) = self.nodes.get_mut(&to) {
-                    gossip.handle_datagram(Timestamp(self.now), &bytes, &mut out);
+                    gossip.handle_datagram(Timestamp(self.now_us), &bytes, &mut output);
                 }
-                self.send(to, out);
+                self.send(to, output);
             }
             let ids: Vec<u16> = self.nodes.keys().copied().collect();
-            for at in ids {
-                let mut out = GossipOutput::default();
-                let now = Timestamp(self.now);
-                let Some((gossip, director)) = self.nodes.get_mut(&at) else { continue };
-                if self.now.is_multiple_of(1_000_000) {
-                    let lost = dead.get(&at).cloned().unwrap_or_default();
-                    let reports = (0..10).map(|one| {
-                        let total = 8;
-                        let lost = if lost.contains(&one) { total } else { 0 };
-                        let sums = AttemptCounts { total, failed: lost, period: Micros(1_000_000) };
-                        Event::LoadReport {
-                            zone: ZoneId("a".into()),
-                            host: host(one),
-                            attempts: sums,
-                            mean_latency: Micros(90_000),
-                            load: HostLoad::default(),
-                        }
-                    });
+            for id in ids {
+                let mut output = GossipOutput::default();
+                let now = Timestamp(self.now_us);
+                let Some((gossip, director)) = self.nodes.get_mut(&id) else { continue };
+                if self.now_us.is_multiple_of(1_000_000) {
+                    let failing_hosts = failing.get(&id).cloned().unwrap_or_default();
+                    let reports = (0..10).map(|number| load_report(number, failing_hosts.contains(&number)));
                     director.handle(now, &reports.collect::<Vec<_>>(), &mut Vec::new());
                 } else {
                     director.handle(now, &[Event::TimerFired(0)], &mut Vec::new());
                 }
-                gossip.tick(now, director, &mut out);
+                gossip.tick(now, director, &mut output);
                 let advice = gossip.advice(now, director);
-                self.advice.entry(at).or_default().extend(advice);
-                self.send(at, out);
+                self.advice.entry(id).or_default().extend(advice);
+                self.send(id, output);
             }
         }
     }
 
-    fn standing(&self, of: u16, at: u16) -> MemberState {
-        self.nodes[&of].0.membership().state(at)
+    /// The state of a member as an observer knows it.
+    fn state_seen_by(&self, observer: u16, member: u16) -> MemberState {
+        self.nodes[&observer].0.membership().state(member)
     }
 
-    /// All directors that run agree on how this one stands.
-    fn all_see(&self, at: u16, standing: MemberState) -> bool {
-        self.nodes.keys().filter(|of| **of != at).all(|of| self.standing(*of, at) == standing)
+    /// Whether all other running directors know the member in this state.
+    fn all_consider(&self, member: u16, state: MemberState) -> bool {
+        let mut observers = self.nodes.keys().filter(|observer| **observer != member);
+        observers.all(|observer| self.state_seen_by(*observer, member) == state)
     }
 
-    fn all_are_alive(&self) -> bool {
-        self.nodes.keys().all(|at| self.all_see(*at, MemberState::Alive))
+    fn all_consider_all_alive(&self) -> bool {
+        self.nodes.keys().all(|member| self.all_consider(*member, MemberState::Alive))
     }
 
-    /// All know each other's entries up to the last.
-    fn converged(&self) -> bool {
-        let known = |of: &u16| self.nodes[of].0.entries().known_versions().collect::<BTreeMap<_, _>>();
-        self.nodes.keys().all(|of| {
-            let mine = known(of);
-            self.nodes.keys().all(|at| {
-                known(at).get(at).is_none_or(|theirs| theirs.version == 0 || mine.get(at) == Some(theirs))
+    /// Whether all running directors know all of each other's entries.
+    fn has_converged(&self) -> bool {
+        let known_by = |id: &u16| self.nodes[id].0.entries().known_versions().collect::<BTreeMap<_, _>>();
+        self.nodes.keys().all(|observer| {
+            let known = known_by(observer);
+            self.nodes.keys().all(|owner| {
+                let own = known_by(owner).get(owner).copied();
+                own.is_none_or(|own| own.version == 0 || known.get(owner) == Some(&own))
             })
         })
     }
 }
 
-fn none() -> BTreeMap<u16, Vec<u32>> {
+/// A report of zone a on eight attempts at a host.
+fn load_report(number: u32, all_fail: bool) -> Event {
+    let total = 8;
+    let failed = if all_fail { total } else { 0 };
+    Event::LoadReport {
+        zone: ZoneId("a".into()),
+        host: host(number),
+        attempts: AttemptCounts { total, failed, period: Micros(1_000_000) },
+        mean_latency: Micros(90_000),
+        load: HostLoad::default(),
+    }
+}
+
+/// Input of [`Network::run`] for a time in which no host fails.
+fn no_failures() -> BTreeMap<u16, Vec<u32>> {
     BTreeMap::new()
 }
 
 #[test]
-fn members_find_each_other_and_one_that_dies_is_dead_for_all_under_loss() {
-    for (loss, within) in [(0.0, 12.0), (0.1, 15.0), (0.3, 25.0), (0.6, 90.0)] {
+fn dead_member_is_detected_by_all_under_loss() {
+    for (loss, within_s) in [(0.0, 12.0), (0.1, 15.0), (0.3, 25.0), (0.6, 90.0)] {
         for seed in 0..3 {
-            let mut net = Network::new(6, seed);
-            (net.loss, net.duplication) = (loss, 0.1);
-            net.run(if loss > 0.5 { 40.0 } else { 15.0 }, &none());
-            // At such losses somebody is always suspect for a moment, and says so himself.
+            let mut network = Network::new(6, seed);
+            (network.loss_ratio, network.duplication_ratio) = (loss, 0.1);
+            network.run(if loss > 0.5 { 40.0 } else { 15.0 }, &no_failures());
+            // At higher loss some member is suspect at almost any time, until it refutes this.
             if loss < 0.2 {
-                assert!(net.all_are_alive(), "loss {loss}, seed {seed}");
+                assert!(network.all_consider_all_alive(), "loss {loss}, seed {seed}");
             }
-            net.nodes.remove(&3);
-            net.run(within, &none());
-            let is_doubted = |of: &u16| net.standing(*of, 3) >= MemberState::Suspect;
-            assert!(net.nodes.keys().all(is_doubted), "loss {loss}, seed {seed}");
-            net.loss = 0.0;
-            net.run(30.0, &none());
-            assert!(net.all_see(3, MemberState::Dead), "loss {loss}, seed {seed}");
-            let live: Vec<u16> = net.nodes.keys().copied().collect();
-            for at in live {
+            network.nodes.remove(&3);
+            network.run(within_s, &no_failures());
+            let suspects_3 = |observer: &u16| network.state_seen_by(*observer, 3) >= MemberState::Suspect;
+            assert!(network.nodes.keys().all(suspects_3), "loss {loss}, seed {seed}");
+            network.loss_ratio = 0.0;
+            network.run(30.0, &no_failures());
+            assert!(network.all_consider(3, MemberState::Dead), "loss {loss}, seed {seed}");
+            let running: Vec<u16> = network.nodes.keys().copied().collect();
+            for id in running {
                 assert!(
-                    net.all_see(at, MemberState::Alive),
-                    "no live one is held dead for good: {at}, seed {seed}"
+                    network.all_consider(id, MemberState::Alive),
+                    "running member {id} is not considered alive by all, loss {loss}, seed {seed}"
                 );
             }
-            assert!(net.largest <= 256);
+            assert!(network.largest_datagram <= 256);
         }
     }
 }
 
 #[test]
-fn a_path_cut_in_one_direction_kills_nobody() {
-    let mut net = Network::new(5, 4);
-    net.run(10.0, &none());
-    // Nothing from 0 reaches 1; all else goes on.
-    net.cut.insert((0, 1));
+fn one_way_path_cut_makes_no_member_dead() {
+    let mut network = Network::new(5, 4);
+    network.run(10.0, &no_failures());
+    // Datagrams from 0 to 1 are lost; all other paths work.
+    network.cut_paths.insert((0, 1));
     for _ in 0..40 {
-        net.run(1.0, &none());
-        assert_ne!(net.standing(0, 1), MemberState::Dead, "1 is asked after through others");
-        assert_ne!(net.standing(1, 0), MemberState::Dead);
+        network.run(1.0, &no_failures());
+        assert_ne!(network.state_seen_by(0, 1), MemberState::Dead, "indirect pings reach 1");
+        assert_ne!(network.state_seen_by(1, 0), MemberState::Dead);
     }
 }
 
 #[test]
-fn halves_that_were_partitioned_for_a_minute_find_each_other_and_exchange_what_they_learned() {
+fn healed_partition_rejoins_and_exchanges_entries() {
     for seed in 0..3 {
-        let mut net = Network::new(4, seed);
-        net.run(8.0, &none());
-        for (one, other) in [(0, 2), (0, 3), (1, 2), (1, 3)] {
-            net.cut.extend([(one, other), (other, one)]);
+        let mut network = Network::new(4, seed);
+        network.run(8.0, &no_failures());
+        for (first, second) in [(0, 2), (0, 3), (1, 2), (1, 3)] {
+            network.cut_paths.extend([(first, second), (second, first)]);
         }
-        // Each half learns something else meanwhile: contradicting pictures.
-        let dead = BTreeMap::from([(0, vec![1]), (1, vec![1]), (2, vec![4]), (3, vec![4])]);
-        net.run(60.0, &dead);
-        assert_eq!((net.standing(0, 2), net.standing(3, 1)), (MemberState::Dead, MemberState::Dead));
-        net.cut.clear();
-        net.run(30.0, &dead);
-        assert!(net.all_are_alive(), "seed {seed}");
-        assert!(net.converged(), "seed {seed}");
-        let out = |at: u16, of: u32| net.advice[&at].iter().any(|a| a.host == host(of) && a.ejected);
-        assert!(out(0, 4) && out(2, 1), "seed {seed}: each knows what the other half saw");
+        // Different hosts fail for the two sides of the partition.
+        let failing = BTreeMap::from([(0, vec![1]), (1, vec![1]), (2, vec![4]), (3, vec![4])]);
+        network.run(60.0, &failing);
+        assert_eq!(
+            (network.state_seen_by(0, 2), network.state_seen_by(3, 1)),
+            (MemberState::Dead, MemberState::Dead)
+        );
+        network.cut_paths.clear();
+        network.run(30.0, &failing);
+        assert!(network.all_consider_all_alive(), "seed {seed}");
+        assert!(network.has_converged(), "seed {seed}");
+        let is_advised_ejected = |director: u16, number: u32| {
+            network.advice[&director].iter().any(|advice| advice.host == host(number) && advice.ejected)
+        };
+        assert!(
+            is_advised_ejected(0, 4) && is_advised_ejected(2, 1),
+            "seed {seed}: entries of the other side are missing"
+        );
     }
 }
 
 #[test]
-fn a_restart_is_told_from_a_recovery_and_old_datagrams_revive_nobody() {
-    let mut net = Network::new(3, 1);
-    net.run(8.0, &BTreeMap::from([(2, vec![4])]));
-    let old = net.old.clone();
-    // Twice within a second, the second time with a clock that went back.
-    net.start(2, 5);
-    net.run(0.4, &none());
-    net.start(2, 3);
-    net.run(12.0, &BTreeMap::from([(2, vec![6])]));
-    assert!(net.all_are_alive() && net.converged());
-    let incarnation = net.nodes[&2].0.membership().incarnation();
-    assert!(incarnation > 5, "it went beyond its own last incarnation: {incarnation}");
-    net.nodes.remove(&2);
-    net.run(25.0, &none());
-    assert!(net.all_see(2, MemberState::Dead));
-    for (to, bytes) in old {
-        if let Some((gossip, _)) = net.nodes.get_mut(&to) {
-            gossip.handle_datagram(Timestamp(net.now), &bytes, &mut GossipOutput::default());
+fn restarts_raise_incarnation_and_old_datagrams_revive_no_member() {
+    let mut network = Network::new(3, 1);
+    network.run(8.0, &BTreeMap::from([(2, vec![4])]));
+    let old_datagrams = network.early_datagrams.clone();
+    // Member 2 restarts twice within a second; before the second restart its clock went back.
+    network.start(2, 5);
+    network.run(0.4, &no_failures());
+    network.start(2, 3);
+    network.run(12.0, &BTreeMap::from([(2, vec![6])]));
+    assert!(network.all_consider_all_alive() && network.has_converged());
+    let incarnation = network.nodes[&2].0.membership().incarnation();
+    assert!(incarnation > 5, "incarnation {incarnation} is not higher than that before the restart");
+    network.nodes.remove(&2);
+    network.run(25.0, &no_failures());
+    assert!(network.all_consider(2, MemberState::Dead));
+    for (to, bytes) in old_datagrams {
+        if let Some((gossip, _)) = network.nodes.get_mut(&to) {
+            gossip.handle_datagram(Timestamp(network.now_us), &bytes, &mut GossipOutput::default());
         }
     }
-    assert!(net.all_see(2, MemberState::Dead), "datagrams of an earlier incarnation");
+    assert!(network.all_consider(2, MemberState::Dead), "datagrams of an old incarnation revived the member");
 }
 
 #[test]
-fn a_graceful_shutdown_is_known_at_once() {
-    let mut net = Network::new(4, 2);
-    net.run(8.0, &none());
-    let mut out = GossipOutput::default();
-    let now = Timestamp(net.now);
-    net.nodes.get_mut(&1).unwrap().0.leave(now, &mut out);
-    net.send(1, out);
-    net.nodes.remove(&1);
-    net.run(0.3, &none());
-    assert!(net.all_see(1, MemberState::Left));
-    net.start(1, 2);
-    net.run(8.0, &none());
-    assert!(net.all_are_alive(), "and back in its next incarnation");
+fn graceful_shutdown_is_known_to_all_within_300_ms() {
+    let mut network = Network::new(4, 2);
+    network.run(8.0, &no_failures());
+    let mut output = GossipOutput::default();
+    let now = Timestamp(network.now_us);
+    network.nodes.get_mut(&1).unwrap().0.leave(now, &mut output);
+    network.send(1, output);
+    network.nodes.remove(&1);
+    network.run(0.3, &no_failures());
+    assert!(network.all_consider(1, MemberState::Left));
+    network.start(1, 2);
+    network.run(8.0, &no_failures());
+    assert!(network.all_consider_all_alive(), "the member does not rejoin in its next incarnation");
 }
 
 #[test]
-fn what_one_director_learned_reaches_the_others_and_a_restarted_one_soon() {
-    for (loss, soon) in [(0.0, 1.0), (0.1, 1.5), (0.3, 3.0)] {
+fn entries_reach_other_directors_and_a_restarted_one() {
+    for (loss, within_s) in [(0.0, 1.0), (0.1, 1.5), (0.3, 3.0)] {
         for seed in 0..5 {
-            let mut net = Network::new(2, seed);
-            net.loss = loss;
-            let dead = BTreeMap::from([(0, vec![2, 5])]);
-            net.run(20.0, &dead);
-            let knows = |net: &Network, at: u16| {
-                [2, 5].iter().all(|of| net.advice.get(&at).into_iter().flatten().any(|a| a.host == host(*of)))
+            let mut network = Network::new(2, seed);
+            network.loss_ratio = loss;
+            let failing = BTreeMap::from([(0, vec![2, 5])]);
+            network.run(20.0, &failing);
+            let director_1_has_advice = |network: &Network| {
+                let advice: Vec<&PeerAdvice> = network.advice.get(&1).into_iter().flatten().collect();
+                [2, 5].iter().all(|number| advice.iter().any(|advice| advice.host == host(*number)))
             };
-            assert!(knows(&net, 1), "loss {loss}, seed {seed}");
-            net.start(1, 2);
-            assert!(!knows(&net, 1));
-            net.run(soon, &dead);
-            assert!(knows(&net, 1), "loss {loss}, seed {seed}: within {soon} s");
+            assert!(director_1_has_advice(&network), "loss {loss}, seed {seed}");
+            network.start(1, 2);
+            assert!(!director_1_has_advice(&network));
+            network.run(within_s, &failing);
+            assert!(
+                director_1_has_advice(&network),
+                "loss {loss}, seed {seed}: no advice within {within_s} s of the restart"
+            );
         }
     }
 }
 
 #[test]
-fn traffic_is_bounded_whatever_the_size() {
-    for (count, most) in [(2u16, 700.0), (6, 1300.0), (50, 2300.0)] {
-        let mut net = Network::new(count, 3);
-        net.run(10.0, &none());
-        (net.bytes, net.datagrams) = (0, 0);
-        net.run(20.0, &none());
-        assert!(net.all_are_alive() || count == 50, "{count}");
-        let bytes = net.bytes as f64 / 20.0 / f64::from(count);
-        let datagrams = net.datagrams as f64 / 20.0 / f64::from(count);
-        println!("{count} directors: {bytes:.0} bytes and {datagrams:.1} datagrams a second and director");
-        assert!(bytes < most, "{count}: {bytes}");
+fn traffic_per_director_is_bounded_for_2_to_50_directors() {
+    for (count, max_bytes_per_s) in [(2u16, 700.0), (6, 1300.0), (50, 2300.0)] {
+        let mut network = Network::new(count, 3);
+        network.run(10.0, &no_failures());
+        (network.sent_bytes, network.sent_datagrams) = (0, 0);
+        network.run(20.0, &no_failures());
+        assert!(network.all_consider_all_alive() || count == 50, "{count}");
+        let bytes_per_s = network.sent_bytes as f64 / 20.0 / f64::from(count);
+        let datagrams_per_s = network.sent_datagrams as f64 / 20.0 / f64::from(count);
+        println!(
+            "{count} directors: {bytes_per_s:.0} bytes/s and {datagrams_per_s:.1} datagrams/s per director"
+        );
+        assert!(bytes_per_s < max_bytes_per_s, "{count} directors: {bytes_per_s} bytes/s per director");
     }
 }
 
 #[test]
-fn tiers_with_keys_reject_other_senders_and_change_keys_without_a_gap() {
-    let mut net = Network::new(3, 6);
-    net.keys = vec![b"first".to_vec()];
-    (0..3).for_each(|at| net.start(at, 2));
-    net.run(8.0, &none());
-    assert!(net.all_are_alive());
+fn key_replacement_loses_no_datagram_and_replays_are_rejected() {
+    let mut network = Network::new(3, 6);
+    network.keys = vec![b"first".to_vec()];
+    (0..3).for_each(|id| network.start(id, 2));
+    network.run(8.0, &no_failures());
+    assert!(network.all_consider_all_alive());
     for keys in [vec!["first", "second"], vec!["second", "first"], vec!["second"]] {
         let keys: Vec<Vec<u8>> = keys.into_iter().map(|key| key.as_bytes().to_vec()).collect();
-        for at in 0..3 {
-            net.nodes.get_mut(&at).unwrap().0.replace_keys(keys.clone());
-            net.run(1.0, &none());
-            assert!(net.all_are_alive());
+        for id in 0..3 {
+            network.nodes.get_mut(&id).unwrap().0.replace_keys(keys.clone());
+            network.run(1.0, &no_failures());
+            assert!(network.all_consider_all_alive());
         }
     }
-    let refused = |net: &Network| {
-        net.nodes.values().map(|(gossip, _)| gossip.rejections().unauthenticated).sum::<u64>()
+    let unauthenticated = |network: &Network| {
+        network.nodes.values().map(|(gossip, _)| gossip.rejections().unauthenticated).sum::<u64>()
     };
-    assert_eq!(refused(&net), 0);
-    // Directors without the key, and one that repeats what it overheard.
-    let replayed = net.old.clone();
-    let taken = net.nodes[&0].0.counts.datagrams_received;
+    assert_eq!(unauthenticated(&network), 0);
+    // Datagrams signed with a key that has been removed are sent again.
+    let replayed = network.early_datagrams.clone();
+    let received_before = network.nodes[&0].0.counts.datagrams_received;
     for (_, bytes) in replayed.iter().take(50) {
-        net.nodes.get_mut(&0).unwrap().0.handle_datagram(
-            Timestamp(net.now),
+        network.nodes.get_mut(&0).unwrap().0.handle_datagram(
+            Timestamp(network.now_us),
             bytes,
             &mut GossipOutput::default(),
         );
     }
-    assert_eq!(net.nodes[&0].0.counts.datagrams_received, taken);
+    assert_eq!(network.nodes[&0].0.counts.datagrams_received, received_before);
     assert!({
-        let Rejections { unauthenticated, replayed } = net.nodes[&0].0.rejections();
+        let Rejections { unauthenticated, replayed } = network.nodes[&0].0.rejections();
         unauthenticated + replayed >= 50
     });
 }
 
 #[test]
-fn a_director_alone_sends_nothing() {
-    let mut net = Network::new(1, 0);
-    net.run(30.0, &BTreeMap::from([(0, vec![1])]));
-    assert_eq!(net.datagrams, 0);
+fn single_director_sends_no_datagram() {
+    let mut network = Network::new(1, 0);
+    network.run(30.0, &BTreeMap::from([(0, vec![1])]));
+    assert_eq!(network.sent_datagrams, 0);
 }
 
 #[test]
-fn fifty_directors_that_start_at_once_find_each_other() {
-    let mut net = Network::new(50, 8);
-    net.loss = 0.05;
-    net.run(60.0, &none());
-    let pairs = || net.nodes.keys().flat_map(|of| net.nodes.keys().map(move |at| (*of, *at)));
-    let seen = |standing| pairs().filter(|(of, at)| of != at && net.standing(*of, *at) == standing).count();
-    assert_eq!(seen(MemberState::Dead), 0);
-    // A suspicion told by one is with many for a moment before it is denied.
-    assert!(seen(MemberState::Alive) >= 50 * 49 * 95 / 100, "{}", seen(MemberState::Alive));
+fn fifty_directors_started_at_once_find_each_other() {
+    let mut network = Network::new(50, 8);
+    network.loss_ratio = 0.05;
+    network.run(60.0, &no_failures());
+    let ids = || network.nodes.keys().copied();
+    let pairs = || ids().flat_map(|observer| ids().map(move |member| (observer, member)));
+    let is_seen_in =
+        |observer, member, state| observer != member && network.state_seen_by(observer, member) == state;
+    let count_seen =
+        |state| pairs().filter(|(observer, member)| is_seen_in(*observer, *member, state)).count();
+    assert_eq!(count_seen(MemberState::Dead), 0);
+    // A suspicion spreads to many members before the suspect member refutes it.
+    let alive_pairs = count_seen(MemberState::Alive);
+    assert!(alive_pairs >= 50 * 49 * 95 / 100, "{alive_pairs} pairs alive");
 }
