--- a/crates/wingfold-archive/src/archive.rs
+++ b/crates/wingfold-archive/src/archive.rs
@@ -1,4 +1,5 @@
-//! Reads captures: one segment, a folder of them, or a folder with one director's folder.
+//! Reads captures: a single segment file, a director's folder of segments, or a folder that contains the
+//! folder of one director.
 
 use crate::folder;
 use std::io;
@@ -10,34 +11,35 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ArchiveError {
     /// A file or folder cannot be read.
-    #[error("{path}: {problem}")]
+    #[error("{path}: {error}")]
     Io {
-        /// The path that was opened.
+        /// The path of the capture to open.
         path: PathBuf,
-        /// What went wrong.
-        problem: io::Error,
+        /// The error of the operating system.
+        error: io::Error,
     },
-    /// There are no segments.
-    #[error("{0}: no capture is here (files that end in .wfcap)")]
-    Empty(PathBuf),
-    /// There are segments of several directors, one of which must be chosen.
-    #[error("{path}: captures of several directors: {names}; name one of these folders")]
-    Several {
-        /// The folder.
+    /// The path holds no segments.
+    #[error("{0}: no capture segments found (files with the extension .wfcap)")]
+    NoSegments(PathBuf),
+    /// The path holds the folders of several directors, of which the caller must choose one.
+    #[error("{path}: contains captures of several directors: {names}; specify one of these folders")]
+    SeveralDirectors {
+        /// The path of the capture to open.
         path: PathBuf,
-        /// The names of the directors' folders.
+        /// The names of the directors' folders, separated by commas.
         names: String,
     },
 }
 
-/// A segment and its file.
+/// A segment file, with its head and the range of its calls.
 #[derive(Clone, Debug)]
 pub struct SegmentFile {
-    /// The file.
+    /// The path of the file.
     pub path: PathBuf,
     /// The head of the segment.
     pub head: Head,
-    /// What the segment holds, or held when the archive was opened, if it is still being written.
+    /// The calls and the size of the segment; for a segment that is still being written, as of the opening of
+    /// the archive.
     pub meta: SegmentMeta,
 }
 
@@ -46,12 +48,13 @@
 pub struct Archive {
     /// The segments, in the order in which they were written.
     pub segments: Vec<SegmentFile>,
-    /// Files that are named like segments and have no valid head.
+    /// Files that have the name of a segment, but no valid head or no checkpoint.
     pub unreadable: Vec<PathBuf>,
 }
 
 impl Archive {
-    /// Opens a file, a folder of one director's segments, or a folder with a single director's folder.
+    /// Opens a segment file, a director's folder of segments, or a folder that contains the folder of one
+    /// director.
     pub fn open(path: &Path) -> Result<Archive, ArchiveError> {
         let mut archive = Archive::default();
         if path.is_dir() {
@@ -61,11 +64,13 @@
         }
         archive.segments.sort_by_key(|segment| (segment.head.segment, segment.head.incarnation));
         if archive.segments.is_empty() && archive.unreadable.is_empty() {
-            return Err(ArchiveError::Empty(path.into()));
+            return Err(ArchiveError::NoSegments(path.into()));
         }
         Ok(archive)
     }
 
+    /// Adds all segment files of a folder. Only the catalogue's entries of sealed segments are used: other
+    /// segments may have grown since their entry was written.
     fn add_folder(&mut self, folder: &Path) -> io::Result<()> {
         let catalogued = folder::read_catalogue(folder).unwrap_or_default();
         for (segment, file) in folder::segment_files(folder)? {
@@ -75,6 +80,7 @@
         Ok(())
     }
 
+    /// Adds a segment file. Without a catalogue entry its contents are scanned.
     fn add(&mut self, path: PathBuf, catalogued: Option<SegmentMeta>) -> io::Result<()> {
         let bytes = folder::read_segment(&path)?;
         let meta = catalogued.or_else(|| folder::scan_segment(&bytes));
@@ -85,12 +91,13 @@
         Ok(())
     }
 
-    /// The segments that hold calls of a span. Each can be replayed alone.
+    /// The segments that overlap a time range. Each segment can be replayed alone.
     pub fn within(&self, from: Timestamp, until: Timestamp) -> impl Iterator<Item = &SegmentFile> {
-        self.segments.iter().filter(move |one| one.meta.last.at >= from && one.meta.first.at <= until)
+        let overlaps = move |meta: &SegmentMeta| meta.last.at >= from && meta.first.at <= until;
+        self.segments.iter().filter(move |segment| overlaps(&segment.meta))
     }
 
-    /// The time of the first and of the last call.
+    /// The times of the first and of the last call of all segments; `None` if there are no segments.
     pub fn span(&self) -> Option<(Timestamp, Timestamp)> {
         let first = self.segments.iter().map(|segment| segment.meta.first.at).min()?;
         let last = self.segments.iter().map(|segment| segment.meta.last.at).max()?;
@@ -99,17 +106,17 @@
 }
 
 impl SegmentFile {
-    /// Reads the bytes of the segment.
+    /// Reads the contents of the file.
     pub fn read(&self) -> io::Result<Vec<u8>> {
         folder::read_segment(&self.path)
     }
 }
 
 fn io_error(path: &Path) -> impl Fn(io::Error) -> ArchiveError + '_ {
-    |problem| ArchiveError::Io { path: path.into(), problem }
+    |error| ArchiveError::Io { path: path.into(), error }
 }
 
-/// The folder that has the segments: this one, or the only one in it that has some.
+/// The folder that holds the segments: the given one, or the only folder in it that holds segments.
 fn director_folder(path: &Path) -> Result<PathBuf, ArchiveError> {
     if !folder::segment_files(path).map_err(io_error(path))?.is_empty() {
         return Ok(path.into());
@@ -122,7 +129,7 @@
     folders.sort();
     if folders.len() > 1 {
         let names: Vec<&str> = folders.iter().filter_map(|path| path.file_name()?.to_str()).collect();
-        return Err(ArchiveError::Several { path: path.into(), names: names.join(", ") });
+        return Err(ArchiveError::SeveralDirectors { path: path.into(), names: names.join(", ") });
     }
-    folders.pop().ok_or_else(|| ArchiveError::Empty(path.into()))
+    folders.pop().ok_or_else(|| ArchiveError::NoSegments(path.into()))
 }
--- a/crates/wingfold-archive/src/folder.rs
+++ b/crates/wingfold-archive/src/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of segments, one file each, with its catalogue.
+//! A director's folder of segments: one file for each segment, and a catalogue.
 
 mod catalogue;
 
@@ -15,23 +15,24 @@
 use wingfold_capture::segment_writer::DiskOperation;
 use wingfold_capture::{entries, Entry};
 
-/// The largest file that is read as a segment.
+/// The largest file that is read as a segment, in bytes.
 pub const MAX_SEGMENT_BYTES: u64 = 1 << 30;
 
-/// The extension of a segment's file.
+/// The extension of a segment file.
 const EXTENSION: &str = "wfcap";
-/// Captures name hosts and zones, which concern the operators only.
-const FOLDER_MODE: u32 = 0o700;
+/// Permissions of the folder. Only the owner has access, as captures contain the names of hosts and zones.
+const DIRECTORY_MODE: u32 = 0o700;
+/// Permissions of a segment file, restricted like those of the folder.
 const FILE_MODE: u32 = 0o600;
 
-/// The name of a segment's file.
-pub fn file_name(segment: u64) -> String {
+/// The file name of a segment.
+pub fn segment_file_name(segment: u64) -> String {
     format!("{segment:08}.{EXTENSION}")
 }
 
-/// The name of a director's folder. Unusual characters are encoded by their numbers, so that two directors never share a
-/// folder.
-pub fn folder_name(director: &str) -> String {
+/// The name of a director's folder. Bytes other than ASCII letters, digits and `-` are encoded as `_` and two
+/// hexadecimal digits, so that directors with different names never share a folder.
+pub fn director_folder_name(director: &str) -> String {
     let mut folder = String::new();
     for byte in director.bytes() {
         match byte {
@@ -46,33 +47,39 @@
     }
 }
 
-/// The files in a folder that are named like segments, by number.
+/// The files in a folder that have the name of a segment, by the segment's number.
 pub fn segment_files(folder: &Path) -> io::Result<BTreeMap<u64, PathBuf>> {
     let mut files = BTreeMap::new();
     for entry in fs::read_dir(folder)? {
         let path = entry?.path();
-        if let Some(segment) = segment_of_file(&path) {
+        if let Some(segment) = segment_number(&path) {
             files.insert(segment, path);
         }
     }
     Ok(files)
 }
 
-fn segment_of_file(path: &Path) -> Option<u64> {
+/// The number of a segment by the name of its file; `None` if the file does not have the name of a segment.
+fn segment_number(path: &Path) -> Option<u64> {
     let stem = path.file_stem()?.to_str()?;
     stem.parse().ok().filter(|_| path.extension().is_some_and(|extension| extension == EXTENSION))
 }
 
-/// Reads a file that may be a segment.
+/// Reads a file that may be a segment. A file of more than [`MAX_SEGMENT_BYTES`] is an error.
 pub fn read_segment(path: &Path) -> io::Result<Vec<u8>> {
-    if fs::metadata(path)?.len() > MAX_SEGMENT_BYTES {
-        let message = format!("{}: too large for a segment", path.display());
+    let bytes = fs::metadata(path)?.len();
+    if bytes > MAX_SEGMENT_BYTES {
+        let message = format!(
+            "{}: the file has {bytes} bytes, a segment has at most {MAX_SEGMENT_BYTES}",
+            path.display()
+        );
         return Err(io::Error::new(io::ErrorKind::InvalidData, message));
     }
     fs::read(path)
 }
 
-/// What the catalogue should hold of a segment, by its contents; `None` if it has no valid head or checkpoint.
+/// The catalogue entry of a segment, from the segment's contents; `None` if they have no valid head or no
+/// checkpoint.
 pub fn scan_segment(bytes: &[u8]) -> Option<SegmentMeta> {
     let head = wingfold_capture::reader::head(bytes).ok()?;
     let mut meta = SegmentMeta {
@@ -98,34 +105,36 @@
     has_checkpoint.then_some(meta)
 }
 
-/// One director's folder of segments, for writing.
+/// One director's folder of segments, opened for writing.
 #[derive(Debug)]
 pub struct SegmentFolder {
     path: PathBuf,
-    /// `None` until it is opened, and after a failure: the store may be of no more use then.
+    /// `None` until the catalogue is opened. Also `None` after a failed update, as its database may be
+    /// unusable then; the next access opens it again.
     catalogue: Option<Catalogue>,
-    /// The segment that is being written, and its file.
+    /// The number and the file of the segment that is being written.
     current: Option<(u64, File)>,
 }
 
 impl SegmentFolder {
-    /// The folder of a director below `root`.
+    /// The folder of a director within `root`. Neither of them is created before the folder is opened.
     pub fn new(root: &Path, director: &str) -> Self {
-        SegmentFolder { path: root.join(folder_name(director)), catalogue: None, current: None }
+        SegmentFolder { path: root.join(director_folder_name(director)), catalogue: None, current: None }
     }
 
-    /// The catalogue; opens it, and creates the folder, where that is needed.
+    /// The catalogue. If it is not open, it is opened, and the folder is created if it does not exist.
     fn catalogue(&mut self) -> io::Result<&Catalogue> {
         let catalogue = match self.catalogue.take() {
             Some(catalogue) => catalogue,
             None => {
-                fs::DirBuilder::new().recursive(true).mode(FOLDER_MODE).create(&self.path)?;
+                fs::DirBuilder::new().recursive(true).mode(DIRECTORY_MODE).create(&self.path)?;
                 Catalogue::open(&self.path)?
             }
         };
         Ok(self.catalogue.insert(catalogue))
     }
 
+    /// Updates the catalogue, and closes it if that fails.
     fn update_catalogue(&mut self, update: impl Fn(&Catalogue) -> io::Result<()>) -> io::Result<()> {
         let updated = self.catalogue().and_then(update);
         if updated.is_err() {
@@ -135,12 +144,12 @@
     }
 
     fn segment_path(&self, segment: u64) -> PathBuf {
-        self.path.join(file_name(segment))
+        self.path.join(segment_file_name(segment))
     }
 
     fn create(&mut self, meta: &SegmentMeta) -> io::Result<()> {
         self.current = None;
-        // If the folder was removed, so was its catalogue: both are created anew.
+        // If the folder was removed, its catalogue was removed with it: both are created again.
         if !self.path.is_dir() {
             self.catalogue = None;
         }
@@ -152,17 +161,18 @@
     }
 
     fn append(&mut self, bytes: &[u8], meta: &SegmentMeta) -> io::Result<()> {
-        let not_open = || io::Error::new(io::ErrorKind::NotFound, "no segment is open");
-        let (segment, file) = self.current.as_mut().ok_or_else(not_open)?;
+        let not_found = |message: &str| io::Error::new(io::ErrorKind::NotFound, message);
+        let (segment, file) =
+            self.current.as_mut().ok_or_else(|| not_found("no segment is open for writing"))?;
         if *segment != meta.segment {
-            return Err(not_open());
+            return Err(not_found("another segment is open for writing"));
         }
         file.write_all(bytes)?;
-        // A removed file can still be written to, but nobody will read it.
+        // Writing to a removed file succeeds, but the data is lost.
         if self.segment_path(meta.segment).exists() {
             Ok(())
         } else {
-            Err(not_open())
+            Err(not_found("the segment file was removed"))
         }
     }
 
@@ -181,8 +191,9 @@
     }
 }
 
-/// What is known of a segment's file. Segments that were not sealed are read: their process was killed. A file that cannot
-/// be read keeps its number, so that it is not overwritten, and is removed in its turn.
+/// The catalogue entry of a segment file. A segment that was not sealed, because the director was killed, is
+/// read to find out what it holds. A file that cannot be read gets an entry with its number and size, so that
+/// it is not overwritten, and is removed like other old segments.
 fn meta_of_file(segment: u64, path: &Path, catalogued: Option<&SegmentMeta>) -> SegmentMeta {
     let meta = match catalogued.filter(|meta| meta.sealed) {
         Some(meta) => Some(meta.clone()),
--- a/crates/wingfold-archive/src/folder/catalogue.rs
+++ b/crates/wingfold-archive/src/folder/catalogue.rs
@@ -1,6 +1,7 @@
-//! The catalogue of a folder, an embedded store: which segments there are, and which calls each of them holds. It only
-//! saves reading the segments: what it lacks is read from them, and a damaged catalogue is set aside. Its lock keeps a
-//! second director out of the folder.
+//! The catalogue of a folder: an embedded database of the segments and the calls that each segment holds. The
+//! catalogue only saves reading the segments: entries that it lacks are derived from the segments, and a
+//! damaged catalogue is renamed and replaced. The lock of the database keeps a second director from writing
+//! to the folder.
 
 use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition};
 use std::collections::BTreeMap;
@@ -10,10 +11,10 @@
 use std::path::{Path, PathBuf};
 use wingfold_capture::model::SegmentMeta;
 
-/// Encoded [`SegmentMeta`] by number of the segment.
+/// The table of encoded [`SegmentMeta`] by the segment's number.
 const SEGMENTS: TableDefinition<u64, &[u8]> = TableDefinition::new("segments");
 const FILE_NAME: &str = "catalogue.redb";
-/// Memory of the store itself: the catalogue has a few hundred short entries.
+/// Size of the database's cache, in bytes: the catalogue has only a few hundred short entries.
 const CACHE_BYTES: usize = 256 << 10;
 
 /// The catalogue of a folder that is being written.
@@ -22,18 +23,23 @@
     database: Database,
 }
 
+/// Why a catalogue cannot be opened.
 enum OpenError {
-    /// It cannot be read.
+    /// The file is damaged or no database.
     Damaged,
-    /// Another process has it open.
+    /// Another process has the catalogue open.
     Locked,
+    /// The file cannot be accessed.
     Io(io::Error),
 }
 
 impl OpenError {
     fn into_io(self, folder: &Path) -> io::Error {
         match self {
-            OpenError::Damaged => io::Error::new(io::ErrorKind::InvalidData, "the catalogue cannot be made"),
+            OpenError::Damaged => {
+                let message = format!("{}: cannot create the capture catalogue", folder.display());
+                io::Error::new(io::ErrorKind::InvalidData, message)
+            }
             OpenError::Locked => io::Error::new(
                 io::ErrorKind::ResourceBusy,
                 format!("{} is written by another director", folder.display()),
@@ -44,7 +50,8 @@
 }
 
 impl Catalogue {
-    /// Opens the catalogue of a folder, or creates it. A damaged one is set aside and replaced by an empty one.
+    /// Opens the catalogue of a folder, or creates it. A damaged catalogue is renamed and replaced by an
+    /// empty one.
     pub(super) fn open(folder: &Path) -> io::Result<Catalogue> {
         let path = folder.join(FILE_NAME);
         let create = || Database::builder().set_cache_size(CACHE_BYTES).create(&path);
@@ -59,7 +66,7 @@
         Ok(Catalogue { database })
     }
 
-    /// All entries by number of the segment; none if they cannot be read.
+    /// All entries by the segment's number; empty if the entries cannot be read.
     pub(super) fn segments(&self) -> BTreeMap<u64, SegmentMeta> {
         read_segments(&self.database).unwrap_or_default()
     }
@@ -75,7 +82,7 @@
         self.write(|table| table.remove(segment).map(drop))
     }
 
-    /// Replaces all entries.
+    /// Replaces all entries in one transaction.
     pub(super) fn replace(&self, segments: &[SegmentMeta]) -> io::Result<()> {
         self.write(|table| {
             table.retain(|_, _| false)?;
@@ -87,6 +94,7 @@
         })
     }
 
+    /// Changes the table in one transaction.
     fn write(
         &self,
         change: impl Fn(&mut redb::Table<u64, &[u8]>) -> Result<(), redb::StorageError>,
@@ -100,8 +108,8 @@
     }
 }
 
-/// The entries of a folder's catalogue by number of the segment; `None` if there is none, it is open elsewhere, or it is
-/// damaged.
+/// The entries of a folder's catalogue by the segment's number; `None` if the catalogue does not exist, is
+/// open in another process, or is damaged.
 pub fn read_catalogue(folder: &Path) -> Option<BTreeMap<u64, SegmentMeta>> {
     let path = folder.join(FILE_NAME);
     if !path.exists() {
@@ -111,13 +119,14 @@
     read_segments(&database).ok()
 }
 
-/// A path beside a damaged catalogue that no file has yet.
+/// An unused path for a damaged catalogue, in the same folder.
 fn unused_path(path: &Path) -> PathBuf {
     let mut paths = (1..).map(|number| path.with_extension(format!("damaged-{number}")));
-    paths.find(|path| !path.exists()).expect("numbers do not end")
+    paths.find(|path| !path.exists()).expect("some number is unused")
 }
 
-/// Opens a store and reads all of it: damage may show only then, as an error or as a panic of the store.
+/// Opens a database and reads all rows. Damage may be noticed only when the rows are read, as an error or as
+/// a panic of the database library.
 fn open_checked(
     open: impl Fn() -> Result<Database, DatabaseError> + UnwindSafe + RefUnwindSafe,
 ) -> Result<Database, OpenError> {
@@ -129,17 +138,17 @@
     match opened {
         Ok(Ok(database)) => Ok(database),
         Ok(Err(redb::Error::DatabaseAlreadyOpen)) => Err(OpenError::Locked),
-        Ok(Err(redb::Error::Io(error))) if !means_damage(error.kind()) => Err(OpenError::Io(error)),
+        Ok(Err(redb::Error::Io(error))) if !indicates_damage(error.kind()) => Err(OpenError::Io(error)),
         Ok(Err(_)) | Err(_) => Err(OpenError::Damaged),
     }
 }
 
-/// Whether an error means that the file ends too early or holds something else.
-fn means_damage(kind: io::ErrorKind) -> bool {
+/// Whether an I/O error means that the file is truncated or is not a database.
+fn indicates_damage(kind: io::ErrorKind) -> bool {
     matches!(kind, io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof)
 }
 
-/// The rows of the store: numbers of segments, and their encoded entries.
+/// All rows of the table: numbers of segments, and their encoded entries; empty if there is no table yet.
 fn read_rows(database: &Database) -> Result<Vec<(u64, Vec<u8>)>, redb::Error> {
     let transaction = database.begin_read()?;
     let table = match transaction.open_table(SEGMENTS) {
@@ -155,7 +164,7 @@
     Ok(rows)
 }
 
-/// The entries that can be decoded.
+/// All entries by the segment's number. Rows that cannot be decoded are left out.
 fn read_segments(database: &Database) -> Result<BTreeMap<u64, SegmentMeta>, redb::Error> {
     let rows = read_rows(database)?.into_iter();
     Ok(rows.filter_map(|(segment, bytes)| Some((segment, postcard::from_bytes(&bytes).ok()?))).collect())
--- a/crates/wingfold-archive/src/lib.rs
+++ b/crates/wingfold-archive/src/lib.rs
@@ -1,5 +1,6 @@
-//! The I/O of captures: a writer on its own thread behind a bounded queue, folders of segments with a catalogue, a ring of
-//! segments in memory, and reading all of them back. `wingfold-capture` decides what is written when.
+//! Input and output of captures: a writer on its own thread behind a bounded queue, folders of segments with
+//! a catalogue, a ring of segments in memory, and reading segments back. What is written, and when, is
+//! decided by `wingfold-capture`.
 #![forbid(unsafe_code)]
 
 pub mod archive;
@@ -11,5 +12,5 @@
 pub use archive::{Archive, ArchiveError, SegmentFile};
 pub use folder::SegmentFolder;
 pub use store::{MemoryStore, SegmentStore};
-pub use synchronous::{synchronous, SynchronousQueue};
+pub use synchronous::{open_synchronous, SynchronousQueue};
 pub use writer::{spawn, WriterConfig, WriterHandle, WriterMetrics, WriterQueue};
--- a/crates/wingfold-archive/src/synchronous.rs
+++ b/crates/wingfold-archive/src/synchronous.rs
@@ -1,4 +1,5 @@
-//! A recorder's queue that writes at once, for callers that may wait: the simulator's adapter and the emulator.
+//! A recorder's queue that writes each item before `push` returns. It is for callers that may block on the
+//! disk: the simulator's adapter and the emulator.
 
 use crate::store::{gap_reason, SegmentStore};
 use std::io;
@@ -6,17 +7,18 @@
 use wingfold_capture::recorder::RecorderQueue;
 use wingfold_capture::segment_writer::{DiskOperation, RecordedItem, SegmentLimits, SegmentWriter};
 
-/// Writes each item when it is pushed.
+/// A recorder's queue that writes each item to the store when the item is pushed.
 #[derive(Debug)]
 pub struct SynchronousQueue<S: SegmentStore> {
     store: S,
     writer: SegmentWriter,
     operations: Vec<DiskOperation>,
+    /// The first failure, reported by [`RecorderQueue::finish`].
     first_error: Option<io::Error>,
 }
 
-/// Opens a store for a capture that is written at once.
-pub fn synchronous<S: SegmentStore>(
+/// Opens a store, and returns a queue that writes a capture to it.
+pub fn open_synchronous<S: SegmentStore>(
     mut store: S,
     head: Head,
     limits: SegmentLimits,
@@ -27,7 +29,8 @@
 }
 
 impl<S: SegmentStore> SynchronousQueue<S> {
-    /// Carries out the operations, up to the first failure.
+    /// Carries out the pending operations. After a failure the remaining ones are dropped, and the segment
+    /// writer leaves a gap in the capture.
     fn apply_operations(&mut self) {
         for operation in self.operations.drain(..) {
             if let Err(error) = self.store.apply(&operation) {
--- a/crates/wingfold-archive/src/writer/queue.rs
+++ b/crates/wingfold-archive/src/writer/queue.rs
@@ -1,4 +1,4 @@
-//! The bounded queue between a recorder and the writer's thread. The recorder's end never waits.
+//! The bounded queue between a recorder and the writer's thread. The recorder never waits for the writer.
 
 use std::collections::VecDeque;
 use std::io;
@@ -10,29 +10,30 @@
 use wingfold_capture::recorder::RecorderQueue;
 use wingfold_capture::segment_writer::RecordedItem;
 
-/// What an item takes in the queue besides its bytes.
+/// Memory that an item takes in the queue besides its encoded contents, in bytes.
 const ITEM_OVERHEAD_BYTES: usize = 96;
 
-/// Counters of the writer.
+/// Counters and gauges of the writer.
 #[derive(Debug, Default)]
 pub struct WriterMetrics {
-    /// Bytes in the queue.
+    /// Size of the items in the queue, in bytes.
     pub queued_bytes: AtomicUsize,
-    /// Bytes written.
+    /// Bytes written to the store.
     pub written_bytes: AtomicU64,
-    /// Segments begun.
+    /// Number of segments begun.
     pub segments: AtomicU64,
-    /// How often the store has failed.
+    /// Number of failures to open the store or to write to it.
     pub failures: AtomicU64,
-    /// Bytes of segments in memory, for stores that are there.
+    /// Size of the segments in memory, in bytes; 0 for stores on disk.
     pub memory_bytes: AtomicUsize,
-    /// Whether the segment writer is ready for a checkpoint.
+    /// Whether the segment writer is ready to begin a segment with a checkpoint.
     pub(super) wants_checkpoint: AtomicBool,
-    /// Checkpoints in the queue.
+    /// Number of checkpoints in the queue.
     queued_checkpoints: AtomicUsize,
 }
 
 impl WriterMetrics {
+    /// Counts an item that is added to the queue.
     fn add_queued(&self, item: &RecordedItem) {
         self.queued_bytes.fetch_add(item.len() + ITEM_OVERHEAD_BYTES, Ordering::Relaxed);
         if matches!(item, RecordedItem::Checkpoint { .. }) {
@@ -54,19 +55,21 @@
 pub(super) enum Message {
     /// An item to write.
     Item(RecordedItem),
-    /// Write what is in memory into a folder; the answer is the number of segments.
+    /// Write the segments in memory into a folder, and answer with their number.
     Dump(PathBuf, Sender<io::Result<usize>>),
     /// Answer when all messages before this one have been handled.
     Flush(Sender<()>),
-    /// End the capture.
+    /// End the capture, and stop the writer's thread.
     End,
 }
 
-/// The messages for the writer. Either end locks them for as long as it takes to move pointers.
+/// The messages for the writer. Recorder and writer hold the lock only to move messages into and out of the
+/// queue.
 #[derive(Debug, Default)]
 pub(super) struct MessageQueue {
     messages: Mutex<VecDeque<Message>>,
-    urgent: Condvar,
+    /// Notified when a message other than an item is added.
+    writer_wakeup: Condvar,
 }
 
 impl MessageQueue {
@@ -74,40 +77,41 @@
         self.messages.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a message and wakes the writer.
+    /// Adds a message other than an item, and wakes the writer.
     pub(super) fn push(&self, message: Message) {
         self.lock().push_back(message);
-        self.urgent.notify_one();
+        self.writer_wakeup.notify_one();
     }
 
-    /// All messages, after this time or as soon as one is no item.
+    /// Takes all messages. Waits until there is a message other than an item, or until the timeout.
     pub(super) fn take(&self, timeout: Duration) -> VecDeque<Message> {
         let only_items =
             |queue: &mut VecDeque<Message>| queue.iter().all(|message| matches!(message, Message::Item(_)));
-        let waited = self.urgent.wait_timeout_while(self.lock(), timeout, only_items);
+        let waited = self.writer_wakeup.wait_timeout_while(self.lock(), timeout, only_items);
         let (mut messages, _) = waited.unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut messages)
     }
 }
 
-/// The recorder's end of the queue.
+/// The sending side of the queue, which the recorder holds.
 #[derive(Debug)]
 pub struct WriterQueue {
     queue: Arc<MessageQueue>,
     metrics: Arc<WriterMetrics>,
     max_bytes: usize,
-    /// Items that were pushed while the queue was locked; they go with the next one.
+    /// Items that were pushed while the queue was locked. The next push or flush adds them to the queue.
     unsent: VecDeque<Message>,
 }
 
 impl WriterQueue {
-    /// An end of the queue that takes so many bytes.
+    /// The sending side of a queue that holds items of at most `max_bytes`.
     pub(super) fn new(queue: Arc<MessageQueue>, metrics: Arc<WriterMetrics>, max_bytes: usize) -> Self {
         WriterQueue { queue, metrics, max_bytes, unsent: VecDeque::new() }
     }
 
-    /// Sends all items that were pushed so far, and waits for the queue where it is locked. The receiver gets a message
-    /// once the writer has handled them. This is for callers that may wait.
+    /// Adds all items pushed so far to the queue, and waits for the lock of the queue if necessary. The
+    /// returned receiver gets a message once the writer has handled these items. This is for callers that may
+    /// block.
     pub fn flush(&mut self) -> Receiver<()> {
         let (answer, answers) = channel();
         self.queue.lock().append(&mut self.unsent);
@@ -127,7 +131,8 @@
         }
         self.metrics.add_queued(&item);
         self.unsent.push_back(Message::Item(item));
-        // The writer is not woken, which would cost more than writing the call: it polls the queue.
+        // The writer polls the queue for items: waking it would cost the director more time than recording
+        // the call.
         if let Ok(mut messages) = self.queue.messages.try_lock() {
             messages.append(&mut self.unsent);
         }
--- a/crates/wingfold-archive/src/writer/queue/tests.rs
+++ b/crates/wingfold-archive/src/writer/queue/tests.rs
@@ -1,4 +1,4 @@
-//! The queue at the instant in which both ends access it.
+//! Pushing items while the writer holds the lock of the queue.
 
 use super::*;
 use wingfold_director::interface::Timestamp;
@@ -8,21 +8,21 @@
 }
 
 #[test]
-fn an_item_pushed_while_the_queue_is_locked_goes_with_the_next_one_or_a_flush() {
+fn item_pushed_during_lock_is_queued_by_next_push_or_flush() {
     let queue = Arc::new(MessageQueue::default());
     let metrics = Arc::new(WriterMetrics::default());
-    let mut recorder_end = WriterQueue::new(queue.clone(), metrics.clone(), 1 << 20);
-    // The writer has the queue locked: pushing an item does not wait, and the item counts as queued all the same.
+    let mut recorder_queue = WriterQueue::new(queue.clone(), metrics.clone(), 1 << 20);
+    // While the writer holds the lock, a push does not wait, and its item counts as queued.
     let locked = queue.lock();
-    assert!(recorder_end.push(item()));
+    assert!(recorder_queue.push(item()));
     drop(locked);
-    assert_eq!((queue.lock().len(), recorder_end.unsent.len()), (0, 1), "nobody brings it there by itself");
+    assert_eq!((queue.lock().len(), recorder_queue.unsent.len()), (0, 1), "the item waits for the next push");
     assert!(metrics.queued_bytes.load(Ordering::Relaxed) > 0);
-    assert!(recorder_end.push(item()));
-    assert_eq!((queue.lock().len(), recorder_end.unsent.len()), (2, 0));
+    assert!(recorder_queue.push(item()));
+    assert_eq!((queue.lock().len(), recorder_queue.unsent.len()), (2, 0));
     let locked = queue.lock();
-    assert!(recorder_end.push(item()));
+    assert!(recorder_queue.push(item()));
     drop(locked);
-    let _answer = recorder_end.flush();
-    assert_eq!((queue.lock().len(), recorder_end.unsent.len()), (4, 0), "three items and the flush");
+    let _answer = recorder_queue.flush();
+    assert_eq!((queue.lock().len(), recorder_queue.unsent.len()), (4, 0), "three items and the flush");
 }
--- a/crates/wingfold-archive/tests/encoding.rs
+++ b/crates/wingfold-archive/tests/encoding.rs
@@ -4,7 +4,7 @@
 
 use common::TempFolder;
 use redb::{Database, ReadableDatabase, TableDefinition};
-use wingfold_archive::folder::{file_name, folder_name};
+use wingfold_archive::folder::{director_folder_name, segment_file_name};
 use wingfold_archive::{SegmentFolder, SegmentStore};
 use wingfold_capture::model::{CallPosition, Gap, GapReason, SegmentMeta};
 use wingfold_capture::segment_writer::DiskOperation;
@@ -12,9 +12,9 @@
 
 #[test]
 fn file_and_folder_names_are_fixed() {
-    assert_eq!(file_name(3), "00000003.wfcap");
-    assert_eq!(folder_name("n-1.a/b_c"), "n-1_2ea_2fb_5fc");
-    assert_eq!(folder_name(""), "_");
+    assert_eq!(segment_file_name(3), "00000003.wfcap");
+    assert_eq!(director_folder_name("n-1.a/b_c"), "n-1_2ea_2fb_5fc");
+    assert_eq!(director_folder_name(""), "_");
 }
 
 #[test]
--- a/crates/wingfold-archive/tests/fault_injection.rs
+++ b/crates/wingfold-archive/tests/fault_injection.rs
@@ -9,7 +9,8 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 use wingfold_archive::{
-    synchronous, Archive, MemoryStore, SegmentFolder, SegmentStore, WriterConfig, WriterMetrics, WriterQueue,
+    open_synchronous, Archive, MemoryStore, SegmentFolder, SegmentStore, WriterConfig, WriterMetrics,
+    WriterQueue,
 };
 use wingfold_capture::block::{BlockError, BlockKind};
 use wingfold_capture::model::{encode_actions, GapReason, SegmentMeta};
@@ -168,7 +169,7 @@
     let store = ScriptedStore::default();
     store.state.lock().unwrap().writes_half = writes_half;
     let limits = SegmentLimits { flush: Micros(500_000), ..SegmentLimits::default() };
-    let mut recorder = Recorder::new(synchronous(store.clone(), day.head.clone(), limits).unwrap());
+    let mut recorder = Recorder::new(open_synchronous(store.clone(), day.head.clone(), limits).unwrap());
     let mut number = 0;
     while day.next_call(&mut recorder) {
         number += 1;
@@ -389,7 +390,7 @@
     drop(first);
     SegmentFolder::new(&folder.0, "n1").open().unwrap();
     // Names that differ only in unusual characters have different folders.
-    let names = ["a/b", "a_b", "a.b", "..", ""].map(wingfold_archive::folder::folder_name);
+    let names = ["a/b", "a_b", "a.b", "..", ""].map(wingfold_archive::folder::director_folder_name);
     let different: std::collections::BTreeSet<&String> = names.iter().collect();
     assert_eq!(different.len(), names.len());
     assert!(names.iter().all(|name| !name.contains(['/', '.'])));
@@ -405,7 +406,7 @@
         flush: Micros(300_000),
         ..SegmentLimits::default()
     };
-    let mut recorder = Recorder::new(synchronous(store.clone(), day.head.clone(), limits).unwrap());
+    let mut recorder = Recorder::new(open_synchronous(store.clone(), day.head.clone(), limits).unwrap());
     while day.next_call(&mut recorder) {}
     recorder.queue().finish().unwrap();
     let segments = store.segments();
@@ -430,7 +431,7 @@
         flush: Micros(300_000),
         ..SegmentLimits::default()
     };
-    let mut recorder = Recorder::new(synchronous(store.clone(), day.head.clone(), limits).unwrap());
+    let mut recorder = Recorder::new(open_synchronous(store.clone(), day.head.clone(), limits).unwrap());
     while day.next_call(&mut recorder) {}
     recorder.queue().finish().unwrap();
     let bytes: usize = store.segments().iter().map(Vec::len).sum();
@@ -468,7 +469,7 @@
 fn a_ring_too_small_for_one_checkpoint_reports_it_and_goes_on() {
     let mut day = RecordedDay::new("example", 8);
     let mut recorder = Recorder::new(
-        synchronous(MemoryStore::new(600), day.head.clone(), SegmentLimits::default()).unwrap(),
+        open_synchronous(MemoryStore::new(600), day.head.clone(), SegmentLimits::default()).unwrap(),
     );
     while day.next_call(&mut recorder) {}
     let error = recorder.queue().finish().unwrap_err().to_string();
@@ -482,7 +483,7 @@
     let head = Head { settings: settings.clone(), ..Head::default() };
     let store = ScriptedStore::default();
     let limits = SegmentLimits { segment_age: Micros(60_000_000), ..SegmentLimits::default() };
-    let mut recorder = Recorder::new(synchronous(store.clone(), head, limits).unwrap());
+    let mut recorder = Recorder::new(open_synchronous(store.clone(), head, limits).unwrap());
     let mut director = Director::new(settings, 0);
     let hour = 3_600_000_000;
     for at in [0, 0, 5, 5, 1_000_000, 400, hour, hour, hour - 9, 30 * hour, 30 * hour + 250_000] {
--- a/crates/wingfold-emulator/src/simulation/lifecycle.rs
+++ b/crates/wingfold-emulator/src/simulation/lifecycle.rs
@@ -4,7 +4,7 @@
 use super::Simulation;
 use std::io;
 use std::path::Path;
-use wingfold_archive::{synchronous, SegmentFolder, SegmentStore};
+use wingfold_archive::{open_synchronous, SegmentFolder, SegmentStore};
 use wingfold_capture::{Head, Recorder, RecorderQueue, SegmentLimits};
 use wingfold_director::interface::*;
 use wingfold_director::Director;
@@ -51,7 +51,8 @@
         };
         let mut folder = SegmentFolder::new(root, &name);
         folder.open()?;
-        let queue: Box<dyn RecorderQueue> = Box::new(synchronous(folder, head, SegmentLimits::default())?);
+        let queue: Box<dyn RecorderQueue> =
+            Box::new(open_synchronous(folder, head, SegmentLimits::default())?);
         Ok(Recorder::new(queue))
     }
 
--- a/crates/wingfold-node/src/recorder.rs
+++ b/crates/wingfold-node/src/recorder.rs
@@ -128,7 +128,8 @@
             return None;
         }
         let unix_s = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-        let folder = root.join(format!("{}-{unix_s}", wingfold_archive::folder::folder_name(&self.name)));
+        let folder =
+            root.join(format!("{}-{unix_s}", wingfold_archive::folder::director_folder_name(&self.name)));
         let result = self.handle.dump(folder.clone());
         let metrics = self.metrics.clone();
         let to = folder.clone();
--- a/crates/wingfold-simhost/src/capture.rs
+++ b/crates/wingfold-simhost/src/capture.rs
@@ -1,7 +1,7 @@
 //! Captures the calls of an instance in a directory.
 
 use std::path::Path;
-use wingfold_archive::{synchronous, SegmentFolder, SynchronousQueue};
+use wingfold_archive::{open_synchronous, SegmentFolder, SynchronousQueue};
 use wingfold_capture::{Head, Recorder, RecorderQueue, SegmentLimits};
 use wingfold_director::interface::{Action, Event, Settings, Timestamp};
 use wingfold_director::Director;
@@ -33,7 +33,7 @@
             class_names: names.classes.clone(),
             ..Head::default()
         };
-        match synchronous(SegmentFolder::new(root, &name), head, SegmentLimits::default()) {
+        match open_synchronous(SegmentFolder::new(root, &name), head, SegmentLimits::default()) {
             Ok(queue) => Some(Capture { recorder: Recorder::new(queue) }),
             Err(problem) => {
                 eprintln!("wingfold-simhost: no capture: {problem}");
--- a/crates/wingfold/tests/capture.rs
+++ b/crates/wingfold/tests/capture.rs
@@ -237,7 +237,7 @@
     let (_discovery, setup) = three_host_deployment();
     let mut director = start(&setup, &directory, &local_settings);
     let mut proxy = director.connect_proxy_with_tables(0, "a");
-    wait_until("the failure is logged", || director.log().contains("capture: cannot begin"));
+    wait_until("the failure is logged", || director.log().contains("capture: cannot open the store"));
     assert!(proxy.ping());
     director.send_signal("TERM");
     assert_eq!(director.wait_for_exit().code(), Some(0));
