--- a/crates/wingfold-archive/tests/encoding.rs
+++ b/crates/wingfold-archive/tests/encoding.rs
@@ -1,4 +1,5 @@
-//! What a capture folder holds besides the segments: file names and rows of the catalogue, which later builds read.
+//! What a capture folder holds besides the segments: file names and rows of the catalogue, which later builds
+//! read.
 
 mod common;
 
