--- a/crates/wingfold-archive/benches/cost.rs
+++ b/crates/wingfold-archive/benches/cost.rs
@@ -390,7 +390,7 @@
         SeedCosts { off, on, hanging }
     }
 
-    fn of(&self, mode: CaptureMode) -> &Cost {
+    fn in_mode(&self, mode: CaptureMode) -> &Cost {
         match mode {
             CaptureMode::Off => &self.off,
             CaptureMode::On => &self.on,
@@ -401,30 +401,30 @@
 
 /// The median over all seeds of a value in one mode.
 fn median_of(costs: &[SeedCosts], mode: CaptureMode, value: impl Fn(&Cost) -> f64) -> f64 {
-    median(costs.iter().map(|seed| value(seed.of(mode))).collect())
+    median(costs.iter().map(|seed| value(seed.in_mode(mode))).collect())
 }
 
 /// The median over all seeds of the ratio of a value in one mode to the same value without a capture.
 fn median_ratio(costs: &[SeedCosts], mode: CaptureMode, value: impl Fn(&Cost) -> f64) -> f64 {
-    median(costs.iter().map(|seed| value(seed.of(mode)) / value(&seed.off)).collect())
+    median(costs.iter().map(|seed| value(seed.in_mode(mode)) / value(&seed.off)).collect())
 }
 
 /// Prints the durations of the calls in one mode, and in parentheses their ratios to those without a capture.
 fn print_calls(costs: &[SeedCosts], mode: CaptureMode, name: &str) {
-    let of = |value: &dyn Fn(&Cost) -> f64| median_of(costs, mode, value);
+    let median = |value: &dyn Fn(&Cost) -> f64| median_of(costs, mode, value);
     let ratio = |value: &dyn Fn(&Cost) -> f64| median_ratio(costs, mode, value);
     let quantile = |q: f64| move |cost: &Cost| cost.calls.value_at_quantile(q) as f64 / 1e3;
     println!(
         "  {name:<12} mean {:.1} us ({:.3}), p50 {:.1} us ({:.3}), p99 {:.1} us ({:.3}), max {:.0} us; \
          recorder {:.2} %; CPU time of the process ({:.3})",
-        of(&|cost| cost.mean_us),
+        median(&|cost| cost.mean_us),
         ratio(&|cost| cost.mean_us),
-        of(&quantile(0.5)),
+        median(&quantile(0.5)),
         ratio(&quantile(0.5)),
-        of(&quantile(0.99)),
+        median(&quantile(0.99)),
         ratio(&quantile(0.99)),
-        of(&|cost| cost.calls.max() as f64 / 1e3),
-        100.0 * of(&|cost| cost.recorder_ratio),
+        median(&|cost| cost.calls.max() as f64 / 1e3),
+        100.0 * median(&|cost| cost.recorder_ratio),
         ratio(&|cost| cost.cpu_s.max(0.01)),
     );
 }
--- a/crates/wingfold-archive/src/folder.rs
+++ b/crates/wingfold-archive/src/folder.rs
@@ -147,6 +147,7 @@
         self.path.join(segment_file_name(segment))
     }
 
+    /// Creates a segment file, and opens it for writing.
     fn create(&mut self, meta: &SegmentMeta) -> io::Result<()> {
         self.current = None;
         // If the folder was removed, its catalogue was removed with it: both are created again.
@@ -160,6 +161,7 @@
         self.update_catalogue(|catalogue| catalogue.insert(meta))
     }
 
+    /// Appends to the open segment file. The catalogue is updated only when the segment is sealed.
     fn append(&mut self, bytes: &[u8], meta: &SegmentMeta) -> io::Result<()> {
         let not_found = |message: &str| io::Error::new(io::ErrorKind::NotFound, message);
         let (segment, file) =
@@ -176,6 +178,7 @@
         }
     }
 
+    /// Syncs and closes the open segment file, and marks the segment as sealed in the catalogue.
     fn seal(&mut self, meta: &SegmentMeta) -> io::Result<()> {
         if let Some((_, file)) = self.current.take() {
             file.sync_data()?;
@@ -183,6 +186,7 @@
         self.update_catalogue(|catalogue| catalogue.insert(meta))
     }
 
+    /// Removes a segment file, unless it does not exist any more, and its catalogue entry.
     fn remove(&mut self, segment: u64) -> io::Result<()> {
         match fs::remove_file(self.segment_path(segment)) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
--- a/crates/wingfold-archive/src/folder/catalogue.rs
+++ b/crates/wingfold-archive/src/folder/catalogue.rs
@@ -25,7 +25,7 @@
 
 /// Why a catalogue cannot be opened.
 enum OpenError {
-    /// The file is damaged or no database.
+    /// The file is damaged or is not a database.
     Damaged,
     /// Another process has the catalogue open.
     Locked,
--- a/crates/wingfold-archive/src/writer.rs
+++ b/crates/wingfold-archive/src/writer.rs
@@ -55,7 +55,7 @@
     }
 
     /// Ends the capture and waits for the writer's thread; `false` if the thread does not end within the
-    /// timeout, or if the capture was ended before.
+    /// timeout, or if `end` was called before.
     pub fn end(&self, timeout: Duration) -> bool {
         self.queue.push(Message::End);
         let ended = self.ended.lock().ok().and_then(|mut ended| ended.take());
@@ -138,6 +138,7 @@
         self.apply_operations(segments);
     }
 
+    /// Writes the buffered calls.
     fn flush(&mut self, segments: &mut SegmentWriter) {
         segments.flush_idle(&mut self.operations);
         self.apply_operations(segments);
--- a/crates/wingfold-archive/tests/fault_injection.rs
+++ b/crates/wingfold-archive/tests/fault_injection.rs
@@ -173,7 +173,7 @@
     }
 }
 
-/// Records a run into a store that fails from call 100 to call 219. Returns the run, the segments in the
+/// Records a run into a store that fails from call 101 to call 220. Returns the run, the segments in the
 /// store, and the number of failed operations.
 fn record_with_failing_store(
     kind: io::ErrorKind,
--- a/crates/wingfold-gossip/src/datagram.rs
+++ b/crates/wingfold-gossip/src/datagram.rs
@@ -23,11 +23,12 @@
     Ack,
     /// Asks the receiver to ping another member on behalf of the sender.
     PingRequest,
-    /// Carries parts, and needs no answer.
+    /// Only carries parts. The receiver answers a digest among them.
     Gossip,
 }
 
 impl DatagramKind {
+    /// The kind that a byte in a datagram stands for; `None` for an unknown byte.
     fn from_byte(byte: u8) -> Option<DatagramKind> {
         use DatagramKind::{Ack, Gossip, Ping, PingRequest};
         [Ping, Ack, PingRequest, Gossip].into_iter().find(|kind| *kind as u8 == byte)
@@ -43,13 +44,15 @@
     pub from: u16,
     /// The sender's incarnation.
     pub incarnation: u32,
-    /// The sequence number of a ping; an ack and a ping request repeat that of the ping they refer to.
+    /// The sequence number of a ping. An ack and a ping request repeat the number of the ping that they refer
+    /// to; in datagrams of kind [`DatagramKind::Gossip`] the number has no meaning.
     pub sequence: u16,
     /// The member that a ping request, or the ack to one, refers to; in all other datagrams the sender.
     pub target: u16,
 }
 
 impl Header {
+    /// Decodes the header at the start of a datagram; `None` if its kind is unknown.
     fn parse(bytes: &[u8]) -> Option<Header> {
         let read_u16 = |offset: usize| u16::from_be_bytes([bytes[offset], bytes[offset + 1]]);
         Some(Header {
@@ -92,7 +95,7 @@
 }
 
 impl DatagramWriter {
-    /// Begins a datagram. `trailer_bytes` of its largest size stay free for a trailer after the parts.
+    /// Begins a datagram whose parts leave room for a trailer of `trailer_bytes`.
     pub fn new(header: Header, trailer_bytes: usize) -> DatagramWriter {
         let mut bytes = vec![MAGIC, VERSION, header.kind as u8];
         bytes.extend(header.from.to_be_bytes());
--- a/crates/wingfold-gossip/src/entries.rs
+++ b/crates/wingfold-gossip/src/entries.rs
@@ -48,6 +48,7 @@
 }
 
 impl HealthState {
+    /// The state that two bits of an entry stand for; `None` for an unknown value.
     fn from_bits(bits: u8) -> Option<HealthState> {
         use HealthState::{Ejected, Healthy, Probation};
         [Healthy, Ejected, Probation].into_iter().find(|state| *state as u8 == bits)
@@ -63,7 +64,8 @@
     pub weight_halvings: u8,
     /// Whether the host started recently and may still be warming up.
     pub is_warming_up: bool,
-    /// Evidence: consecutive failed or useless attempts, up to 255.
+    /// Evidence: the number of consecutive failed attempts, or of consecutive useless ones if that is larger;
+    /// up to 255.
     pub attempts: u8,
     /// Evidence: the share of attempts that failed, in 255ths.
     pub loss: u8,
@@ -83,7 +85,7 @@
         latency_ms: 0,
     };
 
-    /// Whether the zone treats the host otherwise than [`HostReport::NORMAL`] does.
+    /// Whether the treatment differs from [`HostReport::NORMAL`].
     pub fn is_abnormal(&self) -> bool {
         !self.has_same_treatment_as(&HostReport::NORMAL)
     }
@@ -98,9 +100,9 @@
 /// The zone and the host that an entry is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EntryKey {
-    /// The zone that treats the host so, by its position in the settings.
+    /// The zone of the owner, by its position in the settings.
     pub zone: u8,
-    /// The short hash of the host's name.
+    /// The host, by the short hash of its name.
     pub host: u32,
 }
 
@@ -209,8 +211,8 @@
 pub struct EntryStore {
     own_id: u16,
     owners: BTreeMap<u16, OwnerEntries>,
-    /// The owner with which the next digest begins: a digest that cannot hold all owners is followed by the
-    /// others.
+    /// The owner with which the next digest begins, so that owners that do not fit into one digest are in the
+    /// next.
     next_digest_owner: u16,
     /// The keys of this director's urgent entries, and how often each entry is still to be pushed.
     urgent: BTreeMap<EntryKey, u32>,
@@ -332,7 +334,7 @@
         bytes
     }
 
-    /// Records one push of the urgent entries. After [`URGENT_PUSHES`] pushes an entry is no longer urgent.
+    /// Records one push of the urgent entries. After `URGENT_PUSHES` pushes an entry is no longer urgent.
     pub fn record_push(&mut self) {
         self.urgent.retain(|_, pushes_left| {
             *pushes_left -= 1;
@@ -410,14 +412,15 @@
     }
 }
 
-/// Whether a report is urgent and does not wait for the next exchange: a host was ejected or has just
-/// started.
+/// Whether a report is pushed without waiting for the next exchange: the host is newly ejected, or newly
+/// warming up.
 fn is_urgent(known: Option<HostReport>, report: &HostReport) -> bool {
     let was_ejected = known.is_some_and(|known| known.health == HealthState::Ejected);
     let was_warming_up = known.is_some_and(|known| known.is_warming_up);
     report.health == HealthState::Ejected && !was_ejected || report.is_warming_up && !was_warming_up
 }
 
+/// The known versions in a digest, by the owner's number.
 fn parse_digest(digest: &[u8]) -> BTreeMap<u16, KnownVersion> {
     let owner = |bytes: &[u8]| {
         let known = KnownVersion { incarnation: read_u32(bytes, 2), version: read_u32(bytes, 6) };
--- a/crates/wingfold-gossip/src/gossip.rs
+++ b/crates/wingfold-gossip/src/gossip.rs
@@ -41,7 +41,7 @@
     pub member_count: u16,
     /// This director's incarnation, which should be newer than that before the restart.
     pub incarnation: u32,
-    /// Seed of all randomness.
+    /// Seed of the random choices of members and of their order.
     pub seed: u64,
     /// A value that the directors of a tier share and those of other tiers do not; short host hashes depend
     /// on it.
@@ -235,7 +235,7 @@
         }
     }
 
-    /// A writer of a datagram that is neither a ping nor an ack.
+    /// A writer of a datagram of kind [`DatagramKind::Gossip`].
     fn gossip_writer(&self) -> DatagramWriter {
         let header = Header {
             kind: DatagramKind::Gossip,
@@ -367,8 +367,8 @@
         reports
     }
 
-    /// The advice from a received entry; `None` if this director does not know the zone, or cannot tell the
-    /// host by its short hash.
+    /// The advice from a received entry; `None` if this director does not know the zone, or does not know
+    /// exactly one host with the short hash.
     fn peer_advice(&self, now: Timestamp, received: &ReceivedEntry, zones: &[ZoneId]) -> Option<PeerAdvice> {
         let report = &received.entry.report;
         Some(PeerAdvice {
--- a/crates/wingfold-gossip/src/membership.rs
+++ b/crates/wingfold-gossip/src/membership.rs
@@ -401,7 +401,8 @@
         }
     }
 
-    /// Records that a member was heard from in this incarnation: unless it has left, it is alive.
+    /// Records a datagram or an indirect ack from an incarnation of a member: the member is alive, unless it
+    /// has left in this incarnation.
     fn record_contact(
         &mut self,
         now: Timestamp,
@@ -414,8 +415,8 @@
             return;
         }
         let is_new = incarnation > member.incarnation;
-        // A delayed datagram must not revive a member that has left: after a restart its incarnation is
-        // higher.
+        // A delayed datagram must not revive a member that has left. A restarted member has a higher
+        // incarnation.
         let can_revive =
             matches!(member.state, MemberState::Unknown | MemberState::Suspect | MemberState::Dead);
         if is_new || can_revive {
@@ -554,8 +555,8 @@
     fn refute(&mut self, statement: &Statement) {
         let denies_alive = statement.state >= MemberState::Suspect && statement.revision >= self.revision;
         if statement.incarnation > self.incarnation {
-            // The incarnation comes from the clock at the start, which was wrong at one of the starts or went
-            // back.
+            // Incarnations are taken from the clock when a director starts; at one of the starts the clock
+            // was wrong or had gone back.
             self.begin_incarnation(statement.incarnation.saturating_add(1));
         } else if statement.incarnation == self.incarnation && denies_alive && !self.has_left {
             self.revision = statement.revision.saturating_add(1);
--- a/crates/wingfold-gossip/tests/network.rs
+++ b/crates/wingfold-gossip/tests/network.rs
@@ -286,7 +286,7 @@
     network.cut_paths.insert((0, 1));
     for _ in 0..40 {
         network.run(1.0, &no_failures());
-        assert_ne!(network.state_seen_by(0, 1), MemberState::Dead, "indirect pings reach 1");
+        assert_ne!(network.state_seen_by(0, 1), MemberState::Dead, "indirect pings do not reach 1");
         assert_ne!(network.state_seen_by(1, 0), MemberState::Dead);
     }
 }
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn key_replacement_loses_no_datagram_and_replays_are_rejected() {
+fn key_replacement_rejects_only_datagrams_of_a_removed_key() {
     let mut network = Network::new(3, 6);
     network.keys = vec![b"first".to_vec()];
     (0..3).for_each(|id| network.start(id, 2));
