--- a/crates/wingfold-emulator/src/attempt.rs
+++ b/crates/wingfold-emulator/src/attempt.rs
@@ -4,12 +4,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// One attempt of a request.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// 1 for the first attempt of the request.
+    /// The position among the attempts of the request, counted from 1.
     pub number: u32,
 }
 
@@ -18,7 +18,7 @@
 pub enum AttemptOutcome {
     /// Answered without an error.
     Success,
-    /// The connection was refused, so the request was certainly not executed.
+    /// The connection was refused, so the host certainly did not execute the request.
     Refused,
     /// Answered with an error.
     Error,
--- a/crates/wingfold-emulator/src/estimate.rs
+++ b/crates/wingfold-emulator/src/estimate.rs
@@ -1,16 +1,16 @@
-//! Estimates of a mean with a confidence interval.
+//! Estimates of a mean with its confidence interval.
 
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// The quantile at the upper end of a two-sided confidence interval of 95 %.
+/// The quantile at the upper end of a two-sided 95 % confidence interval.
 const UPPER_QUANTILE: f64 = 0.975;
 
-/// An estimate of a mean with its confidence interval of 95 %.
+/// An estimate of a mean with its 95 % confidence interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Estimate {
     /// The mean of the sample.
     pub mean: f64,
-    /// Half of the width of the confidence interval; infinite for a single value.
+    /// Half of the width of the confidence interval; infinite for a sample of one value.
     pub half_width: f64,
     /// The median of the sample.
     pub median: f64,
@@ -19,7 +19,7 @@
 }
 
 impl Estimate {
-    /// The estimate from a sample; all zeros for an empty one.
+    /// Estimates the mean from a sample; all fields are zero for an empty sample.
     pub fn of(values: &[f64]) -> Estimate {
         let count = values.len();
         if count == 0 {
@@ -30,7 +30,7 @@
     }
 }
 
-/// The median of a sample that is not empty.
+/// The median of a non-empty sample.
 fn median(values: &[f64]) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -39,7 +39,7 @@
     (lower + upper) / 2.0
 }
 
-/// Half of the width of the confidence interval by Student's t-distribution.
+/// Half of the width of the 95 % confidence interval of the mean, by Student's t-distribution.
 fn half_width(values: &[f64], mean: f64) -> f64 {
     let count = values.len();
     if count <= 1 {
--- a/crates/wingfold-emulator/src/experiment.rs
+++ b/crates/wingfold-emulator/src/experiment.rs
@@ -11,7 +11,7 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// Significant digits of the histogram that stands for an experiment without runs.
+/// Significant digits of the empty histogram that an experiment without runs returns.
 const EMPTY_HISTOGRAM_DIGITS: u8 = 3;
 
 /// The run of one seed.
@@ -19,11 +19,11 @@
 pub struct SeedRun {
     /// The seed of all random numbers of the run.
     pub seed: u64,
-    /// What the run measured.
+    /// The results of the run.
     pub result: RunResult,
 }
 
-/// The invariants that the run of one seed violated. Displayed as a list that semicolons separate.
+/// The invariants that the run of one seed violated. Displayed as a list separated by semicolons.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SeedViolations {
     /// The seed of the run.
@@ -54,8 +54,8 @@
 }
 
 impl Experiment {
-    /// Simulates all seeds and calls `on_run` after each. Where `capture_root` is given, the captures of each seed go into
-    /// a folder `seed-<seed>` below it.
+    /// Simulates the scenario once for each seed and calls `on_run` after each run. If `capture_root` is
+    /// given, the captures of each run are written to its subdirectory `seed-<seed>`.
     pub fn run(
         scenario: Scenario,
         seeds: RangeInclusive<u64>,
@@ -64,15 +64,15 @@
     ) -> io::Result<Experiment> {
         let mut runs = Vec::new();
         for seed in seeds {
-            let folder = capture_root.map(|root| root.join(format!("seed-{seed}")));
-            let result = simulate(&scenario, seed, folder.as_deref())?;
+            let directory = capture_root.map(|root| root.join(format!("seed-{seed}")));
+            let result = simulate(&scenario, seed, directory.as_deref())?;
             on_run(seed, &result);
             runs.push(SeedRun { seed, result });
         }
         Ok(Experiment { scenario, runs })
     }
 
-    /// Estimates the mean over the seeds of a number taken from each result.
+    /// Estimates the mean of `value` over the results of all seeds.
     pub fn mean(&self, value: impl Fn(&RunResult) -> f64) -> Estimate {
         let values: Vec<f64> = self.runs.iter().map(|run| value(&run.result)).collect();
         Estimate::of(&values)
@@ -87,20 +87,22 @@
         total
     }
 
-    /// The latencies of a class in microseconds, over all seeds.
+    /// The latencies of the answered requests of a class in microseconds, over all seeds.
     pub fn latencies_us(&self, class: usize) -> Histogram<u64> {
         let Some((first, others)) = self.runs.split_first() else {
-            return Histogram::new(EMPTY_HISTOGRAM_DIGITS).expect("up to five digits are allowed");
+            return Histogram::new(EMPTY_HISTOGRAM_DIGITS)
+                .expect("a histogram may have up to 5 significant digits");
         };
         let mut merged = first.result.latencies_us[class].clone();
         for run in others {
-            // Cannot fail: all runs use the same bounds.
+            // Cannot fail: the histograms of all runs have the same bounds.
             let _ = merged.add(&run.result.latencies_us[class]);
         }
         merged
     }
 
-    /// The worst margin of any seed for each invariant.
+    /// The margins of all runs merged: the worst ratio of each invariant, and the sum of the duplicate
+    /// executions.
     pub fn worst_margins(&self) -> Margins {
         let mut worst = Margins::default();
         for run in &self.runs {
@@ -109,7 +111,7 @@
         worst
     }
 
-    /// The seeds that violated an invariant.
+    /// The violations of each seed whose run violated an invariant.
     pub fn violations(&self) -> Vec<SeedViolations> {
         let mut violating = Vec::new();
         for run in &self.runs {
--- a/crates/wingfold-emulator/src/host.rs
+++ b/crates/wingfold-emulator/src/host.rs
@@ -1,14 +1,15 @@
-//! One host: cores that serve a queue, slower while the host warms up, is slowed down or shares its cores; and what
-//! discovery and load reports show of it.
+//! A host: cores that execute queued attempts, at a speed that warm-up, slowdowns and a noisy neighbour
+//! reduce. The host also keeps the readiness that discovery announces and measures the utilization for load
+//! reports.
 
 use crate::attempt::AttemptId;
 use std::collections::VecDeque;
 use wingfold_director::interface::{HostId, Micros, Readiness, Timestamp};
 
-/// Attempts that may wait for each core; further ones are refused at once.
+/// Attempts that may wait in the queue for each core; an attempt beyond this limit is refused at once.
 const MAX_QUEUED_PER_CORE: usize = 24;
 
-/// Lower bounds that keep divisions finite.
+/// Lower bounds of divisors, which keep the quotients finite.
 const MIN_WARM_UP_S: f64 = 1e-3;
 const MIN_SPEED: f64 = 1e-3;
 const MIN_REPORT_PERIOD_S: f64 = 1e-6;
@@ -20,11 +21,11 @@
 /// Whether and how a host serves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HostState {
-    /// Serves requests.
+    /// Executes requests and answers them.
     Up,
-    /// Refuses connections: its process is dead.
+    /// Refuses connections, because its process is dead.
     Down,
-    /// Accepts no connection and answers nothing.
+    /// Neither accepts nor refuses connections, because the network does not reach it.
     Unreachable,
     /// Accepts requests and answers none.
     Hung,
@@ -35,14 +36,14 @@
 pub enum Acceptance {
     /// Started on a core.
     Started {
-        /// When the core will have finished it.
+        /// When the core will have finished the attempt.
         finishes_at: Timestamp,
     },
     /// Waits for a core.
     Queued,
-    /// Refused, so it is certainly not executed.
+    /// Refused, so the attempt is certainly not executed.
     Refused,
-    /// Never answered.
+    /// Never answered, because the host is hung or unreachable.
     Unanswered,
 }
 
@@ -51,16 +52,16 @@
 pub struct StartedAttempt {
     /// The attempt.
     pub attempt: AttemptId,
-    /// When the core will have finished it.
+    /// When the core will have finished the attempt.
     pub finishes_at: Timestamp,
 }
 
-/// How much work a host can receive while it warms up before it fails.
+/// The limit of the work that a host can receive while it warms up; beyond it, the host fails.
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadLimit {
-    /// Work that it can receive, as a multiple of its present capacity.
+    /// The limit as a multiple of the work that the host can do in the window at its present speed.
     pub factor: f64,
-    /// The time over which work and capacity are summed.
+    /// The time over which the received work is summed.
     pub window: Micros,
 }
 
@@ -71,7 +72,7 @@
     work_ms: f64,
 }
 
-/// Work that arrived at a host.
+/// Work that arrived at a host at one time.
 #[derive(Clone, Copy, Debug)]
 struct ArrivedWork {
     at: Timestamp,
@@ -83,39 +84,39 @@
 pub struct Host {
     /// The host's name.
     pub id: HostId,
-    /// The name of its machine type.
+    /// The name of the host's machine type.
     pub machine_type: String,
-    /// The index of its zone.
+    /// The index of the host's zone.
     pub zone: usize,
-    /// How many attempts run at once.
+    /// The number of cores, each of which runs one attempt at a time.
     pub cores: usize,
-    /// Work in ms that a core does in a ms, without faults.
+    /// Milliseconds of work that a core does per millisecond when the host is warmed up and has no fault.
     pub core_speed: f64,
-    /// Whether it serves.
+    /// Whether and how the host serves.
     pub state: HostState,
-    /// The readiness that discovery will announce, after its delay.
+    /// The readiness that discovery announces, with a delay.
     pub listed_readiness: Readiness,
-    /// When it last started; `None`: before the simulation.
+    /// When the host last started; `None` if it has been running since before the simulation.
     pub started_at: Option<Timestamp>,
-    /// How many times slower a fault makes it.
+    /// The factor by which a fault slows the host down; 1 without such a fault.
     pub slowdown_factor: f64,
-    /// The share of its cores that another program uses.
+    /// The share of the host's CPU time that another program uses.
     pub stolen_cpu_ratio: f64,
-    /// The share of its answers that are errors.
+    /// The share of the host's answers that are errors.
     pub error_ratio: f64,
-    /// Counts its starts and stops: attempts that an earlier incarnation was running are lost.
+    /// Incremented when the host stops and when it restarts. Attempts of an earlier incarnation are lost.
     pub incarnation: u32,
     queue: VecDeque<QueuedAttempt>,
     running: usize,
     /// Busy core-seconds since the last load report, counted up to `accounted_until`.
     busy_core_s: f64,
     accounted_until: Timestamp,
-    /// Work that arrived within the overload window while the host was warming up.
+    /// Work that arrived while the host was warming up; items older than the overload window are dropped.
     warm_up_work: VecDeque<ArrivedWork>,
 }
 
 impl Host {
-    /// A host that serves and has been running since before the simulation.
+    /// Creates a host that serves and has been running since before the simulation.
     pub fn new(id: HostId, machine_type: &str, zone: usize, cores: usize, core_speed: f64) -> Host {
         Host {
             id,
@@ -138,20 +139,20 @@
         }
     }
 
-    /// The share of its capacity that the host has reached: rises linearly from `initial_capacity_ratio` at its start to 1
-    /// after `warm_up`.
+    /// The share of the full core speed that the host has reached: rises linearly from
+    /// `initial_capacity_ratio` when the host starts to 1 after `warm_up`.
     pub fn slow_start_factor(&self, now: Timestamp, warm_up: Micros, initial_capacity_ratio: f64) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let warm_up_s = warm_up.secs().max(MIN_WARM_UP_S);
-        let gained = (1.0 - initial_capacity_ratio) * now.since(started_at) / warm_up_s;
-        (initial_capacity_ratio + gained).min(1.0)
+        let increase = (1.0 - initial_capacity_ratio) * now.since(started_at) / warm_up_s;
+        (initial_capacity_ratio + increase).min(1.0)
     }
 
     fn effective_speed(&self, slow_start_factor: f64) -> f64 {
         self.core_speed * slow_start_factor * (1.0 - self.stolen_cpu_ratio) / self.slowdown_factor
     }
 
-    /// Starts, queues or refuses an attempt that arrives.
+    /// Starts, queues, refuses or ignores an arriving attempt, depending on the state of the host.
     pub fn accept(
         &mut self,
         now: Timestamp,
@@ -183,7 +184,7 @@
         now + Micros(duration_us as u64)
     }
 
-    /// Frees a core and returns the queued attempt that is started on it, if any.
+    /// Frees the core of a finished attempt and starts the next queued attempt on it, which is returned.
     pub fn finish_attempt(&mut self, now: Timestamp, slow_start_factor: f64) -> Option<StartedAttempt> {
         self.account_busy_time(now);
         self.running = self.running.saturating_sub(1);
@@ -195,13 +196,14 @@
         Some(StartedAttempt { attempt: next.attempt, finishes_at })
     }
 
-    /// Adds the busy core time since the last call. Called before the number of busy cores changes.
+    /// Adds the busy core time since the last call. Must be called before the number of busy cores changes.
     fn account_busy_time(&mut self, now: Timestamp) {
         self.busy_core_s += now.since(self.accounted_until) * self.running as f64;
         self.accounted_until = now;
     }
 
-    /// The busy share of its cores since the last load report, which was sent at `last_report_at`.
+    /// The share of the host's core time since `last_report_at`, the time of the last load report, that was
+    /// used by attempts or by another program. Starts a new measurement.
     pub fn report_utilization(&mut self, now: Timestamp, last_report_at: Timestamp) -> f64 {
         self.account_busy_time(now);
         let available_core_s = now.since(last_report_at).max(MIN_REPORT_PERIOD_S) * self.cores as f64;
@@ -209,7 +211,7 @@
         (busy_core_s / available_core_s + self.stolen_cpu_ratio).min(1.0)
     }
 
-    /// Stops serving; queued and running attempts are lost.
+    /// Stops the host and sets its state; queued and running attempts are lost.
     pub fn stop(&mut self, now: Timestamp, state: HostState) {
         self.account_busy_time(now);
         self.state = state;
@@ -218,7 +220,7 @@
         self.queue.clear();
     }
 
-    /// Starts again: warming up and without faults.
+    /// Starts the host again: it warms up and has no faults.
     pub fn restart(&mut self, now: Timestamp) {
         self.stop(now, HostState::Up);
         self.started_at = Some(now);
@@ -229,7 +231,8 @@
         self.warm_up_work.clear();
     }
 
-    /// Records work that arrives while the host warms up. Returns how close it is to failure: above 1 it fails.
+    /// Records work that arrives while the host warms up. Returns the work of the overload window relative to
+    /// the limit; above 1 the host fails.
     pub fn add_warm_up_work(
         &mut self,
         now: Timestamp,
--- a/crates/wingfold-emulator/src/lib.rs
+++ b/crates/wingfold-emulator/src/lib.rs
@@ -1,9 +1,9 @@
-//! A deterministic emulator of a small site: directors with the real decision module, and around them hosts, proxies, load
-//! reports, discovery and faults. Time is virtual and every random number comes from a seed, so a run can be repeated
-//! exactly and builds can be compared on the same faults.
+//! A deterministic emulator of a small site: directors with the real decision module, and emulated hosts,
+//! proxies, load reports, discovery and faults. Time is virtual and every random number comes from a seed, so
+//! a run can be repeated exactly and builds can be compared under the same faults.
 //!
-//! The emulator stands in for a site; it is not a model of any real machine. Each run measures how close it came to the
-//! limits of the five [`invariants`].
+//! The emulated site is generic: its hosts do not model particular real machines. Each run measures how close
+//! the site came to the limits of the five [`invariants`].
 #![forbid(unsafe_code)]
 
 mod attempt;
--- a/crates/wingfold-emulator/src/proxy.rs
+++ b/crates/wingfold-emulator/src/proxy.rs
@@ -1,4 +1,5 @@
-//! One proxy: picks hosts by weight, ejects hosts that fail, admits requests by level, and counts for the load reports.
+//! A proxy: picks hosts by weight, ejects failing hosts, admits requests by admission level, and counts
+//! attempts and requests for load reports and usage reports.
 
 mod route;
 mod token_bucket;
@@ -11,14 +12,14 @@
 use token_bucket::TokenBucket;
 use wingfold_director::interface::{Retry, Timestamp};
 
-/// Attempts at a host since the last load report.
+/// The attempts of a proxy at a host since the last load report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptStats {
     /// All attempts.
     pub attempts: u64,
     /// Attempts that failed.
     pub failures: u64,
-    /// The summed latency of the attempts that succeeded.
+    /// The sum of the latencies of the successful attempts.
     pub latency_sum_ms: f64,
 }
 
@@ -30,53 +31,53 @@
         self.latency_sum_ms += other.latency_sum_ms;
     }
 
-    /// The mean latency of the attempts that succeeded.
+    /// The mean latency of the successful attempts; 0 if there are none.
     pub fn mean_latency_ms(&self) -> f64 {
         let successes = self.attempts - self.failures;
         self.latency_sum_ms / successes.max(1) as f64
     }
 }
 
-/// Requests of a class since the last load report.
+/// The requests of a class at a proxy since the last usage report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClassUsage {
-    /// All requests.
+    /// All requests that arrived.
     pub requests: u64,
-    /// Requests that were not answered.
+    /// Admitted requests that were not answered.
     pub failures: u64,
 }
 
 /// A proxy.
 #[derive(Clone, Debug)]
 pub struct Proxy {
-    /// The index of its zone.
+    /// The index of the proxy's zone.
     pub zone: usize,
-    /// Requests that arrive at it, without faults.
+    /// Requests that arrive per second while no fault changes the traffic.
     pub rate_per_s: f64,
-    /// Counts changes of its traffic: an arrival that was drawn in an earlier epoch is void.
+    /// Incremented when the traffic of the zone changes. Arrivals drawn in an earlier epoch are discarded.
     pub arrival_epoch: u32,
-    /// The director that it is connected to.
+    /// The index of the director that the proxy is connected to; `None` while it is not connected.
     pub director: Option<usize>,
-    /// When it connected.
+    /// When the proxy last connected to a director.
     pub connected_at: Timestamp,
-    /// Counts its streams: what was sent on an earlier one does not arrive.
+    /// Incremented when the proxy connects or disconnects. Routes sent on an earlier stream are discarded.
     pub stream: u32,
-    /// How it routes requests, by class.
+    /// The routes of the requests, by class.
     pub routes: Vec<ClassRoute>,
-    /// Since when it has had no host for a class although it should have one, by class.
+    /// Since when a class has had no host although the director knows a ready one, by class.
     pub unrouted_since: Vec<Option<Timestamp>>,
-    /// Attempts by host, since the last load report.
+    /// Attempts by the index of the host, since the last load report.
     pub host_stats: BTreeMap<usize, AttemptStats>,
-    /// Requests by class, since the last load report.
+    /// Requests by class, since the last usage report.
     pub class_usage: Vec<ClassUsage>,
     consecutive_failures: BTreeMap<usize, u32>,
     ejected_until: BTreeMap<usize, Timestamp>,
-    /// By class, for admission levels that are rates.
+    /// By class; used if the admission levels are rates.
     token_buckets: Vec<TokenBucket>,
 }
 
 impl Proxy {
-    /// A proxy that is not connected yet and routes all classes to the same hosts.
+    /// Creates a proxy that is not connected yet and routes the requests of all classes to `hosts`.
     pub fn new(zone: usize, rate_per_s: f64, hosts: HostWeights, classes: usize) -> Proxy {
         let route = ClassRoute { hosts, admission_level: 1.0, retry: Retry::OnProof };
         Proxy {
@@ -96,8 +97,8 @@
         }
     }
 
-    /// Picks a host at random by weight, preferring hosts that are neither ejected nor `excluded`. `None` if the class has
-    /// no host.
+    /// Draws a host of the class by weight from the hosts that are neither ejected nor `excluded`, or from
+    /// all hosts if there is no such host. `None` if the class has no host at all.
     pub fn pick_host(
         &self,
         now: Timestamp,
@@ -114,20 +115,20 @@
         self.ejected_until.get(&host).is_some_and(|until| now < *until)
     }
 
-    /// Whether a request is admitted where the admission level is a rate in requests per second.
+    /// Whether a request is admitted by an admission level that is a rate in requests per second.
     pub fn admits_by_rate(&mut self, now: Timestamp, class: usize) -> bool {
         let rate_per_s = self.routes[class].admission_level;
         self.token_buckets[class].take(now, rate_per_s)
     }
 
-    /// Whether a request is admitted where the admission level is a share of the requests. Draws a random number only
-    /// below a share of 1.
+    /// Whether a request is admitted by an admission level that is a share of the requests. Draws a random
+    /// number only if the share is below 1.
     pub fn admits_by_share(&self, class: usize, rng: &mut ChaCha8Rng) -> bool {
         let share = self.routes[class].admission_level;
         share >= 1.0 || rng.random::<f64>() < share
     }
 
-    /// Counts an attempt that succeeded and resets the host's consecutive failures.
+    /// Counts a successful attempt and resets the host's consecutive failures.
     pub fn record_success(&mut self, host: usize, latency_ms: f64) {
         let stats = self.host_stats.entry(host).or_default();
         stats.attempts += 1;
@@ -135,8 +136,8 @@
         self.consecutive_failures.remove(&host);
     }
 
-    /// Counts an attempt that failed. Returns whether the host must be ejected because `ejection_threshold` attempts in a
-    /// row have failed; a threshold of 0 never ejects.
+    /// Counts a failed attempt. Returns whether the host must be ejected, because `ejection_threshold`
+    /// consecutive attempts have failed; a threshold of 0 disables ejection.
     pub fn record_failure(&mut self, host: usize, ejection_threshold: u32) -> bool {
         let stats = self.host_stats.entry(host).or_default();
         stats.attempts += 1;
@@ -150,7 +151,7 @@
         must_eject
     }
 
-    /// Ejects a host: it is picked only if there is no other, until the time given.
+    /// Ejects a host: before `until`, the host is picked only if the class has no other eligible host.
     pub fn eject(&mut self, host: usize, until: Timestamp) {
         self.ejected_until.insert(host, until);
     }
--- a/crates/wingfold-emulator/src/proxy/route.rs
+++ b/crates/wingfold-emulator/src/proxy/route.rs
@@ -1,16 +1,16 @@
-//! How a proxy routes the requests of one class.
+//! The route of the requests of one class at a proxy.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::sync::Arc;
 use wingfold_director::interface::Retry;
 
-/// A host of a table with its weight.
+/// A host of a table and its weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightedHost {
     /// The index of the host.
     pub host: usize,
-    /// Its share of the requests, relative to the weights of the others.
+    /// The host's share of the requests, relative to the weights of the other hosts.
     pub weight: f64,
 }
 
@@ -22,14 +22,16 @@
 pub struct ClassRoute {
     /// The hosts with their weights.
     pub hosts: HostWeights,
-    /// The share of the requests that is admitted, or their rate per second, by the admission mode.
+    /// The admitted share of the requests, or the admitted requests per second, depending on the admission
+    /// mode.
     pub admission_level: f64,
-    /// When a failed attempt is retried.
+    /// Which failed attempts are retried.
     pub retry: Retry,
 }
 
 impl ClassRoute {
-    /// Draws one of the eligible hosts by weight. Draws one random number even if there is none.
+    /// Draws one of the eligible hosts by weight. Draws exactly one random number, even if no host is
+    /// eligible.
     pub fn draw_host(&self, is_eligible: impl Fn(usize) -> bool, rng: &mut ChaCha8Rng) -> Option<usize> {
         let eligible = || self.hosts.iter().filter(|entry| is_eligible(entry.host));
         let total_weight: f64 = eligible().map(|entry| entry.weight).sum();
--- a/crates/wingfold-emulator/src/proxy/token_bucket.rs
+++ b/crates/wingfold-emulator/src/proxy/token_bucket.rs
@@ -1,8 +1,9 @@
-//! A token bucket, which limits a class to a rate of requests.
+//! A token bucket, which limits the rate of the requests of a class.
 
 use wingfold_director::interface::Timestamp;
 
-/// The tokens of one class; a request takes one. Holds at most the tokens of a second, and at least one.
+/// The tokens of one class; each request takes one. The capacity is the refill of one second, but at least 1
+/// token.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     tokens: f64,
@@ -10,12 +11,12 @@
 }
 
 impl TokenBucket {
-    /// A bucket with one token.
+    /// Creates a bucket with one token.
     pub fn new() -> TokenBucket {
         TokenBucket { tokens: 1.0, refilled_at: Timestamp(0) }
     }
 
-    /// Refills the bucket at `rate_per_s` and takes a token if there is one.
+    /// Refills the bucket at `rate_per_s` and takes a token. Returns whether there was one.
     pub fn take(&mut self, now: Timestamp, rate_per_s: f64) -> bool {
         let refill = rate_per_s * now.since(self.refilled_at);
         self.tokens = (self.tokens + refill).min(rate_per_s.max(1.0));
--- a/crates/wingfold-emulator/src/report.rs
+++ b/crates/wingfold-emulator/src/report.rs
@@ -12,21 +12,22 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Writes tables and chart into a folder, which is created if it is missing. The files are named after the scenario.
-pub fn write(experiment: &Experiment, folder: &Path) -> io::Result<()> {
-    std::fs::create_dir_all(folder)?;
+/// Writes the tables and the chart into a directory, which is created if it is missing. The files are named
+/// after the scenario.
+pub fn write(experiment: &Experiment, directory: &Path) -> io::Result<()> {
+    std::fs::create_dir_all(directory)?;
     let stem = file_stem(&experiment.scenario.name);
     let chart = |experiment| chart(experiment).map_err(io::Error::other);
-    std::fs::write(file_path(folder, &stem, "md"), markdown(experiment))?;
-    std::fs::write(file_path(folder, &stem, "csv"), csv(experiment))?;
-    std::fs::write(file_path(folder, &stem, "svg"), chart(experiment)?)
+    std::fs::write(file_path(directory, &stem, "md"), markdown(experiment))?;
+    std::fs::write(file_path(directory, &stem, "csv"), csv(experiment))?;
+    std::fs::write(file_path(directory, &stem, "svg"), chart(experiment)?)
 }
 
-fn file_path(folder: &Path, stem: &str, extension: &str) -> PathBuf {
-    folder.join(format!("{stem}.{extension}"))
+fn file_path(directory: &Path, stem: &str, extension: &str) -> PathBuf {
+    directory.join(format!("{stem}.{extension}"))
 }
 
-/// Replaces all characters of a name that could have a meaning in a path.
+/// The name of a scenario with `_` in place of all characters that could have a meaning in a path.
 fn file_stem(name: &str) -> String {
     let portable = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     name.chars().map(portable).collect()
--- a/crates/wingfold-emulator/src/report/chart.rs
+++ b/crates/wingfold-emulator/src/report/chart.rs
@@ -1,4 +1,4 @@
-//! The chart of service over time, in SVG.
+//! The chart of the service ratio over time, in SVG.
 
 use crate::experiment::Experiment;
 use crate::results::{ServiceWindow, WINDOW_S};
@@ -6,17 +6,17 @@
 use plotters::prelude::*;
 use thiserror::Error;
 
-/// Width and height in pixels.
+/// Width and height of the chart in pixels.
 const CHART_SIZE: (u32, u32) = (900, 360);
 const SEED_COLOR: RGBColor = RGBColor(190, 200, 215);
 const MEAN_COLOR: RGBColor = RGBColor(20, 60, 130);
 const MEAN_LINE_WIDTH: u32 = 3;
-/// The upper end of the axis of service, which leaves some room above 1.
+/// The upper end of the service axis; leaves a gap above the highest ratio, 1.
 const MAX_SERVICE: f64 = 1.05;
 
 /// The chart could not be drawn.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("{0}")]
+#[error("cannot draw the service chart: {0}")]
 pub struct ChartError(String);
 
 type DrawingError<'a> = DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
@@ -27,7 +27,7 @@
     }
 }
 
-/// The service ratio over time: a thin line for each seed, a thick one for their mean.
+/// Draws the service ratio over time: a thin line for each seed and a thick line for the mean of all seeds.
 pub fn chart(experiment: &Experiment) -> Result<String, ChartError> {
     let mut svg = String::new();
     {
@@ -65,7 +65,7 @@
     (0..windows).map(mean_ratio).collect()
 }
 
-/// A point in the middle of each window: seconds and value.
+/// One point for each window: the middle of the window in seconds, and the value.
 fn window_points(values: Vec<f64>) -> Vec<(f64, f64)> {
     let mut points = Vec::with_capacity(values.len());
     for (index, value) in values.into_iter().enumerate() {
--- a/crates/wingfold-emulator/src/report/csv.rs
+++ b/crates/wingfold-emulator/src/report/csv.rs
@@ -1,4 +1,4 @@
-//! The results as CSV: one row for each seed, zone and class.
+//! The results of an experiment as CSV: one row for each seed, zone and class.
 
 use crate::experiment::{Experiment, SeedRun};
 use crate::results::RequestCounts;
@@ -7,27 +7,29 @@
 const HEADER: &str = "scenario,seed,zone,class,asked,refused,good,late,lost,service,worst_10s,\
                       bare,twice,drain,cold,queue\n";
 
-/// The results of an experiment. The columns after `lost` describe the whole run and repeat in each of its rows.
+/// The results as CSV. The columns after `lost` describe the whole run and have the same values in all its
+/// rows.
 pub fn csv(experiment: &Experiment) -> String {
     let scenario = &experiment.scenario;
     let mut out = String::from(HEADER);
     for run in &experiment.runs {
         for (zone, classes) in scenario.settings.zones.iter().zip(&run.result.request_counts) {
             for (load, counts) in scenario.classes.iter().zip(classes) {
-                write_key(&mut out, &scenario.name, run.seed, &zone.0, &load.name);
-                write_counts(&mut out, counts);
-                write_run(&mut out, run);
+                write_row_key(&mut out, &scenario.name, run.seed, &zone.0, &load.name);
+                write_request_counts(&mut out, counts);
+                write_run_columns(&mut out, run);
             }
         }
     }
     out
 }
 
-fn write_key(out: &mut String, scenario: &str, seed: u64, zone: &str, class: &str) {
-    let _ = write!(out, "{},{seed},{},{}", plain_text(scenario), plain_text(zone), plain_text(class));
+fn write_row_key(out: &mut String, scenario: &str, seed: u64, zone: &str, class: &str) {
+    let _ =
+        write!(out, "{},{seed},{},{}", unquoted_field(scenario), unquoted_field(zone), unquoted_field(class));
 }
 
-fn write_counts(out: &mut String, counts: &RequestCounts) {
+fn write_request_counts(out: &mut String, counts: &RequestCounts) {
     let _ = write!(
         out,
         ",{},{},{},{},{}",
@@ -35,7 +37,7 @@
     );
 }
 
-fn write_run(out: &mut String, run: &SeedRun) {
+fn write_run_columns(out: &mut String, run: &SeedRun) {
     let result = &run.result;
     let margins = &result.margins;
     let _ = writeln!(
@@ -51,7 +53,7 @@
     );
 }
 
-/// Replaces the characters that separate or quote fields, so that none needs quotes.
-fn plain_text(text: &str) -> String {
+/// Replaces separators and quotes with spaces, so that the field needs no quoting.
+fn unquoted_field(text: &str) -> String {
     text.replace([',', '"', '\n', '\r'], " ")
 }
--- a/crates/wingfold-emulator/src/report/markdown.rs
+++ b/crates/wingfold-emulator/src/report/markdown.rs
@@ -1,4 +1,4 @@
-//! The tables for people, in Markdown.
+//! The results of an experiment as Markdown tables.
 
 use crate::estimate::Estimate;
 use crate::experiment::Experiment;
@@ -9,12 +9,13 @@
 
 const MICROS_PER_MS: f64 = 1e3;
 
-/// The tables of an experiment.
+/// The results as Markdown: a summary, the estimates, the requests by class, and the margins of the
+/// invariants.
 pub fn markdown(experiment: &Experiment) -> String {
     let mut out = String::new();
     write_summary(&mut out, experiment);
     write_estimates(&mut out, experiment);
-    write_classes(&mut out, experiment);
+    write_class_table(&mut out, experiment);
     write_margins(&mut out, experiment);
     out
 }
@@ -58,15 +59,20 @@
     }
 }
 
-fn write_classes(out: &mut String, experiment: &Experiment) {
+fn write_class_table(out: &mut String, experiment: &Experiment) {
     let _ = writeln!(out, "\n| class | asked | turned away | in time | late | lost | p50 ms | p99 ms |");
     let _ = writeln!(out, "| --- | --- | --- | --- | --- | --- | --- | --- |");
     for (class, load) in experiment.scenario.classes.iter().enumerate() {
-        write_class(out, load, &experiment.class_counts(class), &experiment.latencies_us(class));
+        write_class_row(out, load, &experiment.class_counts(class), &experiment.latencies_us(class));
     }
 }
 
-fn write_class(out: &mut String, load: &ClassLoad, counts: &RequestCounts, latencies_us: &Histogram<u64>) {
+fn write_class_row(
+    out: &mut String,
+    load: &ClassLoad,
+    counts: &RequestCounts,
+    latencies_us: &Histogram<u64>,
+) {
     let quantile_ms = |quantile: f64| latencies_us.value_at_quantile(quantile) as f64 / MICROS_PER_MS;
     let _ = writeln!(
         out,
--- a/crates/wingfold-emulator/src/scenario.rs
+++ b/crates/wingfold-emulator/src/scenario.rs
@@ -37,7 +37,8 @@
     pub name: String,
     /// Its share of all requests, relative to the shares of the other classes.
     pub share: f64,
-    /// The mean work of a request in ms of a core of speed 1, drawn for each run; each request varies around it.
+    /// The mean work of a request in ms of a core of speed 1, drawn for each run; each request varies around
+    /// it.
     pub mean_work_ms: ValueRange,
     /// The class in the settings of the decision module.
     pub class: Class,
@@ -88,7 +89,8 @@
 }
 
 impl Scenario {
-    /// Reads a scenario. The error names everything that is wrong with it; `file` is the name that it gives as the place.
+    /// Reads a scenario. The error names everything that is wrong with it; `file` is the name that it gives
+    /// as the place.
     pub fn read(file: &str, text: &str) -> Result<Scenario, Diagnostics> {
         reader::read(file, text)
     }
--- a/crates/wingfold-emulator/src/scenario/reader.rs
+++ b/crates/wingfold-emulator/src/scenario/reader.rs
@@ -1,5 +1,5 @@
-//! Reads scenarios from HCL and validates them. The keys of the files are mapped to the names of the code here and in the
-//! submodules.
+//! Reads scenarios from HCL and validates them. The keys of the files are mapped to the names of the code
+//! here and in the submodules.
 
 mod fault;
 mod settings;
--- a/crates/wingfold-emulator/src/simulation/actions.rs
+++ b/crates/wingfold-emulator/src/simulation/actions.rs
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Copies the weights of tables that changed, without ejected hosts, to the snapshots that proxies are sent.
+    /// Copies the weights of tables that changed, without ejected hosts, to the snapshots that proxies are
+    /// sent.
     fn refresh_snapshots(&mut self, director: usize, changed_tables: &[TableId]) {
         for table in changed_tables {
             let sent_state = &self.directors[director].sent_state;
--- a/crates/wingfold-emulator/src/simulation/attempts.rs
+++ b/crates/wingfold-emulator/src/simulation/attempts.rs
@@ -60,7 +60,8 @@
         self.hosts[host].slow_start_factor(self.now, settings.warm_up, settings.initial_capacity_ratio)
     }
 
-    /// An attempt reaches its host, which starts, queues or refuses it. Nothing happens if its request has ended.
+    /// An attempt reaches its host, which starts, queues or refuses it. Nothing happens if its request has
+    /// ended.
     pub(super) fn attempt_reaches_host(&mut self, attempt: AttemptId, host: usize) {
         let Some(request) = self.requests.get(&attempt.request) else { return };
         let work_ms = request.work_ms;
--- a/crates/wingfold-emulator/src/simulation/checks.rs
+++ b/crates/wingfold-emulator/src/simulation/checks.rs
@@ -1,5 +1,5 @@
-//! Measures the invariants that only show at the proxies: attempts at hosts that drain or were removed, and proxies that
-//! have no host for a class.
+//! Measures the invariants that only show at the proxies: attempts at hosts that drain or were removed, and
+//! proxies that have no host for a class.
 
 use super::director::DirectorNode;
 use super::event::SimulationEvent;
@@ -15,7 +15,8 @@
 const START_GRACE: Micros = Micros(1_000_000);
 
 impl Simulation<'_> {
-    /// Records how late a proxy sends to a host after its director was notified that the host drains or was removed.
+    /// Records how late a proxy sends to a host after its director was notified that the host drains or was
+    /// removed.
     pub(super) fn check_drain(&mut self, proxy: usize, host: usize) {
         let proxy = &self.proxies[proxy];
         let Some(director) = proxy.director.map(|director| &self.directors[director]) else { return };
@@ -27,7 +28,8 @@
         margins.late_attempt_ratio = margins.late_attempt_ratio.max(ratio);
     }
 
-    /// Records for how long each proxy has had no host for a class although one is ready, and schedules the next check.
+    /// Records for how long each proxy has had no host for a class although one is ready, and schedules the
+    /// next check.
     pub(super) fn check_routes(&mut self) {
         for proxy in 0..self.proxies.len() {
             for class in 0..self.scenario.classes.len() {
--- a/crates/wingfold-emulator/src/simulation/director.rs
+++ b/crates/wingfold-emulator/src/simulation/director.rs
@@ -1,4 +1,5 @@
-//! A director of the simulation: the real decision module, its capture, and the state that it has sent to its proxies.
+//! A director of the simulation: the real decision module, its capture, and the state that it has sent to its
+//! proxies.
 
 use crate::proxy::{ClassRoute, HostWeights};
 use std::collections::{BTreeMap, BTreeSet};
@@ -160,8 +161,8 @@
         level.map_or(1.0, |(_, level)| *level)
     }
 
-    /// Records which hosts the endpoint lists among `events` call not ready. Removed hosts may still be used if
-    /// `removal_is_advisory`. Lists from a cache are older than what is known.
+    /// Records which hosts the endpoint lists among `events` call not ready. Removed hosts may still be used
+    /// if `removal_is_advisory`. Lists from a cache are older than what is known.
     pub(super) fn record_unavailable_hosts(
         &mut self,
         now: Timestamp,
--- a/crates/wingfold-emulator/src/simulation/event.rs
+++ b/crates/wingfold-emulator/src/simulation/event.rs
@@ -6,7 +6,8 @@
 use std::collections::BinaryHeap;
 use wingfold_director::interface::{Event, Timestamp};
 
-/// Something that happens at a point in virtual time. Hosts, proxies, directors and faults are given by index.
+/// Something that happens at a point in virtual time. Hosts, proxies, directors and faults are given by
+/// index.
 pub(super) enum SimulationEvent {
     /// A request arrives at a proxy, unless the proxy's traffic has changed since the arrival was drawn.
     RequestArrives { proxy: usize, epoch: u32 },
--- a/crates/wingfold-emulator/src/simulation/faults.rs
+++ b/crates/wingfold-emulator/src/simulation/faults.rs
@@ -15,7 +15,8 @@
 
 /// When a proxy notices that a partition has cut its stream.
 const PARTITION_DETECTION_DELAY: DelayRange = DelayRange { min: Micros(500_000), max: Micros(2_800_000) };
-/// When the hosts of a batch of a rolling replacement drain, stop and start, in tenths of the time of the batch.
+/// When the hosts of a batch of a rolling replacement drain, stop and start, in tenths of the time of the
+/// batch.
 const REPLACEMENT_STEPS: [ReplacementStep; 3] = [
     ReplacementStep { begins_at_tenth: 0, transition: HostTransition::Drain },
     ReplacementStep { begins_at_tenth: 6, transition: HostTransition::Stop },
@@ -130,7 +131,8 @@
         self.announce_host(index);
     }
 
-    /// Hosts fail, or start again. Discovery notices only that a process died, not that a host hangs or is unreachable.
+    /// Hosts fail, or start again. Discovery notices only that a process died, not that a host hangs or is
+    /// unreachable.
     fn fail_hosts(&mut self, hosts: &[usize], state: HostState, active: bool) {
         if !active {
             self.change_hosts(hosts, HostTransition::Start);
@@ -171,7 +173,8 @@
         }
     }
 
-    /// A zone is partitioned from the others, or no longer. Proxies get no signal: they notice by the silence.
+    /// A zone is partitioned from the others, or no longer. Proxies get no signal: they notice by the
+    /// silence.
     fn change_partition(&mut self, zone: &str, active: bool) {
         let zone = self.zone_index(zone);
         set_member(&mut self.disruptions.partitioned_zones, zone, active);
--- a/crates/wingfold-emulator/src/simulation/load_reports.rs
+++ b/crates/wingfold-emulator/src/simulation/load_reports.rs
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Sends the reports of a zone to a director. Counts are lost where the zone is partitioned from the director.
+    /// Sends the reports of a zone to a director. Counts are lost where the zone is partitioned from the
+    /// director.
     fn send_zone_reports(&mut self, director: usize, zone: usize) {
         let mut reports = self.collect_reports(director, zone);
         if self.disruptions.silent_collectors.contains(&zone) {
@@ -76,8 +77,8 @@
         self.schedule_after(delay, SimulationEvent::DirectorReceives { director, incarnation, events });
     }
 
-    /// Takes the counts of the proxies of a zone that are connected to a director: usage by proxy and class, then load
-    /// reports by host.
+    /// Takes the counts of the proxies of a zone that are connected to a director: usage by proxy and class,
+    /// then load reports by host.
     fn collect_reports(&mut self, director: usize, zone: usize) -> Vec<Event> {
         let period = self.scenario.settings.report_period;
         let mut host_stats: BTreeMap<usize, AttemptStats> = BTreeMap::new();
--- a/crates/wingfold-emulator/src/simulation/mod.rs
+++ b/crates/wingfold-emulator/src/simulation/mod.rs
@@ -1,4 +1,5 @@
-//! Simulates a scenario in virtual time. The decision module is the real one; everything around it is emulated.
+//! Simulates a scenario in virtual time. The decision module is the real one; everything around it is
+//! emulated.
 
 mod actions;
 mod attempts;
@@ -51,8 +52,8 @@
     fn director_called(&mut self, _: usize, _: Timestamp, _: &[Event], _: &[Action], _: &Director) {}
 }
 
-/// Simulates a scenario with a seed. Where `capture_root` is given, each director's calls are captured below it; an error
-/// means that a capture could not be written.
+/// Simulates a scenario with a seed. Where `capture_root` is given, each director's calls are captured below
+/// it; an error means that a capture could not be written.
 pub fn simulate(scenario: &Scenario, seed: u64, capture_root: Option<&Path>) -> io::Result<RunResult> {
     simulate_observed(scenario, seed, capture_root, &mut ())
 }
--- a/crates/wingfold-emulator/src/simulation/push.rs
+++ b/crates/wingfold-emulator/src/simulation/push.rs
@@ -17,7 +17,8 @@
 type EntryCounts = BTreeMap<usize, usize>;
 
 impl Simulation<'_> {
-    /// Counts the table entries that each connected proxy must be sent, and records which tables proxies use now.
+    /// Counts the table entries that each connected proxy must be sent, and records which tables proxies use
+    /// now.
     pub(super) fn entries_by_proxy(&mut self, director: usize, actions: &[Action]) -> EntryCounts {
         let connected = self.connected_proxies(director);
         let mut counts = EntryCounts::new();
--- a/crates/wingfold-emulator/src/simulation/requests.rs
+++ b/crates/wingfold-emulator/src/simulation/requests.rs
@@ -7,8 +7,8 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use wingfold_director::interface::*;
 
-/// The work of a request is the mean of its class times a log-normal factor: mean and standard deviation of the factor's
-/// logarithm. The factor's own mean is 1.
+/// The work of a request is the mean of its class times a log-normal factor: mean and standard deviation of
+/// the factor's logarithm. The factor's own mean is 1.
 const WORK_FACTOR_LOG_MEAN: f64 = -0.045;
 const WORK_FACTOR_LOG_DEVIATION: f64 = 0.3;
 /// The lowest rate of a proxy; the exponential distribution needs one above 0.
--- a/crates/wingfold-emulator/src/simulation/setup.rs
+++ b/crates/wingfold-emulator/src/simulation/setup.rs
@@ -28,11 +28,13 @@
 const INITIAL_HOSTS: usize = 8;
 /// When proxies connect for the first time.
 const FIRST_CONNECT_DELAY: DelayRange = DelayRange { min: Micros(20_000), max: Micros(500_000) };
-/// When the first director sends its first random message; each further director sends its own a microsecond later.
+/// When the first director sends its first random message; each further director sends its own a microsecond
+/// later.
 const FIRST_PEER_MESSAGE_AT: Timestamp = Timestamp(1000);
 
 impl<'a> Simulation<'a> {
-    /// Draws the site. The order of the draws from the site's stream is fixed: runs with the same seed depend on it.
+    /// Draws the site. The order of the draws from the site's stream is fixed: runs with the same seed depend
+    /// on it.
     pub(super) fn new(
         scenario: &'a Scenario,
         seed: u64,
--- a/crates/wingfold-emulator/src/simulation/streams.rs
+++ b/crates/wingfold-emulator/src/simulation/streams.rs
@@ -36,8 +36,8 @@
         self.send_to_director(CONNECT_DELAY, director, vec![connected]);
     }
 
-    /// The directors that a proxy of a zone can connect to. If the settings prefer the proxy's own zone and it has some,
-    /// only those.
+    /// The directors that a proxy of a zone can connect to. If the settings prefer the proxy's own zone and
+    /// it has some, only those.
     fn reachable_directors(&self, zone: usize) -> Vec<usize> {
         let reachable: Vec<usize> =
             (0..self.directors.len()).filter(|director| self.is_reachable(*director, zone)).collect();
--- a/crates/wingfold-emulator/tests/emulator.rs
+++ b/crates/wingfold-emulator/tests/emulator.rs
@@ -1,4 +1,5 @@
-//! The emulator: a seed determines a run, invariants are measured and can be violated, scenarios are validated.
+//! The emulator: a seed determines a run, invariants are measured and can be violated, scenarios are
+//! validated.
 
 use wingfold_emulator::experiment::Experiment;
 use wingfold_emulator::results::RequestCounts;
--- a/crates/wingfold-emulator/tests/silence.rs
+++ b/crates/wingfold-emulator/tests/silence.rs
@@ -1,5 +1,6 @@
-//! Five reasons why a zone can be silent, run in the emulator: a partition, low traffic, a collector that is down, delayed
-//! load reports, and no traffic at all. The metrics tell them apart at every moment that matters.
+//! Five reasons why a zone can be silent, run in the emulator: a partition, low traffic, a collector that is
+//! down, delayed load reports, and no traffic at all. The metrics tell them apart at every moment that
+//! matters.
 
 use std::collections::{BTreeMap, BTreeSet};
 use wingfold_director::interface::{Action, Event, Micros, Timestamp, ZoneId};
@@ -89,7 +90,8 @@
     }
 }
 
-/// Runs a scenario of 100 s with the given fault; it has one director, so that all proxies are connected to it.
+/// Runs a scenario of 100 s with the given fault; it has one director, so that all proxies are connected to
+/// it.
 fn observe(fault: &str, seed: u64) -> MetricsObserver {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios/example.hcl");
     let text = std::fs::read_to_string(path).unwrap();
@@ -163,7 +165,8 @@
             "seed {seed}"
         );
         assert_eq!(observer.states(ZONE_INDEX, 68, 98), [HEARD], "seed {seed}");
-        // Between, it changes from heard to cut by way of silent at most; the other zones are heard all the time.
+        // Between, it changes from heard to cut by way of silent at most; the other zones are heard all the
+        // time.
         let between = observer.states(ZONE_INDEX, 29, 42);
         let is_expected = |state: SourceState| {
             matches!(state, SourceState::Reporting | SourceState::Partitioned | SourceState::Silent)
@@ -222,7 +225,8 @@
         assert!((1.5..4.5).contains(&lag_s), "seed {seed}: {lag_s}");
         assert!(observer.value(Metric::TriesLate, 45).unwrap() > 50.0, "late reports are marked");
         assert_eq!(observer.value(Metric::TriesLate, 25), Some(0.0), "seed {seed}");
-        // Every interval that ends while reports are delayed is sent again with what arrived for it afterwards.
+        // Every interval that ends while reports are delayed is sent again with what arrived for it
+        // afterwards.
         let delayed = 40..=60;
         let corrected = observer.intervals.iter().filter(|interval| {
             delayed.contains(&(interval.ended_at.0 / MICROS_PER_S)) && !interval.corrections.is_empty()
@@ -236,7 +240,8 @@
     for seed in 1..=5 {
         let observer = observe(NO_TRAFFIC, seed);
         let states = observer.states(ZONE_INDEX, 20, 95);
-        // Its proxies announced their ordinary rate when they connected, so reports are missing; but nothing is cut.
+        // Its proxies announced their ordinary rate when they connected, so reports are missing; but nothing
+        // is cut.
         let is_cut = |states: &ZoneStates| {
             states.load_reports == SourceState::Partitioned || states.first_class == SourceState::Partitioned
         };
