--- a/crates/wingfold-emulator/src/simulation/actions.rs
+++ b/crates/wingfold-emulator/src/simulation/actions.rs
@@ -7,19 +7,19 @@
 use std::sync::Arc;
 use wingfold_director::interface::*;
 
-/// Lines that are kept of the logs of all directors together.
+/// The most log lines of a run that are kept, over all directors.
 const MAX_LOG_LINES: usize = 20_000;
 /// How long discovery takes to answer a request for the complete endpoint list.
 const ENDPOINT_LIST_DELAY: Micros = Micros(30_000);
 
 impl Simulation<'_> {
-    /// Carries out the actions of one call.
+    /// Carries out the actions that one call of a director's decision module returned.
     pub(super) fn apply_actions(&mut self, director: usize, actions: &[Action]) {
         let changed_tables = self.directors[director].sent_state.apply(actions);
         let entry_counts = self.entries_by_proxy(director, actions);
         self.refresh_snapshots(director, &changed_tables);
-        self.schedule_requested(director, actions);
-        self.record_notices(director, actions);
+        self.schedule_timers_and_responses(director, actions);
+        self.log_notices(director, actions);
         self.push_to_proxies(director, entry_counts, &barriers(actions));
         for action in actions {
             if let Action::SendToPeer { to, message } = action {
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Copies the weights of tables that changed, without ejected hosts, to the snapshots that proxies are
-    /// sent.
+    /// Copies the host weights of changed tables, without ejected hosts, to the snapshots that are sent to
+    /// proxies.
     fn refresh_snapshots(&mut self, director: usize, changed_tables: &[TableId]) {
         for table in changed_tables {
             let sent_state = &self.directors[director].sent_state;
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Schedules timers, and the responses to requests for the endpoint list.
-    fn schedule_requested(&mut self, director: usize, actions: &[Action]) {
+    /// Schedules the requested timers and the responses to requests for the endpoint list.
+    fn schedule_timers_and_responses(&mut self, director: usize, actions: &[Action]) {
         let incarnation = self.directors[director].incarnation;
         for action in actions {
             match action {
@@ -62,7 +62,7 @@
         }
     }
 
-    fn record_notices(&mut self, director: usize, actions: &[Action]) {
+    fn log_notices(&mut self, director: usize, actions: &[Action]) {
         let log = &mut self.result.log;
         for action in actions {
             let Action::Notice(notice) = action else { continue };
--- a/crates/wingfold-emulator/src/simulation/attempts.rs
+++ b/crates/wingfold-emulator/src/simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests: sent to a host, executed there, and answered, refused or timed out.
+//! Attempts of requests: they are sent to a host, executed there, and answered, refused or timed out.
 
 use super::event::SimulationEvent;
 use super::Simulation;
@@ -7,16 +7,16 @@
 use rand::Rng;
 use wingfold_director::interface::*;
 
-/// The timeout of an attempt, as a share of its class's deadline.
+/// The timeout of an attempt as a share of the deadline of the request's class.
 const ATTEMPT_TIMEOUT_RATIO: f64 = 0.7;
-/// The timeout of a connection that is never established.
+/// When an attempt that a partition blocks is refused, because its connection was not established.
 const CONNECT_TIMEOUT: Micros = Micros(500_000);
 /// How long a proxy ejects a host after consecutive failures.
 const EJECTION_DURATION: Micros = Micros(5_000_000);
 const MS_PER_S: f64 = 1e3;
 
 impl Simulation<'_> {
-    /// Sends the next attempt of a request. The request fails if its proxy has no host for it.
+    /// Sends the next attempt of a request. The request fails if its proxy has no host for its class.
     pub(super) fn send_attempt(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let proxy = &self.proxies[request.proxy];
@@ -36,7 +36,7 @@
         self.forward_attempt(attempt, proxy, host);
     }
 
-    /// Sends an attempt over the network, where a partition may be in its way.
+    /// Sends an attempt over the network. A partition between proxy and host makes the connection time out.
     fn forward_attempt(&mut self, attempt: AttemptId, proxy: usize, host: usize) {
         let from_zone = self.proxies[proxy].zone;
         let to_zone = self.hosts[host].zone;
@@ -60,8 +60,8 @@
         self.hosts[host].slow_start_factor(self.now, settings.warm_up, settings.initial_capacity_ratio)
     }
 
-    /// An attempt reaches its host, which starts, queues or refuses it. Nothing happens if its request has
-    /// ended.
+    /// Handles the arrival of an attempt at its host, which starts, queues, refuses or ignores the attempt.
+    /// An attempt whose request has ended is dropped.
     pub(super) fn attempt_reaches_host(&mut self, attempt: AttemptId, host: usize) {
         let Some(request) = self.requests.get(&attempt.request) else { return };
         let work_ms = request.work_ms;
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Work arrives at a host that warms up. If it is too much, the host fails and stays down.
+    /// Records work that arrives at a host that is warming up. If the work exceeds the overload
+    /// limit, the host fails and stays down until a fault restarts it.
     fn add_warm_up_work(&mut self, host: usize, work_ms: f64, slow_start_factor: f64) {
         let settings = &self.scenario.settings;
         let limit = OverloadLimit { factor: settings.overload_factor, window: settings.overload_duration };
@@ -93,7 +94,7 @@
         }
     }
 
-    /// A host starts an attempt on a core.
+    /// Counts the execution of an attempt that a host has started and schedules its end.
     fn attempt_starts(&mut self, attempt: AttemptId, host: usize, finishes_at: Timestamp) {
         self.count_execution(attempt.request);
         let incarnation = self.hosts[host].incarnation;
@@ -109,7 +110,7 @@
         }
     }
 
-    /// A core has finished an attempt: the next one starts, and the answer is sent.
+    /// Handles the end of an attempt on a core: starts the next queued attempt and sends the answer.
     pub(super) fn attempt_finishes(&mut self, attempt: AttemptId, host: usize, incarnation: u32) {
         if self.hosts[host].incarnation != incarnation {
             return;
@@ -133,7 +134,7 @@
         self.schedule_attempt_end(latency, attempt, outcome);
     }
 
-    /// Draws whether an answer is an error. Draws no random number where none can be.
+    /// Draws whether an answer is an error. Draws no random number if the error ratio is 0.
     fn draw_outcome(&mut self, error_ratio: f64) -> AttemptOutcome {
         if error_ratio > 0.0 && self.rng.random::<f64>() < error_ratio {
             AttemptOutcome::Error
@@ -142,12 +143,12 @@
         }
     }
 
-    /// A proxy learns how an attempt ended: it retries, or the request ends.
+    /// Handles the outcome of an attempt at the proxy: the request is answered, retried or failed.
     pub(super) fn attempt_ends(&mut self, attempt: AttemptId, outcome: AttemptOutcome) {
         let id = attempt.request;
         let Some(request) = self.requests.get(&id) else { return };
         let Some(host) = request.host else { return };
-        // A later attempt is under way: this one has timed out before.
+        // A later attempt has been sent, so this attempt has already ended.
         if request.attempts != attempt.number {
             return;
         }
@@ -170,7 +171,7 @@
     }
 }
 
-/// Whether a request is retried after so many attempts, the last of which failed.
+/// Whether a request is retried when the last of its `attempts` attempts has failed with `last_outcome`.
 fn may_retry(retry: Retry, last_outcome: AttemptOutcome, attempts: u32) -> bool {
     match retry {
         Retry::Never => false,
--- a/crates/wingfold-emulator/src/simulation/delay.rs
+++ b/crates/wingfold-emulator/src/simulation/delay.rs
@@ -12,19 +12,19 @@
 }
 
 impl DelayRange {
-    /// From `min` to twice that.
+    /// The range from `min` to twice `min`.
     pub(super) fn up_to_double(min: Micros) -> DelayRange {
         DelayRange { min, max: Micros(min.0 * 2) }
     }
 
-    /// From `min` to one and a half times that.
+    /// The range from `min` to one and a half times `min`.
     pub(super) fn up_to_half_more(min: Micros) -> DelayRange {
         DelayRange { min, max: Micros(min.0 * 3 / 2) }
     }
 }
 
 impl Simulation<'_> {
-    /// Draws a delay. Draws no random number where the range holds a single delay.
+    /// Draws a delay from a range. Draws no random number if both ends of the range are equal.
     pub(super) fn random_delay(&mut self, range: DelayRange) -> Micros {
         if range.max > range.min {
             Micros(self.rng.random_range(range.min.0..=range.max.0))
--- a/crates/wingfold-emulator/src/simulation/director.rs
+++ b/crates/wingfold-emulator/src/simulation/director.rs
@@ -1,5 +1,5 @@
-//! A director of the simulation: the real decision module, its capture, and the state that it has sent to its
-//! proxies.
+//! A director of the simulation: the real decision module, the capture of its calls, and the state that the
+//! director has sent to its proxies.
 
 use crate::proxy::{ClassRoute, HostWeights};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,43 +9,44 @@
 use wingfold_director::interface::*;
 use wingfold_director::Director;
 
-/// The mask of an assignment that holds for all classes.
+/// The class mask of an assignment that applies to all classes.
 const ALL_CLASSES: u64 = 0;
 
 /// Records the calls of a decision module.
 pub(super) type CallRecorder = Recorder<Box<dyn RecorderQueue>>;
 
-/// A director.
+/// The state of a director.
 pub(super) struct DirectorNode {
     /// The decision module; `None` while the director is down.
     pub(super) module: Option<Director>,
-    /// The recorder of the module's calls, if captures are requested.
+    /// Records the calls of the module; `None` while the director is down or if no captures are requested.
     pub(super) recorder: Option<CallRecorder>,
-    /// Counts its starts and stops: what was sent to an earlier incarnation does not arrive.
+    /// Incremented at each start and stop. Events for an earlier incarnation are dropped.
     pub(super) incarnation: u32,
-    /// When it last started.
+    /// When the director last started.
     pub(super) started_at: Timestamp,
-    /// The index of its zone.
+    /// The index of the director's zone.
     pub(super) zone: usize,
-    /// While it is stalled, events wait in its backlog.
+    /// Whether the director is stalled, so that arriving events wait in `backlog`.
     pub(super) is_stalled: bool,
+    /// The events that have arrived since the director stalled.
     pub(super) backlog: Vec<Event>,
-    /// The tables and assignments that its actions come to.
+    /// The tables and assignments that result from the actions of the module.
     pub(super) sent_state: ReplayState,
-    /// The weights of each table as proxies are sent them.
+    /// The host weights of each table that proxies are sent: without ejected hosts.
     pub(super) snapshots: BTreeMap<TableId, HostWeights>,
     /// The proxies that each table is assigned to.
     pub(super) table_users: BTreeMap<TableId, BTreeSet<usize>>,
-    /// When its send queue will be empty.
+    /// When the send queue will be empty.
     pub(super) send_queue_empty_at: Timestamp,
     /// When the last message to each proxy arrives.
     pub(super) last_arrivals: BTreeMap<usize, Timestamp>,
-    /// Hosts that it was notified are not ready, and since when.
+    /// The hosts of which discovery has notified the director that they are not ready, and when it first did.
     pub(super) unavailable_since: BTreeMap<HostId, Timestamp>,
 }
 
 impl DirectorNode {
-    /// A director that has not been started yet.
+    /// Creates a director that has not been started yet.
     pub(super) fn new(zone: usize) -> DirectorNode {
         DirectorNode {
             module: None,
@@ -64,17 +65,17 @@
         }
     }
 
-    /// Whether proxies can connect to it.
+    /// Whether proxies can connect to the director.
     pub(super) fn accepts_streams(&self) -> bool {
         self.module.is_some() && !self.is_stalled
     }
 
-    /// The digest of its decision module; 0 while it is down.
+    /// The digest of the decision module; 0 while the director is down.
     pub(super) fn digest(&self) -> u64 {
         self.module.as_ref().map_or(0, Director::digest)
     }
 
-    /// Writes the end of its capture, if it has one.
+    /// Writes the end of the capture, if there is one.
     pub(super) fn finish_capture(&mut self) -> io::Result<()> {
         match &mut self.recorder {
             Some(recorder) => recorder.queue().finish(),
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Begins a new incarnation, which knows nothing of what an earlier one had.
+    /// Begins a new incarnation, which keeps no state of earlier incarnations.
     pub(super) fn restart(&mut self, module: Director, recorder: Option<CallRecorder>, now: Timestamp) {
         self.module = Some(module);
         self.recorder = recorder;
@@ -106,7 +107,7 @@
         Ok(())
     }
 
-    /// The entries and admission levels of a table.
+    /// The number of the entries and admission levels of a table.
     pub(super) fn table_size(&self, table: TableId) -> usize {
         self.sent_state
             .tables
@@ -114,7 +115,7 @@
             .map_or(0, |table| table.entries.len() + table.admission_levels.len())
     }
 
-    /// Records a proxy as a user of exactly the tables that it is assigned.
+    /// Makes a proxy a user of exactly the tables that are assigned to it.
     pub(super) fn refresh_table_users(&mut self, proxy: usize) {
         self.remove_table_user(proxy);
         for ((assigned, _), table) in &self.sent_state.assignments {
@@ -137,7 +138,7 @@
         self.last_arrivals.remove(&proxy);
     }
 
-    /// The route of a proxy for a class by the tables; `current` where the proxy is assigned none.
+    /// The route of a class at a proxy by the table assigned to it; `current` if no table is assigned.
     pub(super) fn route(&self, proxy: usize, class: usize, current: &ClassRoute) -> ClassRoute {
         let Some(table) = self.assigned_table(proxy, class) else { return current.clone() };
         ClassRoute {
@@ -154,15 +155,15 @@
         matching.map(|(_, table)| *table)
     }
 
-    /// The admission level of a class in a table; 1 where the table has none.
+    /// The admission level of a class in a table; 1 if the table has no level for the class.
     fn admission_level(&self, table: TableId, class: usize) -> f64 {
         let levels = self.sent_state.tables.get(&table).map(|table| &table.admission_levels);
         let level = levels.into_iter().flatten().find(|(mask, _)| has_class(**mask, class));
         level.map_or(1.0, |(_, level)| *level)
     }
 
-    /// Records which hosts the endpoint lists among `events` call not ready. Removed hosts may still be used
-    /// if `removal_is_advisory`. Lists from a cache are older than what is known.
+    /// Records which hosts are not ready according to the endpoint lists among `events`. Removed hosts may
+    /// still be used if `removal_is_advisory`. Cached lists are ignored, because they can be out of date.
     pub(super) fn record_unavailable_hosts(
         &mut self,
         now: Timestamp,
@@ -193,7 +194,7 @@
     }
 }
 
-/// Whether a mask of classes has a class.
+/// Whether a class mask contains a class.
 fn has_class(mask: u64, class: usize) -> bool {
     mask >> class & 1 == 1
 }
--- a/crates/wingfold-emulator/src/simulation/discovery.rs
+++ b/crates/wingfold-emulator/src/simulation/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the endpoint list and its changes, which reach each director after a delay of its own.
+//! Discovery: the endpoint list and its changes, whose delay is drawn separately for each director.
 
 use super::delay::DelayRange;
 use super::Simulation;
@@ -6,7 +6,7 @@
 use crate::scenario::Scenario;
 use wingfold_director::interface::*;
 
-/// How soon directors learn that discovery is down.
+/// The delay after which directors are notified that discovery is down.
 const FAILURE_DELAY: Micros = Micros(5000);
 
 impl Simulation<'_> {
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Sends every director a change of the endpoint list.
+    /// Sends every director a change of the endpoint list, even while discovery is down.
     pub(super) fn announce_endpoint(&mut self, endpoint: &Endpoint) {
         for director in 0..self.directors.len() {
             let delay = self.random_delay(DelayRange::up_to_double(self.scenario.discovery_delay));
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Discovery goes down or comes back. Directors are only notified of the former.
+    /// Handles the beginning and the end of a discovery outage. Directors are notified only of the beginning.
     pub(super) fn change_discovery(&mut self, is_down: bool) {
         self.disruptions.discovery_is_down = is_down;
         if !is_down {
--- a/crates/wingfold-emulator/src/simulation/event.rs
+++ b/crates/wingfold-emulator/src/simulation/event.rs
@@ -6,34 +6,34 @@
 use std::collections::BinaryHeap;
 use wingfold_director::interface::{Event, Timestamp};
 
-/// Something that happens at a point in virtual time. Hosts, proxies, directors and faults are given by
-/// index.
+/// Something that happens at a point in virtual time. Hosts, proxies, directors and faults are identified by
+/// their index.
 pub(super) enum SimulationEvent {
     /// A request arrives at a proxy, unless the proxy's traffic has changed since the arrival was drawn.
     RequestArrives { proxy: usize, epoch: u32 },
     /// An attempt reaches its host.
     AttemptReachesHost { attempt: AttemptId, host: usize },
-    /// A core has finished an attempt, unless the host has stopped since.
+    /// A core finishes an attempt, unless the host has stopped since the attempt was started.
     AttemptFinishes { attempt: AttemptId, host: usize, incarnation: u32 },
     /// A proxy learns how an attempt ended.
     AttemptEnds { attempt: AttemptId, outcome: AttemptOutcome },
-    /// All zones send their load reports.
+    /// All zones send their load reports and usage reports.
     LoadReportsDue,
-    /// Events reach a director, unless it has died since.
+    /// Events reach a director, unless the director has stopped since they were sent.
     DirectorReceives { director: usize, incarnation: u32, events: Vec<Event> },
-    /// A director's timer fires.
+    /// A director's timer fires, unless the director has stopped since it set the timer.
     TimerFires { director: usize, incarnation: u32, token: u64 },
-    /// A director receives the complete endpoint list, which it has requested.
+    /// A director receives the requested complete endpoint list, unless it has stopped since the request.
     EndpointListFetched { director: usize, incarnation: u32 },
     /// A director sends its peers a random message.
     PeerMessageDue { director: usize },
-    /// New routes reach a proxy, unless the stream has broken since.
+    /// New routes reach a proxy, unless the stream has broken since they were sent.
     RoutesReachProxy { proxy: usize, stream: u32, routes: Vec<ClassRoute> },
     /// A proxy connects to a director.
     ProxyConnects { proxy: usize },
-    /// A proxy notices that its stream is dead.
+    /// A proxy detects that its stream has broken, unless it has lost that stream already.
     StreamBreaks { proxy: usize, stream: u32 },
-    /// The routes of all proxies are checked against the invariants.
+    /// All proxies are checked for classes without a host.
     RouteCheckDue,
     /// A fault begins or ends.
     FaultChanges { fault: usize, active: bool },
@@ -41,7 +41,7 @@
     HostsChange { hosts: Vec<usize>, transition: HostTransition },
 }
 
-/// A step in the life of a host.
+/// A change of the state of a host.
 #[derive(Clone, Copy)]
 pub(super) enum HostTransition {
     /// Discovery announces that the host drains.
@@ -52,11 +52,11 @@
     Start,
 }
 
-/// An event with its time.
+/// An event and its time.
 pub(super) struct ScheduledEvent {
     /// When it happens.
     pub(super) at: Timestamp,
-    /// Orders the events of the same time by when they were scheduled.
+    /// Counts the scheduled events; orders events of the same time.
     sequence: u64,
     /// What happens.
     pub(super) event: SimulationEvent,
@@ -82,18 +82,19 @@
     }
 }
 
-/// Events by time; those of the same time in the order in which they were scheduled.
+/// The scheduled events in the order of time; events of the same time in the order in which they were
+/// scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<ScheduledEvent>>,
-    scheduled: u64,
+    scheduled_count: u64,
 }
 
 impl EventQueue {
     /// Schedules an event.
     pub(super) fn push(&mut self, at: Timestamp, event: SimulationEvent) {
-        self.scheduled += 1;
-        self.heap.push(Reverse(ScheduledEvent { at, sequence: self.scheduled, event }));
+        self.scheduled_count += 1;
+        self.heap.push(Reverse(ScheduledEvent { at, sequence: self.scheduled_count, event }));
     }
 
     /// Removes the earliest event.
--- a/crates/wingfold-emulator/src/simulation/faults.rs
+++ b/crates/wingfold-emulator/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a scenario: the hosts that each affects, and what it does when it begins and ends.
+//! The faults of a scenario: which hosts a fault affects, and what happens when a fault begins and ends.
 
 use super::delay::DelayRange;
 use super::discovery::endpoint_of;
@@ -13,9 +13,9 @@
 use std::time::Duration;
 use wingfold_director::interface::*;
 
-/// When a proxy notices that a partition has cut its stream.
+/// The delay after which a proxy detects that a partition has broken its stream.
 const PARTITION_DETECTION_DELAY: DelayRange = DelayRange { min: Micros(500_000), max: Micros(2_800_000) };
-/// When the hosts of a batch of a rolling replacement drain, stop and start, in tenths of the time of the
+/// When the hosts of a batch of a rolling replacement drain, stop and start, in tenths of the duration of the
 /// batch.
 const REPLACEMENT_STEPS: [ReplacementStep; 3] = [
     ReplacementStep { begins_at_tenth: 0, transition: HostTransition::Drain },
@@ -28,23 +28,23 @@
     transition: HostTransition,
 }
 
-/// The present effects of faults on the site as a whole.
+/// The effects of active faults on the site as a whole.
 pub(super) struct Disruptions {
     /// Zones that are partitioned from all others.
     pub(super) partitioned_zones: BTreeSet<usize>,
-    /// Zones whose load report collector sends nothing.
+    /// Zones whose collector sends no load reports.
     pub(super) silent_collectors: BTreeSet<usize>,
-    /// The traffic of the site as a multiple of the ordinary.
+    /// The traffic of the site as a multiple of the normal traffic.
     pub(super) traffic_factor: f64,
-    /// The traffic of each zone as a multiple of the ordinary.
+    /// The traffic of each zone as a multiple of the normal traffic.
     pub(super) zone_traffic_factors: Vec<f64>,
-    /// The additional delay of load reports.
+    /// The additional delay of load reports and usage reports.
     pub(super) report_delay: Micros,
     pub(super) discovery_is_down: bool,
 }
 
 impl Disruptions {
-    /// A site of so many zones without faults.
+    /// No effects on a site with the given number of zones.
     pub(super) fn none(zones: usize) -> Disruptions {
         Disruptions {
             partitioned_zones: BTreeSet::new(),
@@ -58,7 +58,7 @@
 }
 
 impl Simulation<'_> {
-    /// A fault begins or ends.
+    /// Applies the beginning or the end of a fault: `active` is true when the fault begins.
     pub(super) fn change_fault(&mut self, index: usize, active: bool) -> io::Result<()> {
         let scenario = self.scenario;
         let fault = &scenario.faults[index];
@@ -87,7 +87,7 @@
             FaultKind::DirectorCrash { director } => self.start_director(*director)?,
             FaultKind::DirectorStall { director } => self.stall_director(*director, active)?,
             FaultKind::StreamReset if active => self.disconnect_all(),
-            // These are over before their time ends.
+            // The end of the fault has no effect: these kinds only act when they begin.
             FaultKind::RollingReplacement { .. } | FaultKind::StreamReset => {}
         }
         Ok(())
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Drains, stops or starts hosts, one after another.
+    /// Applies a transition to hosts in the given order, and announces each.
     pub(super) fn change_hosts(&mut self, hosts: &[usize], transition: HostTransition) {
         for host in hosts {
             self.change_host(*host, transition);
@@ -131,8 +131,8 @@
         self.announce_host(index);
     }
 
-    /// Hosts fail, or start again. Discovery notices only that a process died, not that a host hangs or is
-    /// unreachable.
+    /// Makes hosts fail, or starts them again. Discovery detects only that a process died, not that a host
+    /// hangs or is unreachable.
     fn fail_hosts(&mut self, hosts: &[usize], state: HostState, active: bool) {
         if !active {
             self.change_hosts(hosts, HostTransition::Start);
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Hosts drain and stop after a time, or start again.
+    /// Makes hosts drain and stop `stop_after` later, or starts them again.
     fn drain_hosts(&mut self, hosts: Vec<usize>, stop_after: Duration, active: bool) {
         if active {
             self.change_hosts(&hosts, HostTransition::Drain);
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Schedules a rolling replacement of hosts in batches of a share of them, from now until `ends_at`.
+    /// Schedules a rolling replacement from now until `ends_at`, in batches of `batch_ratio` of the hosts.
     fn schedule_replacement(&mut self, hosts: &[usize], batch_ratio: f64, ends_at: Timestamp) {
         let batch_size = ((hosts.len() as f64 * batch_ratio).ceil() as usize).max(1);
         let batches = hosts.len().div_ceil(batch_size).max(1) as u64;
@@ -173,8 +173,8 @@
         }
     }
 
-    /// A zone is partitioned from the others, or no longer. Proxies get no signal: they notice by the
-    /// silence.
+    /// Begins or ends the partition of a zone from the others. Proxies are not notified of a partition; each
+    /// detects after a delay that its stream has broken.
     fn change_partition(&mut self, zone: &str, active: bool) {
         let zone = self.zone_index(zone);
         set_member(&mut self.disruptions.partitioned_zones, zone, active);
@@ -193,7 +193,7 @@
         set_member(&mut self.disruptions.silent_collectors, zone, is_silent);
     }
 
-    /// The traffic of a zone changes: the next requests of its proxies are drawn again.
+    /// Changes the traffic of a zone: the next arrival at each of the zone's proxies is drawn again.
     fn change_zone_traffic(&mut self, zone: &str, factor: f64) {
         let zone = self.zone_index(zone);
         self.disruptions.zone_traffic_factors[zone] = factor;
@@ -209,7 +209,7 @@
         self.disruptions.report_delay = if active { micros(delay) } else { Micros(0) };
     }
 
-    /// Discovery announces hosts as removed, or their actual state again.
+    /// Makes discovery announce hosts as removed although they run, or announce their actual readiness again.
     fn change_false_removal(&mut self, hosts: &[usize], active: bool) {
         for host in hosts {
             let mut endpoint = endpoint_of(&self.hosts[*host], self.scenario);
@@ -238,7 +238,7 @@
     Micros(duration.as_micros() as u64)
 }
 
-/// The hosts that a fault affects; a share of them is drawn at random.
+/// The hosts that a fault affects. Draws random numbers only if the targets are a share of all hosts.
 pub(super) fn draw_targets(
     fault: &Fault,
     hosts: &[Host],
@@ -256,7 +256,7 @@
     }
 }
 
-/// Draws a share of `count` hosts, at least one.
+/// Draws a share of `count` hosts, but at least one host.
 fn draw_share(count: usize, share: f64, rng: &mut ChaCha8Rng) -> Vec<usize> {
     let mut drawn: Vec<usize> = (0..count).collect();
     drawn.shuffle(rng);
--- a/crates/wingfold-emulator/src/simulation/lifecycle.rs
+++ b/crates/wingfold-emulator/src/simulation/lifecycle.rs
@@ -10,7 +10,7 @@
 use wingfold_director::Director;
 
 impl Simulation<'_> {
-    /// Starts a director from the initial endpoint list.
+    /// Starts a director, whose first event is the initial endpoint list as a cached list.
     pub(super) fn start_director(&mut self, director: usize) -> io::Result<()> {
         let settings = Settings { director_index: director as u32, ..self.scenario.settings.clone() };
         let seed = self.director_seed(director);
@@ -25,7 +25,8 @@
         self.deliver(director, vec![endpoint_list])
     }
 
-    /// The seed of a director's next incarnation: different for each director and incarnation of a run.
+    /// The seed of a director's next incarnation, which differs between the directors and incarnations of a
+    /// run.
     fn director_seed(&self, director: usize) -> u64 {
         let incarnation = self.directors[director].incarnation + 1;
         self.seed ^ (director as u64) << 32 ^ u64::from(incarnation) << 48
@@ -55,7 +56,7 @@
         Ok(Recorder::new(queue))
     }
 
-    /// A director dies: its proxies lose their streams.
+    /// Stops a director, whose proxies lose their streams.
     pub(super) fn stop_director(&mut self, director: usize) -> io::Result<()> {
         self.directors[director].stop()?;
         for proxy in 0..self.proxies.len() {
@@ -66,7 +67,7 @@
         Ok(())
     }
 
-    /// A director stalls, or continues with all events that have arrived meanwhile.
+    /// Stalls a director, or resumes it and delivers all events that have arrived in the meantime.
     pub(super) fn stall_director(&mut self, director: usize, is_stalled: bool) -> io::Result<()> {
         let node = &mut self.directors[director];
         node.is_stalled = is_stalled;
@@ -77,7 +78,8 @@
         self.deliver(director, events)
     }
 
-    /// Delivers events that were sent to one incarnation of a director; drops them if it has ended.
+    /// Delivers events that were sent to an incarnation of a director; drops the events if the incarnation
+    /// has ended.
     pub(super) fn deliver_to_incarnation(
         &mut self,
         director: usize,
@@ -90,7 +92,8 @@
         self.deliver(director, events)
     }
 
-    /// Delivers events to a director. They wait while it is stalled and are dropped while it is down.
+    /// Delivers events to a director. Events wait while the director is stalled and are dropped while it is
+    /// down.
     fn deliver(&mut self, director: usize, events: Vec<Event>) -> io::Result<()> {
         let node = &mut self.directors[director];
         if node.is_stalled {
@@ -109,7 +112,7 @@
         Ok(())
     }
 
-    /// Calls a decision module with events, and shows the call to the recorder and the observer.
+    /// Calls a decision module with events, and passes the call to the recorder and the observer.
     fn call_module(&mut self, director: usize, events: &[Event], actions: &mut Vec<Action>) {
         let now = self.now;
         let node = &mut self.directors[director];
--- a/crates/wingfold-emulator/src/simulation/load_reports.rs
+++ b/crates/wingfold-emulator/src/simulation/load_reports.rs
@@ -1,4 +1,5 @@
-//! Load reports: what proxies counted, summed by zone and sent to each director, late and out of order.
+//! Load reports and usage reports: the counts of the proxies of each zone, sent to each director with a delay
+//! and partly out of order.
 
 use super::delay::DelayRange;
 use super::event::SimulationEvent;
@@ -13,7 +14,7 @@
 const MICROS_PER_MS: f64 = 1e3;
 
 impl Simulation<'_> {
-    /// Sends the load reports of every zone to every director and schedules the next ones.
+    /// Sends the reports of every zone to every director and schedules the next reports.
     pub(super) fn send_load_reports(&mut self) {
         self.schedule_after(self.scenario.settings.report_period, SimulationEvent::LoadReportsDue);
         self.measure_utilization();
@@ -24,8 +25,8 @@
         }
     }
 
-    /// Sends the reports of a zone to a director. Counts are lost where the zone is partitioned from the
-    /// director.
+    /// Sends the reports of a zone to a director. If the zone is partitioned from the director, the counts
+    /// are lost.
     fn send_zone_reports(&mut self, director: usize, zone: usize) {
         let mut reports = self.collect_reports(director, zone);
         if self.disruptions.silent_collectors.contains(&zone) {
@@ -37,6 +38,7 @@
         self.send_out_of_order(director, reports);
     }
 
+    /// Measures the utilization of all hosts that serve; the other hosts keep their last value.
     fn measure_utilization(&mut self) {
         let last_report_at = std::mem::replace(&mut self.last_report_at, self.now);
         for (host, utilization) in self.hosts.iter_mut().zip(&mut self.utilization) {
@@ -46,18 +48,19 @@
         }
     }
 
-    /// Sends reports in two groups: most of them in order, and later the ones that are overtaken, shuffled.
+    /// Sends reports in two groups: the first in order; the second, which arrives later, is a random share of
+    /// the reports, shuffled.
     fn send_out_of_order(&mut self, director: usize, reports: Vec<Event>) {
         let mut in_order = Vec::new();
-        let mut overtaken = Vec::new();
+        let mut reordered = Vec::new();
         for report in reports {
             if self.rng.random::<f64>() < self.scenario.reorder_ratio {
-                overtaken.push(report);
+                reordered.push(report);
             } else {
                 in_order.push(report);
             }
         }
-        overtaken.shuffle(&mut self.rng);
+        reordered.shuffle(&mut self.rng);
         let report_delay = self.scenario.report_delay;
         let min_delay = Micros(report_delay.0 + self.disruptions.report_delay.0);
         let max_delay = Micros(min_delay.0 + report_delay.0);
@@ -66,19 +69,19 @@
         let max_second_delay = Micros(first_delay.0 + period.0 * 3 / 2);
         let second_delay = self.random_delay(DelayRange { min: first_delay, max: max_second_delay });
         self.send_to_director(first_delay, director, in_order);
-        if !overtaken.is_empty() {
-            self.send_to_director(second_delay, director, overtaken);
+        if !reordered.is_empty() {
+            self.send_to_director(second_delay, director, reordered);
         }
     }
 
-    /// Schedules events for the present incarnation of a director.
+    /// Sends events to the present incarnation of a director, which receives them after a delay.
     pub(super) fn send_to_director(&mut self, delay: Micros, director: usize, events: Vec<Event>) {
         let incarnation = self.directors[director].incarnation;
         self.schedule_after(delay, SimulationEvent::DirectorReceives { director, incarnation, events });
     }
 
-    /// Takes the counts of the proxies of a zone that are connected to a director: usage by proxy and class,
-    /// then load reports by host.
+    /// Takes the counts of the proxies of a zone that are connected to a director, and resets them. Returns
+    /// the usage reports by proxy and class, followed by the load reports by host.
     fn collect_reports(&mut self, director: usize, zone: usize) -> Vec<Event> {
         let period = self.scenario.settings.report_period;
         let mut host_stats: BTreeMap<usize, AttemptStats> = BTreeMap::new();
@@ -100,12 +103,12 @@
             }
         }
         for (host, stats) in host_stats {
-            reports.push(self.host_report(zone, host, &stats));
+            reports.push(self.load_report(zone, host, &stats));
         }
         reports
     }
 
-    fn host_report(&self, zone: usize, host: usize, stats: &AttemptStats) -> Event {
+    fn load_report(&self, zone: usize, host: usize, stats: &AttemptStats) -> Event {
         let settings = &self.scenario.settings;
         let is_load_reported = settings.load_report_source != LoadReportSource::Never;
         let utilization = if is_load_reported { self.utilization[host] } else { None };
--- a/crates/wingfold-emulator/src/simulation/mod.rs
+++ b/crates/wingfold-emulator/src/simulation/mod.rs
@@ -1,5 +1,4 @@
-//! Simulates a scenario in virtual time. The decision module is the real one; everything around it is
-//! emulated.
+//! Simulates a scenario in virtual time with the real decision module; the rest of the site is emulated.
 
 mod actions;
 mod attempts;
@@ -36,7 +35,7 @@
 
 /// Observes every call of every director's decision module.
 pub trait Observer {
-    /// The decision module of a director has handled events and returned actions.
+    /// Called after the decision module of a director has handled `events` and returned `actions`.
     fn director_called(
         &mut self,
         director: usize,
@@ -52,13 +51,13 @@
     fn director_called(&mut self, _: usize, _: Timestamp, _: &[Event], _: &[Action], _: &Director) {}
 }
 
-/// Simulates a scenario with a seed. Where `capture_root` is given, each director's calls are captured below
-/// it; an error means that a capture could not be written.
+/// Simulates a scenario with a seed. If `capture_root` is given, each director's calls are captured in that
+/// directory. Fails only if a capture cannot be written.
 pub fn simulate(scenario: &Scenario, seed: u64, capture_root: Option<&Path>) -> io::Result<RunResult> {
     simulate_observed(scenario, seed, capture_root, &mut ())
 }
 
-/// Simulates a scenario as [`simulate`] does, and shows `observer` every call of a decision module.
+/// Simulates a scenario as [`simulate`] does, and reports every call of a decision module to `observer`.
 pub fn simulate_observed(
     scenario: &Scenario,
     seed: u64,
@@ -76,15 +75,17 @@
     observer: &'a mut dyn Observer,
     now: Timestamp,
     events: EventQueue,
-    /// Draws the arrivals of requests, which are thus the same whatever the directors do.
+    /// Draws the arrivals of requests with their classes and work. Has its own stream, so that these do not
+    /// depend on the actions of the directors.
     arrival_rng: ChaCha8Rng,
-    /// Draws everything else.
+    /// Draws all other random numbers of the run.
     rng: ChaCha8Rng,
     hosts: Vec<Host>,
+    /// The index of each host by its name.
     host_index: BTreeMap<HostId, usize>,
     /// The endpoint list that directors start from.
     initial_endpoints: Vec<Endpoint>,
-    /// The busy share of its cores that each host last reported.
+    /// The utilization that each host last reported.
     utilization: Vec<Option<f64>>,
     last_report_at: Timestamp,
     proxies: Vec<Proxy>,
@@ -96,7 +97,7 @@
     /// The hosts that each fault affects.
     fault_targets: Vec<Vec<usize>>,
     disruptions: Disruptions,
-    /// Empty between calls; kept for its memory.
+    /// Buffer for the actions of a call. Empty between calls; kept to reuse its allocation.
     actions: Vec<Action>,
     result: RunResult,
 }
--- a/crates/wingfold-emulator/src/simulation/network.rs
+++ b/crates/wingfold-emulator/src/simulation/network.rs
@@ -15,7 +15,7 @@
         self.random_delay(DelayRange::up_to_half_more(min))
     }
 
-    /// Whether a partition keeps messages from one zone to another.
+    /// Whether a partition blocks messages between two zones.
     pub(super) fn is_partitioned(&self, from_zone: usize, to_zone: usize) -> bool {
         let partitioned = &self.disruptions.partitioned_zones;
         from_zone != to_zone && (partitioned.contains(&from_zone) || partitioned.contains(&to_zone))
--- a/crates/wingfold-emulator/src/simulation/peers.rs
+++ b/crates/wingfold-emulator/src/simulation/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between directors, some of which are lost.
+//! Messages between directors, a share of which is lost.
 
 use super::event::SimulationEvent;
 use super::Simulation;
@@ -6,7 +6,7 @@
 use rand_distr::{Distribution, Exp};
 use wingfold_director::interface::*;
 
-/// The longest random message, in bytes.
+/// The length of the longest random message, in bytes.
 const MAX_RANDOM_BYTES: u32 = 32;
 /// The shortest time between two random messages of a director.
 const MIN_INTERVAL_S: f64 = 1e-3;
@@ -23,7 +23,7 @@
         self.send_peer_message(from, None, &message);
     }
 
-    /// Sends a message to one peer, or to all if `to` is `None`.
+    /// Sends a message to one peer, or to all peers if `to` is `None`.
     pub(super) fn send_peer_message(&mut self, from: usize, to: Option<u32>, message: &[u8]) {
         let from_zone = self.directors[from].zone;
         for peer in 0..self.directors.len() {
@@ -31,7 +31,7 @@
                 continue;
             }
             let to_zone = self.directors[peer].zone;
-            // Drawn for every peer, whether the message is for it or not.
+            // Drawn for every peer, even if the message is not addressed to the peer.
             let is_lost = self.rng.random::<f64>() < self.scenario.peers.loss_ratio;
             let is_addressed = to.is_none_or(|to| to as usize == peer);
             if is_lost || !is_addressed || self.is_partitioned(from_zone, to_zone) {
--- a/crates/wingfold-emulator/src/simulation/push.rs
+++ b/crates/wingfold-emulator/src/simulation/push.rs
@@ -1,4 +1,4 @@
-//! Pushes table changes to proxies through a director's send queue, and acknowledges its barriers.
+//! Pushes table changes to proxies through a director's send queue; the proxies acknowledge barriers.
 
 use super::event::SimulationEvent;
 use super::Simulation;
@@ -9,16 +9,16 @@
 
 /// How long the acknowledgement of a barrier takes from a proxy to its director.
 const ACKNOWLEDGEMENT_DELAY: Micros = Micros(2_000);
-/// Lower bound of the mean push delay; the exponential distribution needs one above 0.
+/// Lower bound of the mean push delay, because an exponential distribution needs a mean above 0.
 const MIN_MEAN_PUSH_DELAY_S: f64 = 1e-6;
 const MICROS_PER_S: f64 = 1e6;
 
-/// How many table entries each proxy must be sent.
+/// The number of table entries to send, by proxy.
 type EntryCounts = BTreeMap<usize, usize>;
 
 impl Simulation<'_> {
-    /// Counts the table entries that each connected proxy must be sent, and records which tables proxies use
-    /// now.
+    /// Counts the table entries that actions require to be sent to each connected proxy, and records changed
+    /// assignments of tables.
     pub(super) fn entries_by_proxy(&mut self, director: usize, actions: &[Action]) -> EntryCounts {
         let connected = self.connected_proxies(director);
         let mut counts = EntryCounts::new();
@@ -33,7 +33,7 @@
         (0..self.proxies.len()).filter(|proxy| self.proxies[*proxy].director == Some(director)).collect()
     }
 
-    /// Adds the entries of one action.
+    /// Adds the entries that one action requires to be sent.
     fn count_entries(
         &mut self,
         director: usize,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Sends each proxy its entries together with all barriers, which the proxy acknowledges.
+    /// Sends each proxy one message with its entries and all barriers; the proxy acknowledges the barriers.
     pub(super) fn push_to_proxies(&mut self, director: usize, entry_counts: EntryCounts, barriers: &[u64]) {
         for (proxy, entries) in entry_counts {
             let arrives_at = self.push_routes(director, proxy, entries + barriers.len());
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Schedules the acknowledgements of the barriers in a message that arrives at a proxy at the time given.
+    /// Schedules the acknowledgements of the barriers in a message that arrives at a proxy at `arrives_at`.
     fn schedule_acknowledgements(
         &mut self,
         director: usize,
@@ -93,7 +93,8 @@
         self.schedule_at(arrives_at + ACKNOWLEDGEMENT_DELAY, received);
     }
 
-    /// Sends a proxy all its routes as one message of so many entries, and returns when it arrives.
+    /// Sends a proxy all its routes in one message that costs `entries` entries, and returns when the message
+    /// arrives.
     fn push_routes(&mut self, director: usize, proxy: usize, entries: usize) -> Timestamp {
         let delay = self.random_push_delay();
         let sent_at = self.enqueue_message(director, entries);
@@ -114,7 +115,7 @@
         Micros::from_secs(delay_s.min(settings.max_push_delay.secs()))
     }
 
-    /// Appends a message to a director's send queue, and returns when it will have been sent.
+    /// Appends a message to a director's send queue, and returns when the message will have been sent.
     fn enqueue_message(&mut self, director: usize, entries: usize) -> Timestamp {
         let settings = &self.scenario.settings;
         let node = &mut self.directors[director];
@@ -130,7 +131,7 @@
         node.send_queue_empty_at
     }
 
-    /// The routes of a proxy by class, as its director's tables are now.
+    /// The routes of a proxy by class, according to the present tables of its director.
     fn routes_of(&self, director: usize, proxy: usize) -> Vec<ClassRoute> {
         let node = &self.directors[director];
         let current = self.proxies[proxy].routes.iter().enumerate();
--- a/crates/wingfold-emulator/src/simulation/requests.rs
+++ b/crates/wingfold-emulator/src/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: how they arrive, are admitted, and end.
+//! Requests: arrival, admission and end.
 
 use super::event::SimulationEvent;
 use super::Simulation;
@@ -7,23 +7,23 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use wingfold_director::interface::*;
 
-/// The work of a request is the mean of its class times a log-normal factor: mean and standard deviation of
-/// the factor's logarithm. The factor's own mean is 1.
+/// Mean and standard deviation of the logarithm of a log-normal factor whose mean is 1. The work of a request
+/// is this factor times the mean work of its class.
 const WORK_FACTOR_LOG_MEAN: f64 = -0.045;
 const WORK_FACTOR_LOG_DEVIATION: f64 = 0.3;
-/// The lowest rate of a proxy; the exponential distribution needs one above 0.
+/// Lower bound of the request rate of a proxy, because an exponential distribution needs a rate above 0.
 const MIN_RATE_PER_S: f64 = 1e-6;
 const MICROS_PER_S: f64 = 1e6;
 
-/// A request that was admitted and has not ended.
+/// An admitted request that has not ended.
 pub(super) struct Request {
     pub(super) proxy: usize,
     pub(super) class: usize,
     pub(super) arrived_at: Timestamp,
     pub(super) work_ms: f64,
-    /// Attempts that were sent.
+    /// The number of attempts that were sent.
     pub(super) attempts: u32,
-    /// Attempts that a host has started.
+    /// The number of attempts that a host has started.
     pub(super) executions: u32,
     /// The host of the last attempt.
     pub(super) host: Option<usize>,
@@ -32,7 +32,7 @@
 }
 
 impl Simulation<'_> {
-    /// Draws when the next request arrives at a proxy.
+    /// Draws when the next request arrives at a proxy, and schedules the arrival.
     pub(super) fn schedule_arrival(&mut self, proxy: usize) {
         let receiver = &self.proxies[proxy];
         let epoch = receiver.arrival_epoch;
@@ -80,7 +80,7 @@
                 return index;
             }
         }
-        // Rounding can leave a rest.
+        // Rounding errors can leave a small positive remainder.
         classes.len() - 1
     }
 
@@ -115,7 +115,7 @@
         self.send_attempt(id);
     }
 
-    /// A request ends with an answer.
+    /// Ends a request that was answered.
     pub(super) fn request_answered(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         let class = &self.scenario.classes[request.class].class;
@@ -132,7 +132,7 @@
         }
     }
 
-    /// A request ends without an answer.
+    /// Ends a request that was not answered.
     pub(super) fn request_failed(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         let proxy = &mut self.proxies[request.proxy];
--- a/crates/wingfold-emulator/src/simulation/setup.rs
+++ b/crates/wingfold-emulator/src/simulation/setup.rs
@@ -1,4 +1,4 @@
-//! Builds the site of a scenario from the seed and starts it.
+//! Draws the site of a scenario from the seed and starts the simulation.
 
 use super::checks::ROUTE_CHECK_PERIOD;
 use super::delay::DelayRange;
@@ -20,21 +20,21 @@
 use std::sync::Arc;
 use wingfold_director::interface::*;
 
-/// Streams of random numbers: what is drawn from one does not change the others.
+/// Streams of random numbers. Draws from one stream do not affect the other streams.
 const SITE_STREAM: u64 = 1;
 const ARRIVAL_STREAM: u64 = 2;
 const EVENT_STREAM: u64 = 3;
-/// Hosts that a proxy knows before a director has sent it routes.
+/// The most hosts that a proxy uses before a director has sent routes.
 const INITIAL_HOSTS: usize = 8;
-/// When proxies connect for the first time.
+/// The delay after which a proxy connects for the first time.
 const FIRST_CONNECT_DELAY: DelayRange = DelayRange { min: Micros(20_000), max: Micros(500_000) };
-/// When the first director sends its first random message; each further director sends its own a microsecond
-/// later.
+/// When the first director sends its first random message. Each further director sends its first message 1 µs
+/// after the previous director.
 const FIRST_PEER_MESSAGE_AT: Timestamp = Timestamp(1000);
 
 impl<'a> Simulation<'a> {
-    /// Draws the site. The order of the draws from the site's stream is fixed: runs with the same seed depend
-    /// on it.
+    /// Draws the site. The order of the draws from `SITE_STREAM` must not change, or else the results of a
+    /// seed change.
     pub(super) fn new(
         scenario: &'a Scenario,
         seed: u64,
@@ -133,7 +133,7 @@
     ranges.map(|range| rng.random_range(range.min..=range.max)).collect()
 }
 
-/// Draws the proxies: first the traffic of all, then the initial hosts of each from its own zone.
+/// Draws the proxies: first the traffic of all proxies, then the initial hosts of each proxy.
 fn draw_proxies(scenario: &Scenario, hosts: &[Host], rng: &mut ChaCha8Rng) -> Vec<Proxy> {
     let traffic_shares = draw_traffic_shares(scenario, rng);
     let total_share: f64 = traffic_shares.iter().sum();
@@ -147,7 +147,7 @@
     proxies
 }
 
-/// The traffic of each proxy relative to the others.
+/// Draws the traffic of each proxy relative to the other proxies.
 fn draw_traffic_shares(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<f64> {
     let mut shares = Vec::new();
     for _ in 0..scenario.settings.proxies {
@@ -157,6 +157,7 @@
     shares
 }
 
+/// Draws the hosts that a proxy of a zone uses at first, all from its own zone.
 fn draw_initial_hosts(hosts: &[Host], zone: usize, rng: &mut ChaCha8Rng) -> Vec<WeightedHost> {
     let mut local: Vec<usize> = (0..hosts.len()).filter(|host| hosts[*host].zone == zone).collect();
     local.shuffle(rng);
--- a/crates/wingfold-emulator/src/simulation/streams.rs
+++ b/crates/wingfold-emulator/src/simulation/streams.rs
@@ -1,4 +1,4 @@
-//! Streams between proxies and directors: how they open and break.
+//! Streams between proxies and directors: connecting, disconnecting and reconnecting.
 
 use super::delay::DelayRange;
 use super::event::SimulationEvent;
@@ -7,15 +7,15 @@
 use rand::Rng;
 use wingfold_director::interface::*;
 
-/// How long a director takes to learn that a proxy connected.
+/// The delay after which a director is notified that a proxy has connected.
 const CONNECT_DELAY: Micros = Micros(3000);
-/// When a proxy that lost its director, or found none, connects again.
+/// The delay after which a proxy reconnects when its stream broke or no director was reachable.
 const RECONNECT_DELAY: DelayRange = DelayRange { min: Micros(300_000), max: Micros(1_500_000) };
-/// When a director notices that a stream broke.
+/// The delay after which a director detects that a stream broke.
 const BREAK_DETECTION_DELAY: DelayRange = DelayRange { min: Micros(10_000), max: Micros(200_000) };
 
 impl Simulation<'_> {
-    /// Connects a proxy to one of the directors that it can reach, or retries later.
+    /// Connects a proxy to a random reachable director, or schedules a retry if no director is reachable.
     pub(super) fn connect(&mut self, proxy: usize) {
         let reachable = self.reachable_directors(self.proxies[proxy].zone);
         if reachable.is_empty() {
@@ -36,8 +36,8 @@
         self.send_to_director(CONNECT_DELAY, director, vec![connected]);
     }
 
-    /// The directors that a proxy of a zone can connect to. If the settings prefer the proxy's own zone and
-    /// it has some, only those.
+    /// The directors that a proxy of a zone can connect to. With `local_first`, these are only the reachable
+    /// directors of the proxy's own zone if there are any.
     fn reachable_directors(&self, zone: usize) -> Vec<usize> {
         let reachable: Vec<usize> =
             (0..self.directors.len()).filter(|director| self.is_reachable(*director, zone)).collect();
@@ -58,21 +58,22 @@
         node.accepts_streams() && !self.is_partitioned(from_zone, node.zone)
     }
 
-    /// Routes reach a proxy, unless the stream has broken since.
+    /// Applies routes that reach a proxy, unless the stream that they were sent on has broken.
     pub(super) fn apply_routes(&mut self, proxy: usize, stream: u32, routes: Vec<ClassRoute>) {
         if self.proxies[proxy].stream == stream {
             self.proxies[proxy].routes = routes;
         }
     }
 
-    /// A proxy notices that a stream is dead, if it still has that stream.
+    /// Disconnects a proxy that detects that a stream has broken, unless the proxy has lost that stream
+    /// already.
     pub(super) fn break_stream(&mut self, proxy: usize, stream: u32) {
         if self.proxies[proxy].stream == stream {
             self.disconnect(proxy);
         }
     }
 
-    /// A proxy's stream breaks: its director notices after a while, and the proxy reconnects.
+    /// Breaks the stream of a proxy. The director detects the break after a delay, and the proxy reconnects.
     pub(super) fn disconnect(&mut self, proxy: usize) {
         let Some(director) = self.proxies[proxy].director.take() else { return };
         self.proxies[proxy].stream += 1;
@@ -84,7 +85,7 @@
         self.schedule_after(reconnect_delay, SimulationEvent::ProxyConnects { proxy });
     }
 
-    /// All proxies lose their streams at once.
+    /// Breaks the streams of all proxies at once.
     pub(super) fn disconnect_all(&mut self) {
         for proxy in 0..self.proxies.len() {
             self.disconnect(proxy);
