--- a/crates/wingfold-emulator/tests/silence.rs
+++ b/crates/wingfold-emulator/tests/silence.rs
@@ -1,6 +1,5 @@
-//! Five reasons why a zone can be silent, run in the emulator: a partition, low traffic, a collector that is
-//! down, delayed load reports, and no traffic at all. The metrics tell them apart at every moment that
-//! matters.
+//! Five causes of missing load reports from a zone, simulated in the emulator: a partition, low traffic, a
+//! collector outage, delayed reports, and no traffic. The metrics of the director distinguish the causes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use wingfold_director::interface::{Action, Event, Micros, Timestamp, ZoneId};
@@ -14,16 +13,17 @@
 const INTERVAL: Micros = Micros(5_000_000);
 const MICROS_PER_S: u64 = 1_000_000;
 
-/// The zone that the faults affect, and its index. The director is in another one.
+/// The zone that the faults affect, its index, and the index of the director's zone.
 const ZONE: &str = "hillington";
 const ZONE_INDEX: usize = 1;
 const DIRECTOR_ZONE_INDEX: usize = 0;
 
-/// The states of a zone.
+/// The states that the metrics give for a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ZoneStates {
     load_reports: SourceState,
     collector: SourceState,
+    /// The usage reports of the first class.
     first_class: SourceState,
 }
 
@@ -33,12 +33,12 @@
     }
 }
 
-const HEARD: ZoneStates = ZoneStates::all(SourceState::Reporting);
+const ALL_REPORTING: ZoneStates = ZoneStates::all(SourceState::Reporting);
 
-/// Measures director 0 as the engine does.
+/// Feeds the calls of director 0 to a meter.
 struct MetricsObserver {
     meter: Option<Meter>,
-    /// The states of each zone, by second.
+    /// The states of each zone after the last call in each second.
     states_by_second: BTreeMap<u64, Vec<ZoneStates>>,
     intervals: Vec<Interval>,
 }
@@ -59,7 +59,7 @@
         let meter = self.meter.get_or_insert_with(|| Meter::new(now, INTERVAL, module, &classes));
         for event in events {
             meter.record_event(now, event);
-            // In the emulator a collector sends nothing but load reports.
+            // In the emulator, a collector sends only load reports.
             if let Event::LoadReport { zone, .. } = event {
                 meter.record_collector_activity(now, zone, 1);
             }
@@ -82,7 +82,7 @@
 }
 
 fn zone_states(meter: &Meter, zone: &ZoneId) -> ZoneStates {
-    let states = meter.source_states(zone).expect("it is a zone of the settings");
+    let states = meter.source_states(zone).expect("the settings contain the zone");
     ZoneStates {
         load_reports: states.load_reports,
         collector: states.collector,
@@ -90,23 +90,23 @@
     }
 }
 
-/// Runs a scenario of 100 s with the given fault; it has one director, so that all proxies are connected to
-/// it.
+/// Runs the example scenario for 100 s with `fault` in place of its own faults. It has a single director, so
+/// that all proxies are connected to director 0.
 fn observe(fault: &str, seed: u64) -> MetricsObserver {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios/example.hcl");
     let text = std::fs::read_to_string(path).unwrap();
-    let site = &text[..text.find("fault \"slow\"").unwrap()];
-    let site = site.replace("directors = 2", "directors = 1");
-    let site = site.replace("length   = \"60s\"", "length = \"100s\"");
-    let scenario = Scenario::read("silence", &format!("{site}\n{fault}"));
-    let scenario = scenario.unwrap_or_else(|faults| panic!("{faults}"));
+    let without_faults = &text[..text.find("fault \"slow\"").unwrap()];
+    let without_faults = without_faults.replace("directors = 2", "directors = 1");
+    let without_faults = without_faults.replace("length   = \"60s\"", "length = \"100s\"");
+    let scenario = Scenario::read("silence", &format!("{without_faults}\n{fault}"));
+    let scenario = scenario.unwrap_or_else(|diagnostics| panic!("{diagnostics}"));
     let mut observer =
         MetricsObserver { meter: None, states_by_second: BTreeMap::new(), intervals: Vec::new() };
     simulate_observed(&scenario, seed, None, &mut observer).unwrap();
     observer
 }
 
-/// A block `fault` from 30 to 60 s.
+/// The text of a block `fault` that lasts from second 30 to second 60.
 fn fault(kind: &str, keys: &str) -> String {
     format!("fault \"{kind}\" {{\n  at = \"30s\"\n  lasts = \"30s\"\n{keys}}}\n")
 }
@@ -123,7 +123,7 @@
     fault("late_reports", "  by = \"3s\"\n")
 }
 
-/// A fiftieth of the ordinary traffic in the zone, during the whole run.
+/// One fiftieth of the normal traffic in the zone, during the whole run.
 const LOW_TRAFFIC: &str =
     "fault \"traffic\" {\n  at = \"0s\"\n  lasts = \"99s\"\n  zone = \"hillington\"\n  size = 0.02\n}\n";
 /// No traffic in the zone, during the whole run.
@@ -131,7 +131,7 @@
     "fault \"traffic\" {\n  at = \"0s\"\n  lasts = \"99s\"\n  zone = \"hillington\"\n  size = 0\n}\n";
 
 impl MetricsObserver {
-    /// The states of a zone in a span of seconds without repetitions, in their order.
+    /// The states of a zone from `from_s` to before `until_s` in the order of time, without repetitions.
     fn states(&self, zone: usize, from_s: u64, until_s: u64) -> Vec<ZoneStates> {
         let span = self.states_by_second.range(from_s..until_s);
         let mut states: Vec<ZoneStates> = span.map(|(_, zones)| zones[zone]).collect();
@@ -139,10 +139,11 @@
         states
     }
 
-    /// The value of a metric for the zone in the interval that ends at a second; `None`: it was not sent.
+    /// The value of a metric of [`ZONE`] in the interval that ends at `until_s`; `None` if there is no
+    /// sample.
     fn value(&self, metric: Metric, until_s: u64) -> Option<f64> {
         let ends_at = |interval: &&Interval| interval.ended_at.0 == until_s * MICROS_PER_S;
-        let interval = self.intervals.iter().find(ends_at).expect("an interval ends then");
+        let interval = self.intervals.iter().find(ends_at).expect("an interval ends at this second");
         let matches = |sample: &&Sample| sample.metric == metric && *sample.labels[0] == *ZONE;
         let sample = interval.samples.iter().find(matches)?;
         Some(match sample.value {
@@ -154,53 +155,52 @@
 }
 
 #[test]
-fn a_partitioned_zone_is_cut_until_it_is_heard_again_and_sends_no_zeros() {
+fn partitioned_zone_has_state_partitioned_and_no_zero_samples() {
     for seed in 1..=5 {
         // The director loses the streams of the zone's proxies, its collector and its hosts.
         let observer = observe(&partition(), seed);
-        assert_eq!(observer.states(ZONE_INDEX, 8, 29), [HEARD], "seed {seed}");
+        assert_eq!(observer.states(ZONE_INDEX, 8, 29), [ALL_REPORTING], "seed {seed}");
         assert_eq!(
             observer.states(ZONE_INDEX, 42, 59),
             [ZoneStates::all(SourceState::Partitioned)],
             "seed {seed}"
         );
-        assert_eq!(observer.states(ZONE_INDEX, 68, 98), [HEARD], "seed {seed}");
-        // Between, it changes from heard to cut by way of silent at most; the other zones are heard all the
-        // time.
+        assert_eq!(observer.states(ZONE_INDEX, 68, 98), [ALL_REPORTING], "seed {seed}");
+        // In between, the zone may pass through the state silent. The other zones report all the time.
         let between = observer.states(ZONE_INDEX, 29, 42);
         let is_expected = |state: SourceState| {
             matches!(state, SourceState::Reporting | SourceState::Partitioned | SourceState::Silent)
         };
         assert!(between.iter().all(|states| is_expected(states.load_reports)), "{between:?}");
-        assert_eq!(observer.states(DIRECTOR_ZONE_INDEX, 8, 98), [HEARD], "seed {seed}");
+        assert_eq!(observer.states(DIRECTOR_ZONE_INDEX, 8, 98), [ALL_REPORTING], "seed {seed}");
         for until_s in [45, 50, 55] {
-            assert_eq!(observer.value(Metric::TriesTotal, until_s), None, "no zero is sent");
+            assert_eq!(observer.value(Metric::TriesTotal, until_s), None, "a zero must not be sent");
             assert_eq!(observer.value(Metric::ServiceAsked, until_s), None);
         }
         let ages = [45, 50, 55].map(|until_s| observer.value(Metric::ZoneAge, until_s).unwrap());
         assert!(
             ages[0] > 10.0 && ages[1] > ages[0] + 4.0 && ages[2] > ages[1] + 4.0,
-            "its age rises: {ages:?}"
+            "the age of the last data must rise: {ages:?}"
         );
         assert_eq!(observer.value(Metric::ZoneState, 50), Some(3.0));
     }
 }
 
 #[test]
-fn a_zone_with_low_traffic_is_heard_or_quiet_and_never_silent_or_cut() {
+fn low_traffic_zone_is_always_reporting_or_quiet() {
     for seed in 1..=5 {
         let observer = observe(LOW_TRAFFIC, seed);
         for states in observer.states(ZONE_INDEX, 25, 98) {
-            let is_quiet = states.load_reports <= SourceState::Quiet
+            let is_reporting_or_quiet = states.load_reports <= SourceState::Quiet
                 && states.collector <= SourceState::Quiet
                 && states.first_class <= SourceState::Quiet;
-            assert!(is_quiet, "seed {seed}: {states:?}");
+            assert!(is_reporting_or_quiet, "seed {seed}: {states:?}");
         }
     }
 }
 
 #[test]
-fn a_collector_that_is_down_is_silent_while_its_zone_is_heard() {
+fn collector_outage_is_silent_while_usage_is_reported() {
     for seed in 1..=5 {
         let observer = observe(&collector_outage(), seed);
         let expected = ZoneStates {
@@ -209,24 +209,24 @@
             first_class: SourceState::Reporting,
         };
         assert_eq!(observer.states(ZONE_INDEX, 40, 59), [expected], "seed {seed}");
-        assert_eq!(observer.states(ZONE_INDEX, 66, 98), [HEARD]);
-        assert_eq!(observer.value(Metric::TriesTotal, 50), None, "what is not known is not sent");
-        assert!(observer.value(Metric::ServiceAsked, 50).unwrap() > 50.0, "what is known is");
+        assert_eq!(observer.states(ZONE_INDEX, 66, 98), [ALL_REPORTING]);
+        assert_eq!(observer.value(Metric::TriesTotal, 50), None, "unknown attempts must not be sent");
+        assert!(observer.value(Metric::ServiceAsked, 50).unwrap() > 50.0, "known requests must be sent");
     }
 }
 
 #[test]
-fn delayed_reports_are_heard_with_a_lag_and_counted_in_their_own_interval() {
+fn delayed_reports_have_a_lag_and_correct_past_intervals() {
     for seed in 1..=5 {
         let observer = observe(&delayed_reports(), seed);
-        // The gap of 3.5 s at the beginning may look like silence for a moment; then the zone is heard.
-        assert_eq!(observer.states(ZONE_INDEX, 40, 59), [HEARD], "seed {seed}");
+        // The gap of 3.5 s at the beginning can make the zone silent for a moment; then the zone is reporting
+        // again.
+        assert_eq!(observer.states(ZONE_INDEX, 40, 59), [ALL_REPORTING], "seed {seed}");
         let lag_s = observer.value(Metric::ZoneLag, 45).unwrap();
         assert!((1.5..4.5).contains(&lag_s), "seed {seed}: {lag_s}");
-        assert!(observer.value(Metric::TriesLate, 45).unwrap() > 50.0, "late reports are marked");
+        assert!(observer.value(Metric::TriesLate, 45).unwrap() > 50.0, "late attempts must be counted");
         assert_eq!(observer.value(Metric::TriesLate, 25), Some(0.0), "seed {seed}");
-        // Every interval that ends while reports are delayed is sent again with what arrived for it
-        // afterwards.
+        // Intervals that end while reports are delayed are corrected with the reports that arrive afterwards.
         let delayed = 40..=60;
         let corrected = observer.intervals.iter().filter(|interval| {
             delayed.contains(&(interval.ended_at.0 / MICROS_PER_S)) && !interval.corrections.is_empty()
@@ -236,28 +236,28 @@
 }
 
 #[test]
-fn a_zone_without_traffic_is_never_cut_and_sends_no_zeros() {
+fn zone_without_traffic_is_not_partitioned_and_has_no_zeros() {
     for seed in 1..=5 {
         let observer = observe(NO_TRAFFIC, seed);
         let states = observer.states(ZONE_INDEX, 20, 95);
-        // Its proxies announced their ordinary rate when they connected, so reports are missing; but nothing
-        // is cut.
-        let is_cut = |states: &ZoneStates| {
+        // The zone's proxies announced their normal rate when they connected, so reports are missing. But
+        // there is no partition.
+        let is_partitioned = |states: &ZoneStates| {
             states.load_reports == SourceState::Partitioned || states.first_class == SourceState::Partitioned
         };
-        assert!(!states.iter().any(is_cut), "{states:?}");
+        assert!(!states.iter().any(is_partitioned), "{states:?}");
         assert_eq!(observer.value(Metric::TriesTotal, 50), None);
         assert_eq!(observer.value(Metric::ServiceAsked, 50), None);
         assert!(observer.value(Metric::ZoneAge, 50).unwrap() > 45.0);
-        assert_eq!(observer.value(Metric::ProxiesJoined, 50), Some(3.0), "its proxies are connected");
+        assert_eq!(observer.value(Metric::ProxiesJoined, 50), Some(3.0), "the zone has connected proxies");
     }
 }
 
 #[test]
-fn the_five_reasons_look_different() {
+fn metrics_distinguish_the_five_causes() {
     let faults =
         [partition(), LOW_TRAFFIC.to_string(), collector_outage(), delayed_reports(), NO_TRAFFIC.to_string()];
-    let appearance = |fault: &String| {
+    let symptoms_of = |fault: &String| {
         let observer = observe(fault, 1);
         let states = observer.states(ZONE_INDEX, 55, 56)[0];
         let is_delayed = observer.value(Metric::ZoneLag, 55).unwrap() > 1.5;
@@ -266,14 +266,14 @@
         let names = [states.load_reports, states.collector, states.first_class].map(SourceState::name);
         (names, is_delayed, has_requests, has_proxies)
     };
-    let appearances: Vec<_> = faults.iter().map(appearance).collect();
-    let different: BTreeSet<_> = appearances.iter().collect();
-    assert_eq!(different.len(), 5, "{appearances:#?}");
+    let symptoms: Vec<_> = faults.iter().map(symptoms_of).collect();
+    let distinct: BTreeSet<_> = symptoms.iter().collect();
+    assert_eq!(distinct.len(), 5, "{symptoms:#?}");
 }
 
 #[test]
-#[ignore = "draws docs/charts/five-pictures.svg anew"]
-fn draw_the_five_reasons() {
+#[ignore = "overwrites docs/charts/five-pictures.svg"]
+fn draw_chart_of_the_five_causes() {
     use plotters::prelude::*;
     let faults = [
         ("cut off", partition()),
