--- a/crates/wingfold-emulator/src/simulation/actions.rs
+++ b/crates/wingfold-emulator/src/simulation/actions.rs
@@ -16,7 +16,7 @@
     /// Carries out the actions that one call of a director's decision module returned.
     pub(super) fn apply_actions(&mut self, director: usize, actions: &[Action]) {
         let changed_tables = self.directors[director].sent_state.apply(actions);
-        let entry_counts = self.entries_by_proxy(director, actions);
+        let entry_counts = self.count_entries_by_proxy(director, actions);
         self.refresh_snapshots(director, &changed_tables);
         self.schedule_timers_and_responses(director, actions);
         self.log_notices(director, actions);
--- a/crates/wingfold-emulator/src/simulation/attempts.rs
+++ b/crates/wingfold-emulator/src/simulation/attempts.rs
@@ -9,7 +9,8 @@
 
 /// The timeout of an attempt as a share of the deadline of the request's class.
 const ATTEMPT_TIMEOUT_RATIO: f64 = 0.7;
-/// When an attempt that a partition blocks is refused, because its connection was not established.
+/// The delay after which an attempt that a partition blocks is refused, because its connection is not
+/// established.
 const CONNECT_TIMEOUT: Micros = Micros(500_000);
 /// How long a proxy ejects a host after consecutive failures.
 const EJECTION_DURATION: Micros = Micros(5_000_000);
@@ -30,7 +31,7 @@
         let attempt = AttemptId { request: id, number: request.attempts };
         let deadline_s = self.scenario.classes[request.class].class.deadline.secs();
         let proxy = request.proxy;
-        self.check_drain(proxy, host);
+        self.record_attempt_lateness(proxy, host);
         let timeout = Micros::from_secs(deadline_s * ATTEMPT_TIMEOUT_RATIO);
         self.schedule_attempt_end(timeout, attempt, AttemptOutcome::TimedOut);
         self.forward_attempt(attempt, proxy, host);
@@ -101,6 +102,8 @@
         self.schedule_at(finishes_at, SimulationEvent::AttemptFinishes { attempt, host, incarnation });
     }
 
+    /// Counts the execution of a request; a repeated execution of an at-most-once request violates an
+    /// invariant.
     fn count_execution(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.executions += 1;
--- a/crates/wingfold-emulator/src/simulation/checks.rs
+++ b/crates/wingfold-emulator/src/simulation/checks.rs
@@ -18,7 +18,7 @@
 impl Simulation<'_> {
     /// Records how long after the notification of its director a proxy sends an attempt to a host that drains
     /// or was removed.
-    pub(super) fn check_drain(&mut self, proxy: usize, host: usize) {
+    pub(super) fn record_attempt_lateness(&mut self, proxy: usize, host: usize) {
         let proxy = &self.proxies[proxy];
         let Some(director) = proxy.director.map(|director| &self.directors[director]) else { return };
         let Some(unavailable_since) = director.unavailable_since.get(&self.hosts[host].id) else { return };
--- a/crates/wingfold-emulator/src/simulation/discovery.rs
+++ b/crates/wingfold-emulator/src/simulation/discovery.rs
@@ -29,7 +29,7 @@
     }
 
     /// Handles the beginning and the end of a discovery outage. Directors are notified only of the beginning.
-    pub(super) fn change_discovery(&mut self, is_down: bool) {
+    pub(super) fn set_discovery_down(&mut self, is_down: bool) {
         self.disruptions.discovery_is_down = is_down;
         if !is_down {
             return;
--- a/crates/wingfold-emulator/src/simulation/event.rs
+++ b/crates/wingfold-emulator/src/simulation/event.rs
@@ -36,9 +36,9 @@
     /// All proxies are checked for classes without a host.
     RouteCheckDue,
     /// A fault begins or ends.
-    FaultChanges { fault: usize, active: bool },
+    FaultBeginsOrEnds { fault: usize, active: bool },
     /// Hosts drain, stop or start as part of a fault.
-    HostsChange { hosts: Vec<usize>, transition: HostTransition },
+    HostTransitionsDue { hosts: Vec<usize>, transition: HostTransition },
 }
 
 /// A change of the state of a host.
--- a/crates/wingfold-emulator/src/simulation/faults.rs
+++ b/crates/wingfold-emulator/src/simulation/faults.rs
@@ -59,30 +59,32 @@
 
 impl Simulation<'_> {
     /// Applies the beginning or the end of a fault: `active` is true when the fault begins.
-    pub(super) fn change_fault(&mut self, index: usize, active: bool) -> io::Result<()> {
+    pub(super) fn begin_or_end_fault(&mut self, index: usize, active: bool) -> io::Result<()> {
         let scenario = self.scenario;
         let fault = &scenario.faults[index];
         let hosts = self.fault_targets[index].clone();
-        let factor_now = |factor: f64| if active { factor } else { 1.0 };
-        let ratio_now = |ratio: f64| if active { ratio } else { 0.0 };
+        let factor_if_active = |factor: f64| if active { factor } else { 1.0 };
+        let ratio_if_active = |ratio: f64| if active { ratio } else { 0.0 };
         match &fault.kind {
             FaultKind::Crash => self.fail_hosts(&hosts, HostState::Down, active),
             FaultKind::Unreachable => self.fail_hosts(&hosts, HostState::Unreachable, active),
             FaultKind::Hang => self.fail_hosts(&hosts, HostState::Hung, active),
-            FaultKind::Slowdown { factor } => self.slow_down_hosts(&hosts, factor_now(*factor)),
-            FaultKind::NoisyNeighbour { cpu_ratio } => self.steal_cpu(&hosts, ratio_now(*cpu_ratio)),
-            FaultKind::Errors { ratio } => self.set_error_ratio(&hosts, ratio_now(*ratio)),
+            FaultKind::Slowdown { factor } => self.slow_down_hosts(&hosts, factor_if_active(*factor)),
+            FaultKind::NoisyNeighbour { cpu_ratio } => self.steal_cpu(&hosts, ratio_if_active(*cpu_ratio)),
+            FaultKind::Errors { ratio } => self.set_error_ratio(&hosts, ratio_if_active(*ratio)),
             FaultKind::Drain { stop_after } => self.drain_hosts(hosts, *stop_after, active),
             FaultKind::RollingReplacement { batch_ratio } if active => {
                 self.schedule_replacement(&hosts, *batch_ratio, fault.ends_at);
             }
-            FaultKind::ZonePartition { zone } => self.change_partition(zone, active),
-            FaultKind::CollectorOutage { zone } => self.change_collector(zone, active),
-            FaultKind::ZoneTraffic { zone, factor } => self.change_zone_traffic(zone, factor_now(*factor)),
-            FaultKind::TrafficBurst { factor } => self.disruptions.traffic_factor = factor_now(*factor),
+            FaultKind::ZonePartition { zone } => self.set_partitioned(zone, active),
+            FaultKind::CollectorOutage { zone } => self.set_collector_silent(zone, active),
+            FaultKind::ZoneTraffic { zone, factor } => {
+                self.set_zone_traffic_factor(zone, factor_if_active(*factor));
+            }
+            FaultKind::TrafficBurst { factor } => self.disruptions.traffic_factor = factor_if_active(*factor),
             FaultKind::DelayedReports { delay } => self.delay_reports(*delay, active),
-            FaultKind::FalseRemoval => self.change_false_removal(&hosts, active),
-            FaultKind::DiscoveryOutage => self.change_discovery(active),
+            FaultKind::FalseRemoval => self.announce_false_removal(&hosts, active),
+            FaultKind::DiscoveryOutage => self.set_discovery_down(active),
             FaultKind::DirectorCrash { director } if active => self.stop_director(*director)?,
             FaultKind::DirectorCrash { director } => self.start_director(*director)?,
             FaultKind::DirectorStall { director } => self.stall_director(*director, active)?,
@@ -112,13 +114,13 @@
     }
 
     /// Applies a transition to hosts in the given order, and announces each.
-    pub(super) fn change_hosts(&mut self, hosts: &[usize], transition: HostTransition) {
+    pub(super) fn apply_host_transitions(&mut self, hosts: &[usize], transition: HostTransition) {
         for host in hosts {
-            self.change_host(*host, transition);
+            self.apply_host_transition(*host, transition);
         }
     }
 
-    fn change_host(&mut self, index: usize, transition: HostTransition) {
+    fn apply_host_transition(&mut self, index: usize, transition: HostTransition) {
         let host = &mut self.hosts[index];
         match transition {
             HostTransition::Drain => host.listed_readiness = Readiness::Draining,
@@ -135,7 +137,7 @@
     /// hangs or is unreachable.
     fn fail_hosts(&mut self, hosts: &[usize], state: HostState, active: bool) {
         if !active {
-            self.change_hosts(hosts, HostTransition::Start);
+            self.apply_host_transitions(hosts, HostTransition::Start);
             return;
         }
         for host in hosts {
@@ -150,11 +152,11 @@
     /// Makes hosts drain and stop `stop_after` later, or starts them again.
     fn drain_hosts(&mut self, hosts: Vec<usize>, stop_after: Duration, active: bool) {
         if active {
-            self.change_hosts(&hosts, HostTransition::Drain);
-            let transition = HostTransition::Stop;
-            self.schedule_after(micros(stop_after), SimulationEvent::HostsChange { hosts, transition });
+            self.apply_host_transitions(&hosts, HostTransition::Drain);
+            let stop = SimulationEvent::HostTransitionsDue { hosts, transition: HostTransition::Stop };
+            self.schedule_after(micros(stop_after), stop);
         } else {
-            self.change_hosts(&hosts, HostTransition::Start);
+            self.apply_host_transitions(&hosts, HostTransition::Start);
         }
     }
 
@@ -167,15 +169,15 @@
             let begins_at = self.now + Micros(batch_us * index as u64);
             for step in REPLACEMENT_STEPS {
                 let at = begins_at + Micros(batch_us * step.begins_at_tenth / 10);
-                let transition = step.transition;
-                self.schedule_at(at, SimulationEvent::HostsChange { hosts: batch.to_vec(), transition });
+                let (hosts, transition) = (batch.to_vec(), step.transition);
+                self.schedule_at(at, SimulationEvent::HostTransitionsDue { hosts, transition });
             }
         }
     }
 
     /// Begins or ends the partition of a zone from the others. Proxies are not notified of a partition; each
     /// detects after a delay that its stream has broken.
-    fn change_partition(&mut self, zone: &str, active: bool) {
+    fn set_partitioned(&mut self, zone: &str, active: bool) {
         let zone = self.zone_index(zone);
         set_member(&mut self.disruptions.partitioned_zones, zone, active);
         for proxy in 0..self.proxies.len() {
@@ -188,13 +190,13 @@
         }
     }
 
-    fn change_collector(&mut self, zone: &str, is_silent: bool) {
+    fn set_collector_silent(&mut self, zone: &str, is_silent: bool) {
         let zone = self.zone_index(zone);
         set_member(&mut self.disruptions.silent_collectors, zone, is_silent);
     }
 
     /// Changes the traffic of a zone: the next arrival at each of the zone's proxies is drawn again.
-    fn change_zone_traffic(&mut self, zone: &str, factor: f64) {
+    fn set_zone_traffic_factor(&mut self, zone: &str, factor: f64) {
         let zone = self.zone_index(zone);
         self.disruptions.zone_traffic_factors[zone] = factor;
         for proxy in 0..self.proxies.len() {
@@ -210,7 +212,7 @@
     }
 
     /// Makes discovery announce hosts as removed although they run, or announce their actual readiness again.
-    fn change_false_removal(&mut self, hosts: &[usize], active: bool) {
+    fn announce_false_removal(&mut self, hosts: &[usize], active: bool) {
         for host in hosts {
             let mut endpoint = endpoint_of(&self.hosts[*host], self.scenario);
             if active {
--- a/crates/wingfold-emulator/src/simulation/mod.rs
+++ b/crates/wingfold-emulator/src/simulation/mod.rs
@@ -153,8 +153,10 @@
             SimulationEvent::ProxyConnects { proxy } => self.connect(proxy),
             SimulationEvent::StreamBreaks { proxy, stream } => self.break_stream(proxy, stream),
             SimulationEvent::RouteCheckDue => self.check_routes(),
-            SimulationEvent::FaultChanges { fault, active } => self.change_fault(fault, active)?,
-            SimulationEvent::HostsChange { hosts, transition } => self.change_hosts(&hosts, transition),
+            SimulationEvent::FaultBeginsOrEnds { fault, active } => self.begin_or_end_fault(fault, active)?,
+            SimulationEvent::HostTransitionsDue { hosts, transition } => {
+                self.apply_host_transitions(&hosts, transition);
+            }
         }
         Ok(())
     }
--- a/crates/wingfold-emulator/src/simulation/push.rs
+++ b/crates/wingfold-emulator/src/simulation/push.rs
@@ -19,11 +19,11 @@
 impl Simulation<'_> {
     /// Counts the table entries that actions require to be sent to each connected proxy, and records changed
     /// assignments of tables.
-    pub(super) fn entries_by_proxy(&mut self, director: usize, actions: &[Action]) -> EntryCounts {
+    pub(super) fn count_entries_by_proxy(&mut self, director: usize, actions: &[Action]) -> EntryCounts {
         let connected = self.connected_proxies(director);
         let mut counts = EntryCounts::new();
         for action in actions {
-            self.count_entries(director, action, &connected, &mut counts);
+            self.add_entry_counts(director, action, &connected, &mut counts);
         }
         counts.retain(|proxy, _| self.proxies[*proxy].director == Some(director));
         counts
@@ -34,7 +34,7 @@
     }
 
     /// Adds the entries that one action requires to be sent.
-    fn count_entries(
+    fn add_entry_counts(
         &mut self,
         director: usize,
         action: &Action,
--- a/crates/wingfold-emulator/src/simulation/requests.rs
+++ b/crates/wingfold-emulator/src/simulation/requests.rs
@@ -44,7 +44,8 @@
         self.schedule_after(interval, SimulationEvent::RequestArrives { proxy, epoch });
     }
 
-    /// A request arrives, unless it was drawn before its proxy's traffic changed.
+    /// Handles the arrival of a request. An arrival that was drawn before the traffic of its proxy changed is
+    /// dropped.
     pub(super) fn request_arrives(&mut self, proxy: usize, epoch: u32) {
         if self.proxies[proxy].arrival_epoch != epoch {
             return;
--- a/crates/wingfold-emulator/src/simulation/setup.rs
+++ b/crates/wingfold-emulator/src/simulation/setup.rs
@@ -84,9 +84,11 @@
             self.schedule_after(delay, SimulationEvent::ProxyConnects { proxy });
             self.schedule_arrival(proxy);
         }
-        for (index, fault) in self.scenario.faults.iter().enumerate() {
-            self.schedule_at(fault.begins_at, SimulationEvent::FaultChanges { fault: index, active: true });
-            self.schedule_at(fault.ends_at, SimulationEvent::FaultChanges { fault: index, active: false });
+        for (fault, schedule) in self.scenario.faults.iter().enumerate() {
+            let begins = SimulationEvent::FaultBeginsOrEnds { fault, active: true };
+            let ends = SimulationEvent::FaultBeginsOrEnds { fault, active: false };
+            self.schedule_at(schedule.begins_at, begins);
+            self.schedule_at(schedule.ends_at, ends);
         }
         self.schedule_after(self.scenario.settings.report_period, SimulationEvent::LoadReportsDue);
         self.schedule_after(ROUTE_CHECK_PERIOD, SimulationEvent::RouteCheckDue);
--- a/crates/wingfold-emulator/tests/reports.rs
+++ b/crates/wingfold-emulator/tests/reports.rs
@@ -21,7 +21,7 @@
 class "sell" {}
 "#;
 
-/// Counts that differ from one field and from one `base` to the next.
+/// Counts that differ for each `base`, so that each row differs.
 fn request_counts(base: u64) -> RequestCounts {
     RequestCounts { arrived: 10 * base, rejected: base, in_time: 5 * base, late: 2 * base, failed: base + 1 }
 }
