--- a/crates/wingfold-emulator/scenarios/example.hcl
+++ b/crates/wingfold-emulator/scenarios/example.hcl
@@ -1,5 +1,6 @@
-# A site with three zones, modelled on a small inspection service. Every key that a scenario can have is used in
-# this or in one of the other scenarios. A missing key has the default in src/scenario/reader.rs and its submodules.
+# A site with three zones, modelled on a small inspection service. The scenarios in this directory use most of
+# the keys that a scenario can have; src/scenario/reader.rs and its submodules define all keys and the
+# defaults of missing keys.
 scenario "example" {
   about    = "A checker slows down, another one dies, and a hall drains two: an ordinary rough minute."
   length   = "60s"
--- a/crates/wingfold-emulator/src/host.rs
+++ b/crates/wingfold-emulator/src/host.rs
@@ -59,7 +59,8 @@
 /// The limit of the work that a host can receive while it warms up; beyond it, the host fails.
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadLimit {
-    /// The limit as a multiple of the work that the host can do in the window at its present speed.
+    /// The limit as a multiple of the work that the host could do in the window at the speed that its warm-up
+    /// allows now.
     pub factor: f64,
     /// The time over which the received work is summed.
     pub window: Micros,
--- a/crates/wingfold-emulator/src/simulation/requests.rs
+++ b/crates/wingfold-emulator/src/simulation/requests.rs
@@ -34,11 +34,11 @@
 impl Simulation<'_> {
     /// Draws when the next request arrives at a proxy, and schedules the arrival.
     pub(super) fn schedule_arrival(&mut self, proxy: usize) {
-        let receiver = &self.proxies[proxy];
-        let epoch = receiver.arrival_epoch;
+        let receiving_proxy = &self.proxies[proxy];
+        let epoch = receiving_proxy.arrival_epoch;
         let site_factor = self.disruptions.traffic_factor;
-        let zone_factor = self.disruptions.zone_traffic_factors[receiver.zone];
-        let rate_per_s = (receiver.rate_per_s * site_factor * zone_factor).max(MIN_RATE_PER_S);
+        let zone_factor = self.disruptions.zone_traffic_factors[receiving_proxy.zone];
+        let rate_per_s = (receiving_proxy.rate_per_s * site_factor * zone_factor).max(MIN_RATE_PER_S);
         let interval_s = Exp::new(rate_per_s).expect("the rate is above 0").sample(&mut self.arrival_rng);
         let interval = Micros::from_secs(interval_s);
         self.schedule_after(interval, SimulationEvent::RequestArrives { proxy, epoch });
--- a/crates/wingfold-emulator/tests/silence.rs
+++ b/crates/wingfold-emulator/tests/silence.rs
@@ -166,7 +166,7 @@
             "seed {seed}"
         );
         assert_eq!(observer.states(ZONE_INDEX, 68, 98), [ALL_REPORTING], "seed {seed}");
-        // In between, the zone may pass through the state silent. The other zones report all the time.
+        // In between, the zone may pass through the state silent. The director's own zone reports all the time.
         let between = observer.states(ZONE_INDEX, 29, 42);
         let is_expected = |state: SourceState| {
             matches!(state, SourceState::Reporting | SourceState::Partitioned | SourceState::Silent)
