--- a/crates/wingfold-emulator/src/simulation/mod.rs
+++ b/crates/wingfold-emulator/src/simulation/mod.rs
@@ -78,7 +78,7 @@
     /// Draws the arrivals of requests with their classes and work. Has its own stream, so that these do not
     /// depend on the actions of the directors.
     arrival_rng: ChaCha8Rng,
-    /// Draws all other random numbers of the run.
+    /// Draws all other random numbers after the site has been drawn.
     rng: ChaCha8Rng,
     hosts: Vec<Host>,
     /// The index of each host by its name.
--- a/crates/wingfold-emulator/tests/silence.rs
+++ b/crates/wingfold-emulator/tests/silence.rs
@@ -166,7 +166,8 @@
             "seed {seed}"
         );
         assert_eq!(observer.states(ZONE_INDEX, 68, 98), [ALL_REPORTING], "seed {seed}");
-        // In between, the zone may pass through the state silent. The director's own zone reports all the time.
+        // In between, the zone may pass through the state silent. The director's own zone reports all the
+        // time.
         let between = observer.states(ZONE_INDEX, 29, 42);
         let is_expected = |state: SourceState| {
             matches!(state, SourceState::Reporting | SourceState::Partitioned | SourceState::Silent)
@@ -289,7 +290,8 @@
     for (part, (name, fault)) in area.split_evenly((5, 1)).iter().zip(&faults) {
         let observer = observe(fault, 1);
         let caption = format!(
-            "{name}: requests asked a second (bars, where sent) and state (line: 0 heard, 1 quiet, 2 silent, 3 cut)"
+            "{name}: requests asked a second (bars, where sent) and state \
+             (line: 0 heard, 1 quiet, 2 silent, 3 cut)"
         );
         let mut chart = ChartBuilder::on(part)
             .caption(caption, ("sans-serif", 12))
