--- a/crates/wingfold-emulator/src/simulation/faults.rs
+++ b/crates/wingfold-emulator/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a scenario: the hosts that each affects, and what it does when it begins and ends.
+//! The faults of a scenario: which hosts a fault affects, and what happens when a fault begins and ends.
 
 use super::delay::DelayRange;
 use super::discovery::endpoint_of;
@@ -13,9 +13,10 @@
 use std::time::Duration;
 use wingfold_director::interface::*;
 
-/// When a proxy notices that a partition has cut its stream.
+/// The delay after which a proxy detects that a partition has broken its stream.
 const PARTITION_DETECTION_DELAY: DelayRange = DelayRange { min: Micros(500_000), max: Micros(2_800_000) };
-/// When the hosts of a batch of a rolling replacement drain, stop and start, in tenths of the time of the batch.
+/// When the hosts of a batch of a rolling replacement drain, stop and start, in tenths of the duration of the
+/// batch.
 const REPLACEMENT_STEPS: [ReplacementStep; 3] = [
     ReplacementStep { begins_at_tenth: 0, transition: HostTransition::Drain },
     ReplacementStep { begins_at_tenth: 6, transition: HostTransition::Stop },
@@ -27,23 +28,23 @@
     transition: HostTransition,
 }
 
-/// The present effects of faults on the site as a whole.
+/// The effects of active faults on the site as a whole.
 pub(super) struct Disruptions {
     /// Zones that are partitioned from all others.
     pub(super) partitioned_zones: BTreeSet<usize>,
-    /// Zones whose load report collector sends nothing.
+    /// Zones whose collector sends no load reports.
     pub(super) silent_collectors: BTreeSet<usize>,
-    /// The traffic of the site as a multiple of the ordinary.
+    /// The traffic of the site as a multiple of the normal traffic.
     pub(super) traffic_factor: f64,
-    /// The traffic of each zone as a multiple of the ordinary.
+    /// The traffic of each zone as a multiple of the normal traffic.
     pub(super) zone_traffic_factors: Vec<f64>,
-    /// The additional delay of load reports.
+    /// The additional delay of load reports and usage reports.
     pub(super) report_delay: Micros,
     pub(super) discovery_is_down: bool,
 }
 
 impl Disruptions {
-    /// A site of so many zones without faults.
+    /// No effects on a site with the given number of zones.
     pub(super) fn none(zones: usize) -> Disruptions {
         Disruptions {
             partitioned_zones: BTreeSet::new(),
@@ -57,36 +58,38 @@
 }
 
 impl Simulation<'_> {
-    /// A fault begins or ends.
-    pub(super) fn change_fault(&mut self, index: usize, active: bool) -> io::Result<()> {
+    /// Applies the beginning or the end of a fault: `active` is true when the fault begins.
+    pub(super) fn begin_or_end_fault(&mut self, index: usize, active: bool) -> io::Result<()> {
         let scenario = self.scenario;
         let fault = &scenario.faults[index];
         let hosts = self.fault_targets[index].clone();
-        let factor_now = |factor: f64| if active { factor } else { 1.0 };
-        let ratio_now = |ratio: f64| if active { ratio } else { 0.0 };
+        let factor_if_active = |factor: f64| if active { factor } else { 1.0 };
+        let ratio_if_active = |ratio: f64| if active { ratio } else { 0.0 };
         match &fault.kind {
             FaultKind::Crash => self.fail_hosts(&hosts, HostState::Down, active),
             FaultKind::Unreachable => self.fail_hosts(&hosts, HostState::Unreachable, active),
             FaultKind::Hang => self.fail_hosts(&hosts, HostState::Hung, active),
-            FaultKind::Slowdown { factor } => self.slow_down_hosts(&hosts, factor_now(*factor)),
-            FaultKind::NoisyNeighbour { cpu_ratio } => self.steal_cpu(&hosts, ratio_now(*cpu_ratio)),
-            FaultKind::Errors { ratio } => self.set_error_ratio(&hosts, ratio_now(*ratio)),
+            FaultKind::Slowdown { factor } => self.slow_down_hosts(&hosts, factor_if_active(*factor)),
+            FaultKind::NoisyNeighbour { cpu_ratio } => self.steal_cpu(&hosts, ratio_if_active(*cpu_ratio)),
+            FaultKind::Errors { ratio } => self.set_error_ratio(&hosts, ratio_if_active(*ratio)),
             FaultKind::Drain { stop_after } => self.drain_hosts(hosts, *stop_after, active),
             FaultKind::RollingReplacement { batch_ratio } if active => {
                 self.schedule_replacement(&hosts, *batch_ratio, fault.ends_at);
             }
-            FaultKind::ZonePartition { zone } => self.change_partition(zone, active),
-            FaultKind::CollectorOutage { zone } => self.change_collector(zone, active),
-            FaultKind::ZoneTraffic { zone, factor } => self.change_zone_traffic(zone, factor_now(*factor)),
-            FaultKind::TrafficBurst { factor } => self.disruptions.traffic_factor = factor_now(*factor),
+            FaultKind::ZonePartition { zone } => self.set_partitioned(zone, active),
+            FaultKind::CollectorOutage { zone } => self.set_collector_silent(zone, active),
+            FaultKind::ZoneTraffic { zone, factor } => {
+                self.set_zone_traffic_factor(zone, factor_if_active(*factor));
+            }
+            FaultKind::TrafficBurst { factor } => self.disruptions.traffic_factor = factor_if_active(*factor),
             FaultKind::DelayedReports { delay } => self.delay_reports(*delay, active),
-            FaultKind::FalseRemoval => self.change_false_removal(&hosts, active),
-            FaultKind::DiscoveryOutage => self.change_discovery(active),
+            FaultKind::FalseRemoval => self.announce_false_removal(&hosts, active),
+            FaultKind::DiscoveryOutage => self.set_discovery_down(active),
             FaultKind::DirectorCrash { director } if active => self.stop_director(*director)?,
             FaultKind::DirectorCrash { director } => self.start_director(*director)?,
             FaultKind::DirectorStall { director } => self.stall_director(*director, active)?,
             FaultKind::StreamReset if active => self.disconnect_all(),
-            // These are over before their time ends.
+            // The end of the fault has no effect: these kinds only act when they begin.
             FaultKind::RollingReplacement { .. } | FaultKind::StreamReset => {}
         }
         Ok(())
@@ -110,14 +113,14 @@
         }
     }
 
-    /// Drains, stops or starts hosts, one after another.
-    pub(super) fn change_hosts(&mut self, hosts: &[usize], transition: HostTransition) {
+    /// Applies a transition to hosts in the given order, and announces each.
+    pub(super) fn apply_host_transitions(&mut self, hosts: &[usize], transition: HostTransition) {
         for host in hosts {
-            self.change_host(*host, transition);
+            self.apply_host_transition(*host, transition);
         }
     }
 
-    fn change_host(&mut self, index: usize, transition: HostTransition) {
+    fn apply_host_transition(&mut self, index: usize, transition: HostTransition) {
         let host = &mut self.hosts[index];
         match transition {
             HostTransition::Drain => host.listed_readiness = Readiness::Draining,
@@ -130,10 +133,11 @@
         self.announce_host(index);
     }
 
-    /// Hosts fail, or start again. Discovery notices only that a process died, not that a host hangs or is unreachable.
+    /// Makes hosts fail, or starts them again. Discovery detects only that a process died, not that a host
+    /// hangs or is unreachable.
     fn fail_hosts(&mut self, hosts: &[usize], state: HostState, active: bool) {
         if !active {
-            self.change_hosts(hosts, HostTransition::Start);
+            self.apply_host_transitions(hosts, HostTransition::Start);
             return;
         }
         for host in hosts {
@@ -145,18 +149,18 @@
         }
     }
 
-    /// Hosts drain and stop after a time, or start again.
+    /// Makes hosts drain and stop `stop_after` later, or starts them again.
     fn drain_hosts(&mut self, hosts: Vec<usize>, stop_after: Duration, active: bool) {
         if active {
-            self.change_hosts(&hosts, HostTransition::Drain);
-            let transition = HostTransition::Stop;
-            self.schedule_after(micros(stop_after), SimulationEvent::HostsChange { hosts, transition });
+            self.apply_host_transitions(&hosts, HostTransition::Drain);
+            let stop = SimulationEvent::HostTransitionsDue { hosts, transition: HostTransition::Stop };
+            self.schedule_after(micros(stop_after), stop);
         } else {
-            self.change_hosts(&hosts, HostTransition::Start);
+            self.apply_host_transitions(&hosts, HostTransition::Start);
         }
     }
 
-    /// Schedules a rolling replacement of hosts in batches of a share of them, from now until `ends_at`.
+    /// Schedules a rolling replacement from now until `ends_at`, in batches of `batch_ratio` of the hosts.
     fn schedule_replacement(&mut self, hosts: &[usize], batch_ratio: f64, ends_at: Timestamp) {
         let batch_size = ((hosts.len() as f64 * batch_ratio).ceil() as usize).max(1);
         let batches = hosts.len().div_ceil(batch_size).max(1) as u64;
@@ -165,14 +169,15 @@
             let begins_at = self.now + Micros(batch_us * index as u64);
             for step in REPLACEMENT_STEPS {
                 let at = begins_at + Micros(batch_us * step.begins_at_tenth / 10);
-                let transition = step.transition;
-                self.schedule_at(at, SimulationEvent::HostsChange { hosts: batch.to_vec(), transition });
+                let (hosts, transition) = (batch.to_vec(), step.transition);
+                self.schedule_at(at, SimulationEvent::HostTransitionsDue { hosts, transition });
             }
         }
     }
 
-    /// A zone is partitioned from the others, or no longer. Proxies get no signal: they notice by the silence.
-    fn change_partition(&mut self, zone: &str, active: bool) {
+    /// Begins or ends the partition of a zone from the others. Proxies are not notified of a partition; each
+    /// detects after a delay that its stream has broken.
+    fn set_partitioned(&mut self, zone: &str, active: bool) {
         let zone = self.zone_index(zone);
         set_member(&mut self.disruptions.partitioned_zones, zone, active);
         for proxy in 0..self.proxies.len() {
@@ -185,13 +190,13 @@
         }
     }
 
-    fn change_collector(&mut self, zone: &str, is_silent: bool) {
+    fn set_collector_silent(&mut self, zone: &str, is_silent: bool) {
         let zone = self.zone_index(zone);
         set_member(&mut self.disruptions.silent_collectors, zone, is_silent);
     }
 
-    /// The traffic of a zone changes: the next requests of its proxies are drawn again.
-    fn change_zone_traffic(&mut self, zone: &str, factor: f64) {
+    /// Changes the traffic of a zone: the next arrival at each of the zone's proxies is drawn again.
+    fn set_zone_traffic_factor(&mut self, zone: &str, factor: f64) {
         let zone = self.zone_index(zone);
         self.disruptions.zone_traffic_factors[zone] = factor;
         for proxy in 0..self.proxies.len() {
@@ -206,8 +211,8 @@
         self.disruptions.report_delay = if active { micros(delay) } else { Micros(0) };
     }
 
-    /// Discovery announces hosts as removed, or their actual state again.
-    fn change_false_removal(&mut self, hosts: &[usize], active: bool) {
+    /// Makes discovery announce hosts as removed although they run, or announce their actual readiness again.
+    fn announce_false_removal(&mut self, hosts: &[usize], active: bool) {
         for host in hosts {
             let mut endpoint = endpoint_of(&self.hosts[*host], self.scenario);
             if active {
@@ -235,7 +240,7 @@
     Micros(duration.as_micros() as u64)
 }
 
-/// The hosts that a fault affects; a share of them is drawn at random.
+/// The hosts that a fault affects. Draws random numbers only if the targets are a share of all hosts.
 pub(super) fn draw_targets(
     fault: &Fault,
     hosts: &[Host],
@@ -253,7 +258,7 @@
     }
 }
 
-/// Draws a share of `count` hosts, at least one.
+/// Draws a share of `count` hosts, but at least one host.
 fn draw_share(count: usize, share: f64, rng: &mut ChaCha8Rng) -> Vec<usize> {
     let mut drawn: Vec<usize> = (0..count).collect();
     drawn.shuffle(rng);
--- a/crates/wingfold-emulator/src/simulation/requests.rs
+++ b/crates/wingfold-emulator/src/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: how they arrive, are admitted, and end.
+//! Requests: arrival, admission and end.
 
 use super::event::SimulationEvent;
 use super::Simulation;
@@ -7,23 +7,23 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use wingfold_director::interface::*;
 
-/// The work of a request is the mean of its class times a log-normal factor: mean and standard deviation of the factor's
-/// logarithm. The factor's own mean is 1.
+/// Mean and standard deviation of the logarithm of a log-normal factor whose mean is 1. The work of a request
+/// is this factor times the mean work of its class.
 const WORK_FACTOR_LOG_MEAN: f64 = -0.045;
 const WORK_FACTOR_LOG_DEVIATION: f64 = 0.3;
-/// The lowest rate of a proxy; the exponential distribution needs one above 0.
+/// Lower bound of the request rate of a proxy, because an exponential distribution needs a rate above 0.
 const MIN_RATE_PER_S: f64 = 1e-6;
 const MICROS_PER_S: f64 = 1e6;
 
-/// A request that was admitted and has not ended.
+/// An admitted request that has not ended.
 pub(super) struct Request {
     pub(super) proxy: usize,
     pub(super) class: usize,
     pub(super) arrived_at: Timestamp,
     pub(super) work_ms: f64,
-    /// Attempts that were sent.
+    /// The number of attempts that were sent.
     pub(super) attempts: u32,
-    /// Attempts that a host has started.
+    /// The number of attempts that a host has started.
     pub(super) executions: u32,
     /// The host of the last attempt.
     pub(super) host: Option<usize>,
@@ -32,19 +32,20 @@
 }
 
 impl Simulation<'_> {
-    /// Draws when the next request arrives at a proxy.
+    /// Draws when the next request arrives at a proxy, and schedules the arrival.
     pub(super) fn schedule_arrival(&mut self, proxy: usize) {
-        let receiver = &self.proxies[proxy];
-        let epoch = receiver.arrival_epoch;
+        let receiving_proxy = &self.proxies[proxy];
+        let epoch = receiving_proxy.arrival_epoch;
         let site_factor = self.disruptions.traffic_factor;
-        let zone_factor = self.disruptions.zone_traffic_factors[receiver.zone];
-        let rate_per_s = (receiver.rate_per_s * site_factor * zone_factor).max(MIN_RATE_PER_S);
+        let zone_factor = self.disruptions.zone_traffic_factors[receiving_proxy.zone];
+        let rate_per_s = (receiving_proxy.rate_per_s * site_factor * zone_factor).max(MIN_RATE_PER_S);
         let interval_s = Exp::new(rate_per_s).expect("the rate is above 0").sample(&mut self.arrival_rng);
         let interval = Micros::from_secs(interval_s);
         self.schedule_after(interval, SimulationEvent::RequestArrives { proxy, epoch });
     }
 
-    /// A request arrives, unless it was drawn before its proxy's traffic changed.
+    /// Handles the arrival of a request. An arrival that was drawn before the traffic of its proxy changed is
+    /// dropped.
     pub(super) fn request_arrives(&mut self, proxy: usize, epoch: u32) {
         if self.proxies[proxy].arrival_epoch != epoch {
             return;
@@ -80,7 +81,7 @@
                 return index;
             }
         }
-        // Rounding can leave a rest.
+        // Rounding errors can leave a small positive remainder.
         classes.len() - 1
     }
 
@@ -115,7 +116,7 @@
         self.send_attempt(id);
     }
 
-    /// A request ends with an answer.
+    /// Ends a request that was answered.
     pub(super) fn request_answered(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         let class = &self.scenario.classes[request.class].class;
@@ -132,7 +133,7 @@
         }
     }
 
-    /// A request ends without an answer.
+    /// Ends a request that was not answered.
     pub(super) fn request_failed(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         let proxy = &mut self.proxies[request.proxy];
