--- a/crates/wingfold-emulator/src/scenario/reader.rs
+++ b/crates/wingfold-emulator/src/scenario/reader.rs
@@ -82,7 +82,7 @@
         machine_type: block.label.clone().unwrap_or_else(|| "box".into()),
         count: block.integer("count", 1..=5000).unwrap_or(12) as usize,
         cores: block.integer("cores", 1..=256).unwrap_or(3) as usize,
-        core_speed: value_range(block.span("speed", 0.01..=100.0).unwrap_or((0.85, 1.1))),
+        core_speed: value_range(block.number_range("speed", 0.01..=100.0).unwrap_or((0.85, 1.1))),
     }
 }
 
@@ -111,7 +111,7 @@
     ClassLoad {
         name: block.label.clone().unwrap_or_else(|| "request".into()),
         share: block.number("share", 0.0..=1.0).unwrap_or(1.0),
-        mean_work_ms: value_range(block.span("work_ms", 0.01..=1e5).unwrap_or((60.0, 80.0))),
+        mean_work_ms: value_range(block.number_range("work_ms", 0.01..=1e5).unwrap_or((60.0, 80.0))),
         class,
     }
 }
--- a/crates/wingfold-settings/src/hcl/diagnostic.rs
+++ b/crates/wingfold-settings/src/hcl/diagnostic.rs
@@ -1,26 +1,26 @@
-//! Problems of a file, with their places.
+//! Diagnostics: the problems in a file, with their positions.
 
 use std::cell::RefCell;
 use std::fmt;
 use std::ops::Range;
 
-/// A problem of a file, and its place.
+/// A problem in a file, and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// The name of the file, as it was given.
+    /// The name of the file, as the caller gave it.
     pub file: String,
-    /// The line, from 1.
+    /// The line, counted from 1.
     pub line: usize,
-    /// The column in characters, from 1.
+    /// The column in characters, counted from 1.
     pub column: usize,
     /// The path of the key, such as `capture.keep`; empty for a syntax error.
     pub key: String,
-    /// What was found or expected.
+    /// Why the key is invalid.
     pub problem: String,
 }
 
 impl Diagnostic {
-    pub(super) fn of_syntax(file: &str, error: &hcl_edit::parser::Error) -> Diagnostic {
+    pub(super) fn syntax_error(file: &str, error: &hcl_edit::parser::Error) -> Diagnostic {
         Diagnostic {
             file: file.into(),
             line: error.location().line(),
@@ -42,7 +42,7 @@
     }
 }
 
-/// All problems of a file, in the order of their places.
+/// All problems in a file, in the order of their positions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostics(pub Vec<Diagnostic>);
 
@@ -55,7 +55,7 @@
 
 impl std::error::Error for Diagnostics {}
 
-/// A file that is being read, with the problems found so far.
+/// The text of a file that is being read, with the problems found so far.
 pub(super) struct SourceFile {
     name: String,
     text: String,
@@ -67,7 +67,7 @@
         SourceFile { name: name.into(), text: text.into(), diagnostics: RefCell::default() }
     }
 
-    /// Adds a problem at the beginning of `span`, or of the file.
+    /// Adds a problem at the beginning of `span`, or at the beginning of the file if `span` is `None`.
     pub(super) fn report(&self, span: Option<Range<usize>>, key: &str, problem: String) {
         let offset = span.map_or(0, |span| span.start);
         let before = self.text_before(offset);
@@ -77,19 +77,19 @@
         self.diagnostics.borrow_mut().push(diagnostic);
     }
 
-    /// The text before a byte offset, or before the character that the offset lies in.
+    /// The text before a byte offset. If the offset lies inside a character, the text before that character.
     fn text_before(&self, offset: usize) -> &str {
         let offset = offset.min(self.text.len());
-        let boundary = (0..=offset).rev().find(|at| self.text.is_char_boundary(*at)).unwrap_or(0);
+        let boundary = (0..=offset).rev().find(|index| self.text.is_char_boundary(*index)).unwrap_or(0);
         &self.text[..boundary]
     }
 
-    /// Whether a problem of this key was reported.
+    /// Whether a problem with this key was reported.
     pub(super) fn has_diagnostic(&self, key: &str) -> bool {
         self.diagnostics.borrow().iter().any(|diagnostic| diagnostic.key == key)
     }
 
-    /// All problems so far, by their places.
+    /// Removes and returns all problems found so far, sorted by position.
     pub(super) fn take_diagnostics(&self) -> Vec<Diagnostic> {
         let mut diagnostics = self.diagnostics.take();
         diagnostics.sort_by_key(|diagnostic| (diagnostic.line, diagnostic.column));
--- a/crates/wingfold-settings/src/lib.rs
+++ b/crates/wingfold-settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! Settings of a wingfold director: the platform's settings object with its translation for the decision module, and the
-//! local settings file of the program. The simulator sends the object in its first message; a director on sockets finds it in
-//! its configuration.
+//! Settings of a wingfold director: the platform's settings object with its translation into settings of the
+//! decision module, and the local settings file of the program. The simulator sends the settings object when
+//! it launches an instance; a director on sockets reads the object from its configuration file.
 #![forbid(unsafe_code)]
 
 pub mod hcl;
@@ -13,7 +13,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use json::{parse_json, SettingsError};
+pub use json::{parse_json, JsonError};
 pub use load_field::set_load_field;
 pub use platform::{PlatformSettings, ReportNames, TransportSettings};
 pub use retry::retry_code;
--- a/crates/wingfold-settings/src/local.rs
+++ b/crates/wingfold-settings/src/local.rs
@@ -1,5 +1,6 @@
-//! Local settings of the program, beside those of the platform: one HCL file. deploy/wingfold.hcl shows every key with its
-//! default. Without a file everything is off.
+//! Local settings of the program, in addition to the platform's: one HCL file. deploy/wingfold.hcl shows
+//! every key with its default. Without a file, the capture and all metrics are off, and the log has its
+//! defaults.
 
 mod address;
 mod capture;
@@ -25,7 +26,7 @@
 use crate::hcl::{self, Diagnostics};
 use std::fmt;
 
-/// File descriptors of a capture: the segment, the catalogue, and one to read or replace a file.
+/// File descriptors that a capture needs: the segment, the catalogue, and one more to read or replace a file.
 const CAPTURE_DESCRIPTORS: usize = 3;
 
 /// All local settings.
@@ -35,18 +36,18 @@
     pub log: LogSettings,
     /// The `capture` block; `None` if the capture is off.
     pub capture: Option<CaptureSettings>,
-    /// The `figures` block and those of its sinks; `None` if metrics are off.
+    /// The `figures` block, and the blocks of the sinks and of the load receiver; `None` if metrics are off.
     pub metrics: Option<MetricsSettings>,
 }
 
 impl LocalSettings {
-    /// Parses the text of a file; `file` is its name in diagnostics.
+    /// Parses the text of a settings file; diagnostics give `file` as the name of the file.
     pub fn parse(file: &str, text: &str) -> Result<LocalSettings, Diagnostics> {
-        LocalSettings::parse_with(file, text, secret::read_secret_file)
+        LocalSettings::parse_with_secret_reader(file, text, secret::read_secret_file)
     }
 
-    /// Like [`LocalSettings::parse`]; `read_secret` reads the key files that the text names.
-    pub fn parse_with<E: fmt::Display>(
+    /// Like [`LocalSettings::parse`], but `read_secret` reads the key files whose paths the text gives.
+    pub fn parse_with_secret_reader<E: fmt::Display>(
         file: &str,
         text: &str,
         read_secret: impl Fn(&str) -> Result<String, E>,
@@ -59,7 +60,8 @@
         })
     }
 
-    /// Keys whose values differ in `new` and take effect only at a restart.
+    /// The blocks that differ in `new` and take effect only at a restart. The sinks are not among them: a
+    /// reload replaces them.
     pub fn changes_that_need_restart(&self, new: &LocalSettings) -> Vec<&'static str> {
         let without_sinks = |settings: &LocalSettings| {
             let metrics = settings.metrics.clone();
@@ -70,17 +72,17 @@
             ("capture", self.capture != new.capture),
             ("figures", without_sinks(self) != without_sinks(new)),
         ];
-        differs.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
+        differs.into_iter().filter(|(_, differs)| *differs).map(|(block, _)| block).collect()
     }
 
-    /// Bytes of the director's memory that these settings reserve.
+    /// Bytes of memory that these settings reserve for the capture and the sinks' queues.
     pub fn reserved_memory_bytes(&self) -> usize {
         let capture = self.capture.as_ref().map_or(0, CaptureSettings::memory_bytes);
         let sinks = self.metrics.as_ref().map_or(0, |metrics| metrics.sinks.memory_bytes());
         capture + sinks
     }
 
-    /// File descriptors that these settings reserve.
+    /// The number of file descriptors that these settings reserve for the capture and for metrics.
     pub fn file_descriptors(&self) -> usize {
         let capture = if self.capture.is_some() { CAPTURE_DESCRIPTORS } else { 0 };
         let metrics = self.metrics.as_ref().map_or(0, MetricsSettings::file_descriptors);
--- a/crates/wingfold-settings/src/local/collectd.rs
+++ b/crates/wingfold-settings/src/local/collectd.rs
@@ -1,4 +1,4 @@
-//! The `collectd` blocks, which are sinks, and the `collectd_in` block, the receiver of loads.
+//! The `collectd` blocks, which define sinks, and the `collectd_in` block, which defines the load receiver.
 
 use super::address::check_address;
 use super::secret::{read_users, SecretReader};
@@ -10,8 +10,11 @@
 use wingfold_metrics::collectd::{Credentials, MappedHost, PacketSecurity, Users, DEFAULT_PACKET_BYTES};
 use wingfold_metrics::SinkLimits;
 
-/// In place of an address that is missing or invalid, which is reported.
-const DEFAULT_LISTEN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 25826);
+/// Takes the place of a missing or invalid address. The fault is reported, so this address is never listened
+/// on.
+const PLACEHOLDER_LISTEN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 25826);
+/// Takes the place of a missing address of a sink, and is valid so that only the missing key is reported.
+const PLACEHOLDER_ADDRESS: &str = "unset:1";
 
 /// A `collectd` block.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,13 +34,13 @@
 /// A `collectd_in` block.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadReceiverSettings {
-    /// The address on which packets are received.
+    /// The address on which collectd's packets are received.
     pub listen: SocketAddr,
     /// Whether packets must be signed or encrypted.
     pub requires_security: bool,
-    /// Users that may send packets.
+    /// The users that may send packets, with their keys.
     pub users: Users,
-    /// Hosts by collectd's names of their machines.
+    /// Maps collectd's name of each machine to the host on it.
     pub hosts: BTreeMap<String, MappedHost>,
 }
 
@@ -47,7 +50,7 @@
     interval: Duration,
     read_secret: &SecretReader,
 ) -> CollectdSettings {
-    let address = block.require("address", block.string("address"), "unset:1".into());
+    let address = block.require("address", block.string("address"), PLACEHOLDER_ADDRESS.into());
     check_address(block, "address", &address);
     let security = read_security(block, read_secret);
     CollectdSettings {
@@ -65,7 +68,9 @@
     match (security, block.string("user"), block.string("keys")) {
         ("none", None, None) => PacketSecurity::None,
         ("none", ..) => {
-            block.report("`user` and `keys` are given, and `security` is none: nothing would be secured");
+            block.report(
+                "`user` and `keys` have no effect with `security = \"none\"`: packets would not be secured",
+            );
             PacketSecurity::None
         }
         (_, Some(user), Some(file)) => {
@@ -77,7 +82,9 @@
             }
         }
         _ => {
-            block.report(format!("`security` is {security}: `user` and `keys` (a file) are needed"));
+            block.report(format!(
+                "`security = \"{security}\"` needs `user` and `keys` (the path of a key file)"
+            ));
             PacketSecurity::None
         }
     }
@@ -87,7 +94,7 @@
     let users = read_users(block, file, read_secret)?;
     let key = users.key(user).map(str::to_string);
     if key.is_none() {
-        block.report_key("keys", None, format!("`{file}` has no key of `{user}`"));
+        block.report_key("keys", None, format!("`{file}` has no key for user `{user}`"));
     }
     key
 }
@@ -107,22 +114,22 @@
     }
     if requires_security && users.is_none() {
         block.report(
-            "`security` is required: `keys` (a file of `user: key` lines) is needed, or `security = \"none\"`",
+            "packets must be secured: set `keys` (a file with `user: key` lines), or `security = \"none\"`",
         );
     }
     if hosts.is_empty() {
-        block.report("maps no machine to a host: nothing it hears could be used");
+        block.report("needs a `host` block: without one, received loads belong to no host");
     }
-    let listen = listen.unwrap_or(DEFAULT_LISTEN);
+    let listen = listen.unwrap_or(PLACEHOLDER_LISTEN);
     Some(LoadReceiverSettings { listen, requires_security, users: users.unwrap_or_default(), hosts })
 }
 
 fn read_listen(block: &Block) -> Option<SocketAddr> {
     let text = block.string("listen")?;
     let address = text.parse().unwrap_or_else(|_| {
-        let problem = format!("`{text}` is no address with a port, like 10.0.0.4:25826");
+        let problem = format!("`{text}` is not an IP address with a port, such as 10.0.0.4:25826");
         block.report_key("listen", None, problem);
-        DEFAULT_LISTEN
+        PLACEHOLDER_LISTEN
     });
     Some(address)
 }
@@ -134,7 +141,7 @@
         let cores = block.require("cores", block.number("cores", 0.01..=4096.0), 1.0);
         let machine = block.label.clone().unwrap_or_default();
         if machine.is_empty() {
-            block.report("needs collectd's name of the machine: host \"db1\" { .. }");
+            block.report("needs collectd's name of the machine as its label: host \"db1\" { .. }");
         }
         hosts.insert(machine, MappedHost { host, cores });
     }
--- a/crates/wingfold-settings/src/local/graphite.rs
+++ b/crates/wingfold-settings/src/local/graphite.rs
@@ -1,4 +1,4 @@
-//! The `graphite` blocks: sinks of metrics.
+//! The `graphite` blocks, which define sinks of metrics.
 
 use super::address::check_address;
 use super::sink::read_limits;
@@ -7,10 +7,10 @@
 use std::time::Duration;
 use wingfold_metrics::SinkLimits;
 
-const SETTLE_TIMES: RangeInclusive<Duration> = Duration::ZERO..=Duration::from_secs(3600);
+const SETTLE_TIME_RANGE: RangeInclusive<Duration> = Duration::ZERO..=Duration::from_secs(3600);
 const DEFAULT_SETTLE_TIME: Duration = Duration::from_secs(60);
 
-/// The protocol of a sink.
+/// The protocol in which a sink receives metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GraphiteProtocol {
     /// Lines over TCP.
@@ -21,37 +21,37 @@
     Udp,
 }
 
-/// Which of several addresses receive a metric.
+/// Which of a sink's addresses receive a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SinkAssignment {
-    /// All of them.
+    /// Every address.
     Replicate,
-    /// One of them, by consistent hashing of the metric's name.
+    /// One address, by consistent hashing of the metric's name.
     ConsistentHash,
 }
 
 /// A `graphite` block.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GraphiteSettings {
-    /// Its name.
+    /// The name of the sink.
     pub name: String,
     /// Addresses of the receivers, as `host:port`.
     pub addresses: Vec<String>,
-    /// The protocol.
+    /// The protocol of all addresses.
     pub protocol: GraphiteProtocol,
     /// Which addresses receive a metric.
     pub assignment: SinkAssignment,
     /// Whether labels are written as tags.
     pub tags: bool,
-    /// The first parts of every path.
+    /// The beginning of every metric's path: parts separated by dots.
     pub prefix: String,
     /// Queue bound, timeouts and backoff of each address.
     pub limits: SinkLimits,
-    /// How long a failed receiver must be healthy before it gets its names back.
+    /// How long a receiver that failed must be healthy before metrics are assigned to it again.
     pub settle_time: Duration,
 }
 
-/// Reads a block; every path begins with `prefix`.
+/// Reads a `graphite` block; every metric's path begins with `prefix`.
 pub(super) fn read_graphite(block: &Block, prefix: &str, interval: Duration) -> GraphiteSettings {
     let addresses = read_addresses(block);
     let protocol = match block.keyword("protocol", &["plain", "pickle", "udp"]) {
@@ -71,20 +71,20 @@
         tags: block.boolean("tags").unwrap_or(false),
         prefix: prefix.into(),
         limits: read_limits(block, interval),
-        settle_time: block.duration("settle", SETTLE_TIMES).unwrap_or(DEFAULT_SETTLE_TIME),
+        settle_time: block.duration("settle", SETTLE_TIME_RANGE).unwrap_or(DEFAULT_SETTLE_TIME),
     }
 }
 
 fn read_addresses(block: &Block) -> Vec<String> {
     let addresses = block.require("addresses", block.strings("addresses"), Vec::new());
     if addresses.is_empty() {
-        block.report_key("addresses", None, "names at least one receiver");
+        block.report_key("addresses", None, "needs at least one address");
     }
     for address in &addresses {
         check_address(block, "addresses", address);
     }
     if (1..addresses.len()).any(|at| addresses[..at].contains(&addresses[at])) {
-        block.report_key("addresses", None, "names a receiver twice");
+        block.report_key("addresses", None, "has the same address twice");
     }
     addresses
 }
--- a/crates/wingfold-settings/src/local/log.rs
+++ b/crates/wingfold-settings/src/local/log.rs
@@ -15,7 +15,7 @@
 /// The `log` block.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// The format of the lines.
+    /// The format of log lines.
     pub format: LogFormat,
     /// The least severe level that is logged: error, warn, info, debug or trace.
     pub level: &'static str,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Reads the block.
+/// Reads the `log` block.
 pub(super) fn read_log(block: &Block) -> LogSettings {
     let format = match block.keyword("form", &["text", "json"]) {
         Some("json") => LogFormat::Json,
--- a/crates/wingfold-settings/src/local/metrics.rs
+++ b/crates/wingfold-settings/src/local/metrics.rs
@@ -1,4 +1,4 @@
-//! The `figures` block, with the blocks of the sinks and of the load receiver.
+//! The `figures` block, together with the blocks of the sinks and of the load receiver.
 
 use super::collectd::{read_collectd, read_load_receiver, CollectdSettings, LoadReceiverSettings};
 use super::graphite::{read_graphite, GraphiteSettings};
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 const DEFAULT_INTERVAL: Duration = Duration::from_secs(10);
-const INTERVALS: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(60);
+const INTERVAL_RANGE: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(60);
 const DEFAULT_PREFIX: &str = "wingfold";
 
-/// All sinks; a reload may change them.
+/// The sinks of metrics. A reload replaces them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SinkSettings {
     /// The `graphite` blocks.
@@ -20,16 +20,16 @@
     pub collectd: Vec<CollectdSettings>,
 }
 
-/// The `figures` block, with all sinks.
+/// The `figures` block, with the sinks and the load receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MetricsSettings {
-    /// The length of an interval: whole seconds.
+    /// The length of an interval, in whole seconds.
     pub interval: Duration,
     /// Whether the slowest and the failed operations of each stage are kept.
     pub keep_causes: bool,
     /// Where metrics are sent.
     pub sinks: SinkSettings,
-    /// The receiver of collectd's packets with loads of hosts; `None` if it is off.
+    /// The receiver of collectd packets that hold loads of hosts; `None` if it is off.
     pub load_receiver: Option<LoadReceiverSettings>,
 }
 
@@ -43,14 +43,15 @@
 }
 
 impl MetricsSettings {
-    /// File descriptors: for each Graphite address a connection and its successor, and the sockets of collectd.
+    /// The number of file descriptors: for each Graphite address the open connection and the one that
+    /// replaces it, and a socket for each collectd sink and for the load receiver.
     pub(super) fn file_descriptors(&self) -> usize {
         let graphite: usize = self.sinks.graphite.iter().map(|sink| sink.addresses.len()).sum();
         2 * graphite + self.sinks.collectd.len() + usize::from(self.load_receiver.is_some())
     }
 }
 
-/// Reads the block, the sinks and the load receiver; `None` if metrics are off.
+/// Reads the `figures` block, the sinks and the load receiver; `None` if metrics are off.
 pub(super) fn read_metrics(top: &Block, read_secret: &SecretReader) -> Option<MetricsSettings> {
     let block = top.block("figures");
     let block = block.as_ref();
@@ -69,9 +70,10 @@
 }
 
 fn read_interval(top: &Block, block: Option<&Block>) -> Duration {
-    let interval = block.and_then(|block| block.duration("interval", INTERVALS)).unwrap_or(DEFAULT_INTERVAL);
+    let interval =
+        block.and_then(|block| block.duration("interval", INTERVAL_RANGE)).unwrap_or(DEFAULT_INTERVAL);
     if interval.subsec_nanos() != 0 {
-        top.report("`figures.interval` is of whole seconds: receivers take no finer time");
+        top.report("`figures.interval` must be whole seconds: receivers store no finer timestamps");
     }
     interval
 }
@@ -84,7 +86,7 @@
         block.report_key(
             "prefix",
             None,
-            "letters, digits, `-`, `_` and single dots between them are expected",
+            "must consist of letters, digits, `-` and `_`, in parts separated by single dots",
         );
     }
     prefix
@@ -96,6 +98,6 @@
     let names: Vec<&String> = graphite.chain(sinks.collectd.iter().map(|sink| &sink.name)).collect();
     let is_duplicate = |name: &&&String| names.iter().filter(|other| other == name).count() > 1;
     if let Some(name) = names.iter().skip(1).find(is_duplicate) {
-        top.report(format!("two receivers are called `{name}`: figures tell them apart by that"));
+        top.report(format!("two sinks have the name `{name}`: metrics about sinks would be ambiguous"));
     }
 }
--- a/crates/wingfold-settings/src/local/secret.rs
+++ b/crates/wingfold-settings/src/local/secret.rs
@@ -1,27 +1,27 @@
-//! Key files.
+//! Key files, which hold users and their secret keys.
 
 use crate::hcl::Block;
 use std::io;
 use std::os::unix::fs::PermissionsExt;
 use wingfold_metrics::collectd::Users;
 
-/// Reads a key file by its path; the error is a message.
+/// Reads the key file at a path; the error is a message for people.
 pub(super) type SecretReader<'a> = dyn Fn(&str) -> Result<String, String> + 'a;
 
 /// Why a key file could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum SecretError {
     /// The file cannot be read.
-    #[error("`{path}`: {source}")]
+    #[error("cannot read `{path}`: {source}")]
     Unreadable {
         /// The path of the file.
         path: String,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Other users may read or change the file.
-    #[error("`{path}` may be read by others (mode {mode:o}); make it 600")]
-    ReadableByOthers {
+    /// The file's mode gives permissions to its group or to all users.
+    #[error("`{path}` is accessible by other users (mode {mode:o}); change its mode to 600")]
+    AccessibleByOthers {
         /// The path of the file.
         path: String,
         /// The permission bits of the file.
@@ -30,21 +30,22 @@
 }
 
 const PERMISSION_BITS: u32 = 0o777;
-/// Permissions of the group and of all others.
-const OTHERS_BITS: u32 = 0o077;
+/// The permission bits of the group and of all other users.
+const GROUP_AND_OTHERS_BITS: u32 = 0o077;
 
-/// Reads a key file, which only its owner may read.
+/// Reads a key file. It is rejected if anybody but its owner has permissions on it.
 pub(super) fn read_secret_file(path: &str) -> Result<String, SecretError> {
     let unreadable = |source| SecretError::Unreadable { path: path.into(), source };
     let metadata = std::fs::metadata(path).map_err(unreadable)?;
     let mode = metadata.permissions().mode() & PERMISSION_BITS;
-    if mode & OTHERS_BITS != 0 {
-        return Err(SecretError::ReadableByOthers { path: path.into(), mode });
+    if mode & GROUP_AND_OTHERS_BITS != 0 {
+        return Err(SecretError::AccessibleByOthers { path: path.into(), mode });
     }
     std::fs::read_to_string(path).map_err(unreadable)
 }
 
-/// Reads the users of a key file.
+/// Reads the users and their keys from a key file. Reports a file that cannot be read or parsed, and returns
+/// `None`.
 pub(super) fn read_users(block: &Block, file: &str, read_secret: &SecretReader) -> Option<Users> {
     let text = match read_secret(file) {
         Ok(text) => text,
--- a/crates/wingfold-settings/src/platform.rs
+++ b/crates/wingfold-settings/src/platform.rs
@@ -1,4 +1,4 @@
-//! The settings object of the platform, and its translation for the decision module.
+//! The settings object of the platform, and its translation into settings of the decision module.
 
 mod object;
 
@@ -9,19 +9,19 @@
 
 pub use self::object::PlatformSettings;
 
-/// Names that later messages of the platform refer to.
+/// Names from the settings object that are needed to read later messages of the platform.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReportNames {
-    /// Class names, by position.
+    /// The name of each class; its position is the class's number.
     pub classes: Vec<String>,
-    /// Names of the values in a load report, in their order.
+    /// The names of the values in a load report, in the order of the values.
     pub load_fields: Vec<String>,
 }
 
-/// Settings of the transport, which the decision module does not need.
+/// Settings that only the transport needs, not the decision module.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TransportSettings {
-    /// How long a proxy waits for a connection; `None` if the platform does not say.
+    /// How long a proxy waits for a connection to be established; `None` if the platform sets no timeout.
     pub connect_timeout: Option<Duration>,
     /// Whether directors may send datagrams to each other.
     pub peers_allowed: bool,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Names that later messages refer to.
+    /// Names that are needed to read later messages.
     pub fn report_names(&self) -> ReportNames {
         ReportNames {
             classes: self.classes.iter().map(|class| class.name.clone()).collect(),
--- a/crates/wingfold-settings/src/platform/object.rs
+++ b/crates/wingfold-settings/src/platform/object.rs
@@ -1,5 +1,6 @@
-//! The JSON object as it is on the wire, with the platform's names of its keys. Unknown keys are ignored. Times are in
-//! microseconds. Error messages name the types as the platform's pages do (`expecting`).
+//! The platform's settings object as JSON. Serde attributes map the platform's keys and values to the names
+//! used here; unknown keys are ignored. Times are in microseconds. The `expecting` attributes make error
+//! messages use the platform's names of the types.
 
 use serde::Deserialize;
 
@@ -72,7 +73,7 @@
     Ignored,
 }
 
-/// Proxies and their channel to the director.
+/// The fleet of proxies, and the channel from the director to them.
 #[derive(Debug, Deserialize)]
 #[serde(expecting = "struct Family")]
 pub(super) struct FleetObject {
@@ -86,7 +87,8 @@
     pub(super) send_rate_lines_per_s: f64,
     #[serde(rename = "ejects", default)]
     pub(super) proxy_ejection_threshold: u32,
-    /// By class; a missing one is `false`.
+    /// Whether each class is restricted to the proxy's own zone; `false` for classes beyond the end of the
+    /// list.
     #[serde(rename = "home_only", default)]
     pub(super) own_zone_only: Vec<bool>,
     #[serde(default)]
@@ -111,7 +113,7 @@
     pub(super) max_messages_per_proxy: u32,
 }
 
-/// What a director may do.
+/// The platform's policy: connection timeouts, and what a director is allowed to do.
 #[derive(Debug, Deserialize)]
 #[serde(expecting = "struct Limits")]
 pub(super) struct LimitsObject {
@@ -125,7 +127,7 @@
     pub(super) health_checks_allowed: bool,
 }
 
-/// Load reports of hosts.
+/// Load reports of hosts: the values that they hold, and how they arrive.
 #[derive(Debug, Deserialize)]
 #[serde(expecting = "struct Report")]
 pub(super) struct LoadReportObject {
@@ -166,7 +168,7 @@
     pub(super) initial_capacity_ratio: f64,
 }
 
-/// Prices of traffic.
+/// Prices of traffic between zones.
 #[derive(Debug, Default, Deserialize)]
 #[serde(expecting = "struct Charges")]
 pub(super) struct ChargesObject {
--- a/crates/wingfold-settings/tests/names.rs
+++ b/crates/wingfold-settings/tests/names.rs
@@ -1,5 +1,6 @@
-//! Names decide nothing, and what one class is told never reaches another: settings of varied kinds are read as a director
-//! reads them, and the same events are played under other names and with other terms for one class.
+//! The names of zones and classes do not influence decisions, and the settings of one class do not influence
+//! the tables of another. Directors with different settings objects handle the same events, once under other
+//! names and once with other settings of one class, and the actions or the tables are compared.
 
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,20 +9,20 @@
 use wingfold_director::Director;
 use wingfold_settings::PlatformSettings;
 
-/// The names of a deployment: zones by position, and classes.
-struct Words {
+/// The names of a deployment's zones and classes, each by position.
+struct Names {
     zones: Vec<&'static str>,
     classes: Vec<&'static str>,
 }
 
-fn class(name: &str, goal: u64, repeat: &str, gain: f64) -> Value {
-    json!({"name": name, "goal_time": goal, "deadline": 3 * goal, "repeat": repeat, "gain": gain})
+fn class(name: &str, goal_time: u64, repeat: &str, gain: f64) -> Value {
+    json!({"name": name, "goal_time": goal_time, "deadline": 3 * goal_time, "repeat": repeat, "gain": gain})
 }
 
-/// What all kinds have in common; each kind changes some of it.
-fn common(words: &Words) -> Value {
+/// The settings that all deployments have in common; each deployment changes some of them.
+fn common_settings(names: &Names) -> Value {
     json!({
-        "me": 0, "replicas_of_me": 2, "dcs": words.zones, "discovery": "on_request", "classes": [],
+        "me": 0, "replicas_of_me": 2, "dcs": names.zones, "discovery": "on_request", "classes": [],
         "family_info": {
             "admit": "rate", "bare": 3000000, "egress_per_s": 4000.0, "ejects": 5, "overhead": 4.0,
             "pending_max": 8000.0, "period": 1000000, "proxy_count": 40, "push_delay": 200000,
@@ -37,145 +38,153 @@
     })
 }
 
-/// Safe, keyed and unrepeatable classes; changes pushed, shares, loads with answers, two zones.
-fn printers(words: &Words) -> Value {
-    let mut all = common(words);
-    let [view, plate, stamp] = [words.classes[0], words.classes[1], words.classes[2]];
-    all["classes"] = json!([
-        class(view, 1200000, "idempotent", 1.0),
-        class(plate, 700000, "deduplicated", 4.0),
-        class(stamp, 800000, "at_most_once", 6.0)
+/// Idempotent, deduplicated and at-most-once classes; a pushed endpoint list, admission by share, load
+/// reports with attempt counts, and a limit on messages per proxy.
+fn settings_with_pushed_list(names: &Names) -> Value {
+    let mut settings = common_settings(names);
+    let [idempotent, deduplicated, at_most_once] = [names.classes[0], names.classes[1], names.classes[2]];
+    settings["classes"] = json!([
+        class(idempotent, 1200000, "idempotent", 1.0),
+        class(deduplicated, 700000, "deduplicated", 4.0),
+        class(at_most_once, 800000, "at_most_once", 6.0)
     ]);
-    all["discovery"] = json!("pushed");
-    all["family_info"]["admit"] = json!("share");
-    all["family_info"]["update_cap"] = json!(18);
-    all["family_info"]["counted_over"] = json!(10000000);
-    all["report"]["how"] = json!("piggyback");
-    all
+    settings["discovery"] = json!("pushed");
+    settings["family_info"]["admit"] = json!("share");
+    settings["family_info"]["update_cap"] = json!(18);
+    settings["family_info"]["counted_over"] = json!(10000000);
+    settings["report"]["how"] = json!("piggyback");
+    settings
 }
 
-/// A narrow channel, rates, probes, one class that keeps to its zone.
-fn ferries(words: &Words) -> Value {
-    let mut all = common(words);
-    all["classes"] = json!([
-        class(words.classes[0], 900000, "idempotent", 1.0),
-        class(words.classes[1], 1100000, "deduplicated", 3.0)
+/// A low send rate, admission by rate, health checks, and one class that is restricted to the proxy's own
+/// zone.
+fn settings_with_low_send_rate(names: &Names) -> Value {
+    let mut settings = common_settings(names);
+    settings["classes"] = json!([
+        class(names.classes[0], 900000, "idempotent", 1.0),
+        class(names.classes[1], 1100000, "deduplicated", 3.0)
     ]);
-    all["family_info"]["home_only"] = json!([false, true]);
-    all["family_info"]["egress_per_s"] = json!(900.0);
-    all["family_info"]["pending_max"] = json!(1800.0);
-    all["rules"]["gone_is_advice"] = json!(true);
-    all
+    settings["family_info"]["home_only"] = json!([false, true]);
+    settings["family_info"]["egress_per_s"] = json!(900.0);
+    settings["family_info"]["pending_max"] = json!(1800.0);
+    settings["rules"]["gone_is_advice"] = json!(true);
+    settings
 }
 
-/// Classes with hosts of their own, by zone and by kind; no loads, levels ignored.
-fn forges(words: &Words) -> Value {
-    let mut all = common(words);
-    let mut bound = class(words.classes[1], 600000, "at_most_once", 2.0);
-    bound["zones"] = json!([words.zones[0], words.zones[1]]);
-    let mut heavy = class(words.classes[2], 2000000, "deduplicated", 2.0);
-    heavy["flavors"] = json!(["large"]);
-    all["classes"] = json!([class(words.classes[0], 900000, "idempotent", 1.0), bound, heavy]);
-    all["family_info"]["admit"] = json!("silent");
-    all["family_info"]["local_first"] = json!(true);
-    all["report"]["how"] = json!("silent");
-    all["charges"]["cross_zone"] = json!(0.0);
-    all
+/// Classes restricted to hosts of some zones and of some machine types; no load reports, and proxies that
+/// ignore admission levels.
+fn settings_with_restricted_classes(names: &Names) -> Value {
+    let mut settings = common_settings(names);
+    let mut zone_restricted = class(names.classes[1], 600000, "at_most_once", 2.0);
+    zone_restricted["zones"] = json!([names.zones[0], names.zones[1]]);
+    let mut type_restricted = class(names.classes[2], 2000000, "deduplicated", 2.0);
+    type_restricted["flavors"] = json!(["large"]);
+    settings["classes"] =
+        json!([class(names.classes[0], 900000, "idempotent", 1.0), zone_restricted, type_restricted]);
+    settings["family_info"]["admit"] = json!("silent");
+    settings["family_info"]["local_first"] = json!(true);
+    settings["report"]["how"] = json!("silent");
+    settings["charges"]["cross_zone"] = json!(0.0);
+    settings
 }
 
-/// Chance of the test's own, the same in each play.
-struct Dice(u64);
+/// Pseudorandom numbers, the same in each simulation with the same seed.
+struct Random(u64);
 
-impl Dice {
-    fn roll(&mut self, below: u64) -> u64 {
+impl Random {
+    fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        self.0 % below
+        self.0 % bound
     }
 }
 
-/// What a play left: every action but log lines, with its call, and each proxy's table of each class after each second.
+/// The result of a simulation: every action except notices, with the number of its call, and the table of
+/// each proxy and class after each second.
 #[derive(Debug, Default, PartialEq)]
-struct Played {
+struct Simulation {
     actions: Vec<(usize, Action)>,
-    seen: Vec<BTreeMap<(ProxyId, usize), Table>>,
+    tables_after_second: Vec<BTreeMap<(ProxyId, usize), Table>>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Table {
-    lines: BTreeMap<HostId, f64>,
+    weights: BTreeMap<HostId, f64>,
     level: Option<(f64, Retry)>,
 }
 
+/// The settings of every deployment, as functions of the deployment's names.
+const DEPLOYMENTS: [fn(&Names) -> Value; 3] =
+    [settings_with_pushed_list, settings_with_low_send_rate, settings_with_restricted_classes];
+
+/// The number of hosts at the start.
 const HOSTS: usize = 30;
+
+/// The length of the simulation in seconds.
 const SECONDS: usize = 60;
 
-/// Proxies of the played director.
+/// The number of proxies.
 const PROXIES: u32 = 40;
 
-/// Calls in a second.
+/// Calls of the director per second.
 const CALLS_PER_SECOND: usize = 4;
 
-/// The reports of all zones and proxies cover a second.
+/// The period that each report of a zone or a proxy covers.
 const REPORT_PERIOD: Micros = Micros(1_000_000);
 
-/// Plays a minute: drains, starts, a host that loses, one that is slow, a busy spell, proxies that come again.
-fn play(settings: &Value, zones: &[&str], seed: u64) -> Played {
-    let info: PlatformSettings = wingfold_settings::parse_json(&settings.to_string()).unwrap();
-    let classes = info.report_names().classes.len();
-    let mut director = Director::new(info.director_settings(), 9);
-    let mut site = Site { zones, classes, hosts: Vec::from_iter(0..HOSTS), dice: Dice(seed) };
-    let mut tables = PlayedTables::new(classes);
-    let mut played = Played::default();
+/// Simulates a minute in which hosts drain and start, a host fails, another is slow, utilization rises for a
+/// while, and proxies reconnect.
+fn simulate(settings: &Value, zones: &[&str], seed: u64) -> Simulation {
+    let platform_settings: PlatformSettings = wingfold_settings::parse_json(&settings.to_string()).unwrap();
+    let classes = platform_settings.report_names().classes.len();
+    let mut director = Director::new(platform_settings.director_settings(), 9);
+    let mut events_source =
+        EventSource { zones, classes, hosts: Vec::from_iter(0..HOSTS), random: Random(seed) };
+    let mut tables = ProxyTables::new(classes);
+    let mut simulation = Simulation::default();
     for call in 0..CALLS_PER_SECOND * SECONDS {
         let now = Timestamp(1_000_000 + 250_000 * call as u64);
         let mut events: Vec<Event> = tables.acknowledgements.drain(..).collect();
-        site.add_events(call, now, &mut tables, &mut events);
+        events_source.add_events(call, now, &mut tables, &mut events);
         let mut actions = Vec::new();
         director.handle(now, &events, &mut actions);
         actions.iter().for_each(|action| tables.apply(action));
         let kept = actions.into_iter().filter(|action| !matches!(action, Action::Notice(_)));
-        played.actions.extend(kept.map(|action| (call, action)));
+        simulation.actions.extend(kept.map(|action| (call, action)));
         if call % CALLS_PER_SECOND == CALLS_PER_SECOND - 1 {
-            played.seen.push(tables.by_proxy_and_class());
+            simulation.tables_after_second.push(tables.by_proxy_and_class());
         }
     }
-    assert!(played.actions.len() > 500, "{} actions", played.actions.len());
-    played
+    assert!(simulation.actions.len() > 500, "{} actions", simulation.actions.len());
+    simulation
 }
 
 fn host(number: usize) -> HostId {
     HostId(format!("h{number:03}").into())
 }
 
-/// What the director hears of: the endpoint list, proxies, and reports.
-struct Site<'a> {
+/// Generates the director's events: endpoint lists, connections of proxies, and reports.
+struct EventSource<'a> {
     zones: &'a [&'a str],
     classes: usize,
     hosts: Vec<usize>,
-    dice: Dice,
+    random: Random,
 }
 
-impl Site<'_> {
+impl EventSource<'_> {
     /// Adds the events of a call.
-    fn add_events(
-        &mut self,
-        call: usize,
-        now: Timestamp,
-        tables: &mut PlayedTables,
-        events: &mut Vec<Event>,
-    ) {
+    fn add_events(&mut self, call: usize, now: Timestamp, tables: &mut ProxyTables, events: &mut Vec<Event>) {
         if call == 0 {
-            let all = (0..HOSTS).map(|number| self.endpoint(number, Readiness::Ready, None)).collect();
-            events.push(Event::EndpointList { kind: EndpointListKind::Cached, endpoints: all });
+            let endpoints = (0..HOSTS).map(|number| self.endpoint(number, Readiness::Ready, None)).collect();
+            events.push(Event::EndpointList { kind: EndpointListKind::Cached, endpoints });
             events.extend((0..PROXIES).map(|id| self.connected(id)));
         }
         if call % 12 == 5 {
             events.push(self.replace_host(HOSTS + call, now));
         }
         if call % 20 == 9 {
-            let id = self.dice.roll(u64::from(PROXIES)) as u32;
+            let id = self.random.below(u64::from(PROXIES)) as u32;
             events.push(Event::ProxyDisconnected(ProxyId(id)));
             events.push(self.connected(id));
             tables.forget_proxy(ProxyId(id));
@@ -205,29 +214,30 @@
         Event::ProxyConnected { proxy: ProxyId(id), zone: self.zone(id as usize), requests_per_s: 5.0 }
     }
 
-    /// One of the first hosts drains, and a new one starts.
+    /// An endpoint list in which one of the first hosts drains and a new host starts.
     fn replace_host(&mut self, new: usize, now: Timestamp) -> Event {
-        let old = self.dice.roll(HOSTS as u64) as usize;
+        let old = self.random.below(HOSTS as u64) as usize;
         self.hosts.push(new);
         let draining = self.endpoint(old, Readiness::Draining, None);
         let started = self.endpoint(new, Readiness::Ready, Some(now));
         Event::EndpointList { kind: EndpointListKind::Changes, endpoints: vec![draining, started] }
     }
 
-    /// What every zone reports about every host: host 4 loses everything after 8 s, 7 up to a half, and 11 is slow.
+    /// Adds the load reports of every zone about every host. Host 4 fails all attempts after 8 s, host 7
+    /// fails up to half of its attempts, and host 11 is slow.
     fn add_load_reports(&mut self, second: usize, events: &mut Vec<Event>) {
         let utilization = if (20..35).contains(&second) { 0.95 } else { 0.5 };
         let load = HostLoad { utilization: Some(utilization), ..HostLoad::default() };
         for from in 0..self.zones.len() {
-            for at in 0..self.hosts.len() {
-                let number = self.hosts[at];
-                let total = 10 + self.dice.roll(20);
+            for index in 0..self.hosts.len() {
+                let number = self.hosts[index];
+                let total = 10 + self.random.below(20);
                 let failed = match number {
                     4 if second > 8 => total,
-                    7 => self.dice.roll(total / 2),
+                    7 => self.random.below(total / 2),
                     _ => 0,
                 };
-                let mean_us = if number == 11 { 900_000 } else { 120_000 + 1000 * self.dice.roll(40) };
+                let mean_us = if number == 11 { 900_000 } else { 120_000 + 1000 * self.random.below(40) };
                 events.push(Event::LoadReport {
                     zone: self.zone(from),
                     host: host(number),
@@ -242,7 +252,7 @@
     fn add_usage(&mut self, events: &mut Vec<Event>) {
         for id in 0..PROXIES {
             for class in 0..self.classes {
-                let total = 3 + self.dice.roll(5);
+                let total = 3 + self.random.below(5);
                 let requests = AttemptCounts { total, failed: 0, period: REPORT_PERIOD };
                 events.push(Event::Usage { proxy: ProxyId(id), class: ClassId(class), requests });
             }
@@ -250,8 +260,9 @@
     }
 }
 
-/// What the actions made of tables, assignments and levels, and the acknowledgements that are due.
-struct PlayedTables {
+/// The tables, assignments and admission levels that result from the actions, and the acknowledgements for
+/// the next call.
+struct ProxyTables {
     classes: usize,
     tables: BTreeMap<TableId, Table>,
     assigned: BTreeMap<(ProxyId, usize), TableId>,
@@ -259,9 +270,9 @@
     acknowledgements: Vec<Event>,
 }
 
-impl PlayedTables {
+impl ProxyTables {
     fn new(classes: usize) -> Self {
-        PlayedTables {
+        ProxyTables {
             classes,
             tables: BTreeMap::new(),
             assigned: BTreeMap::new(),
@@ -284,7 +295,7 @@
                 self.assigned.extend(assigned.map(|class| ((*proxy, class), *table)));
             }
             Action::SetAdmission { table, classes, level, retry } => {
-                assert_eq!(classes.0.count_ones(), 1, "a level is one class's own");
+                assert_eq!(classes.0.count_ones(), 1, "an admission level applies to one class");
                 self.levels.insert((*table, classes.0.trailing_zeros() as usize), (*level, *retry));
             }
             Action::Barrier { number, .. } => self.acknowledge(*number),
@@ -293,10 +304,10 @@
     }
 
     fn set_entry(&mut self, table: TableId, host: &HostId, weight: f64) {
-        let lines = &mut self.tables.entry(table).or_default().lines;
+        let weights = &mut self.tables.entry(table).or_default().weights;
         match weight > 0.0 {
-            true => lines.insert(host.clone(), weight),
-            false => lines.remove(host),
+            true => weights.insert(host.clone(), weight),
+            false => weights.remove(host),
         };
     }
 
@@ -317,20 +328,20 @@
 }
 
 #[test]
-fn renaming_every_class_and_zone_leaves_the_same_actions() {
-    let words =
-        |zones: &[&'static str]| Words { zones: zones.into(), classes: vec!["alpha", "beta", "gamma"] };
-    let other =
-        |zones: &[&'static str]| Words { zones: zones.into(), classes: vec!["verdict", "10%", "ärger"] };
+fn renaming_classes_and_zones_does_not_change_actions() {
+    let names =
+        |zones: &[&'static str]| Names { zones: zones.into(), classes: vec!["alpha", "beta", "gamma"] };
+    let other_names =
+        |zones: &[&'static str]| Names { zones: zones.into(), classes: vec!["verdict", "10%", "ärger"] };
     let zones: [(&[&str], &[&str]); 3] = [
         (&["ost", "west"], &["west", "ost"]),
         (&["a", "b", "c", "d"], &["molo-uno", "molo-due", "isola", "ende"]),
         (&["one", "two", "three"], &["livingston", "hillington", "south-gyle"]),
     ];
-    for deployment in [printers, ferries, forges] {
+    for settings in DEPLOYMENTS {
         for (zones, others) in zones {
-            let first = play(&deployment(&words(zones)), zones, 77);
-            let second = play(&deployment(&other(others)), others, 77);
+            let first = simulate(&settings(&names(zones)), zones, 77);
+            let second = simulate(&settings(&other_names(others)), others, 77);
             assert_eq!(first.actions.len(), second.actions.len());
             for (a, b) in first.actions.iter().zip(&second.actions) {
                 assert_eq!(a, b);
@@ -340,28 +351,30 @@
 }
 
 #[test]
-fn what_one_class_may_use_and_repeat_never_reaches_another() {
+fn settings_of_one_class_do_not_change_tables_of_another() {
     let zones = ["ost", "west", "nord"];
-    let words = Words { zones: zones.into(), classes: vec!["alpha", "beta", "gamma"] };
-    for deployment in [printers, ferries, forges] {
-        let mut plain = deployment(&words);
-        // Room enough, and no caps by messages: what differs is not who had to wait.
+    let names = Names { zones: zones.into(), classes: vec!["alpha", "beta", "gamma"] };
+    for settings in DEPLOYMENTS {
+        let mut plain = settings(&names);
+        // The send rate, the send queue and the messages per proxy are not limited, so that tables do not
+        // differ because changes had to wait.
         plain["family_info"]["egress_per_s"] = json!(1e6);
         plain["family_info"]["pending_max"] = json!(1e6);
         plain["family_info"]["update_cap"] = json!(0);
-        // Limits of its own from the start: how many proxies share a table goes by how many kinds of tables there are, since
-        // they all go through one channel, and that is the same in what follows.
+        // Class 1 is restricted from the start. The number of proxies that share a table depends on the
+        // number of different tables, since all tables share one channel; the changes below keep that number
+        // the same.
         plain["classes"][1]["zones"] = json!(["ost"]);
-        let of_first = |settings: &Value| -> Vec<BTreeMap<ProxyId, Table>> {
-            let seen = play(settings, &zones, 5).seen.into_iter();
-            let first = |tables: BTreeMap<(ProxyId, usize), Table>| {
-                let own = tables.into_iter().filter(|(key, _)| key.1 == 0);
-                own.map(|(key, table)| (key.0, table)).collect()
+        let tables_of_class_0 = |settings: &Value| -> Vec<BTreeMap<ProxyId, Table>> {
+            let tables_after_second = simulate(settings, &zones, 5).tables_after_second.into_iter();
+            let only_class_0 = |tables: BTreeMap<(ProxyId, usize), Table>| {
+                let class_0 = tables.into_iter().filter(|(key, _)| key.1 == 0);
+                class_0.map(|(key, table)| (key.0, table)).collect()
             };
-            seen.map(first).collect()
+            tables_after_second.map(only_class_0).collect()
         };
-        let expected = of_first(&plain);
-        assert!(expected.last().unwrap().len() == 40 && expected[30].values().all(|t| !t.lines.is_empty()));
+        let expected = tables_of_class_0(&plain);
+        assert!(expected.last().unwrap().len() == 40 && expected[30].values().all(|t| !t.weights.is_empty()));
         for (path, value) in [
             ("/classes/1/repeat", json!("at_most_once")),
             ("/classes/1/repeat", json!("idempotent")),
@@ -372,10 +385,10 @@
             let mut changed = plain.clone();
             let (parent, key) = path.rsplit_once('/').unwrap();
             changed.pointer_mut(parent).unwrap()[key] = value.clone();
-            let seen = of_first(&changed);
-            for (second, (now, then)) in seen.iter().zip(&expected).enumerate() {
-                for (proxy, table) in then {
-                    assert_eq!(Some(table), now.get(proxy), "{path} {value}: {proxy:?} at {second} s");
+            let actual = tables_of_class_0(&changed);
+            for (second, (actual, expected)) in actual.iter().zip(&expected).enumerate() {
+                for (proxy, table) in expected {
+                    assert_eq!(Some(table), actual.get(proxy), "{path} {value}: {proxy:?} at {second} s");
                 }
             }
         }
@@ -383,20 +396,24 @@
 }
 
 #[test]
-fn a_class_is_sent_to_hosts_that_its_own_limits_allow_and_to_all_of_those() {
+fn tables_contain_only_hosts_that_the_class_allows() {
     let zones = ["ost", "west", "nord"];
-    let words = Words { zones: zones.into(), classes: vec!["alpha", "beta", "gamma"] };
-    let played = play(&forges(&words), &zones, 3);
-    for tables in &played.seen[3..] {
+    let names = Names { zones: zones.into(), classes: vec!["alpha", "beta", "gamma"] };
+    let simulation = simulate(&settings_with_restricted_classes(&names), &zones, 3);
+    for tables in &simulation.tables_after_second[3..] {
         for ((_, class), table) in tables {
-            let number = |host: &HostId| host.0[1..].parse::<usize>().unwrap();
-            let allowed = |at: usize| match class {
-                1 => at % 3 < 2,
-                2 => at.is_multiple_of(3),
+            let host_number = |host: &HostId| host.0[1..].parse::<usize>().unwrap();
+            let is_allowed = |number: usize| match class {
+                1 => number % 3 < 2,
+                2 => number.is_multiple_of(3),
                 _ => true,
             };
-            assert!(!table.lines.is_empty());
-            assert!(table.lines.keys().all(|host| allowed(number(host))), "class {class}: {:?}", table.lines);
+            assert!(!table.weights.is_empty());
+            assert!(
+                table.weights.keys().all(|host| is_allowed(host_number(host))),
+                "class {class}: {:?}",
+                table.weights
+            );
         }
     }
 }
--- a/crates/wingfold/tests/metrics.rs
+++ b/crates/wingfold/tests/metrics.rs
@@ -377,7 +377,7 @@
     set_mode(0o644);
     let rejected = run_wingfold(&["settings", "check", &directory.write_settings(&local_settings).1]);
     let text = String::from_utf8_lossy(&rejected.stderr).into_owned();
-    assert!(!rejected.status.success() && text.contains("may be read by others (mode 644)"), "{text}");
+    assert!(!rejected.status.success() && text.contains("is accessible by other users (mode 644)"), "{text}");
 }
 
 /// Local settings that write a capture and receive load from collectd, where machine db1 is host s-1 and
