--- a/crates/wingfold-simhost/src/batch.rs
+++ b/crates/wingfold-simhost/src/batch.rs
@@ -3,14 +3,14 @@
 use crate::wire::{EndpointListStart, Fields, MessageKind, OrderError, WireError};
 use wingfold_director::interface::{Endpoint, EndpointListKind, Event, Timestamp};
 
-/// A batch of which some lines have been read.
+/// A batch that is being read.
 pub struct Batch {
     clock: Timestamp,
     instance: Option<u64>,
     incomplete_list: Option<IncompleteList>,
 }
 
-/// An endpoint list of which some entries have not been read yet.
+/// An endpoint list whose entries have not all been read.
 struct IncompleteList {
     kind: EndpointListKind,
     missing_entries: usize,
@@ -18,27 +18,28 @@
 }
 
 impl Batch {
-    /// A batch of which no line has been read after the first.
+    /// A batch of which only the first line has been read, which gives `clock`.
     pub fn new(clock: Timestamp) -> Self {
         Batch { clock, instance: None, incomplete_list: None }
     }
 
-    /// The time of all its events.
+    /// The time of all events of the batch.
     pub fn clock(&self) -> Timestamp {
         self.clock
     }
 
-    /// The instance to which the next line belongs.
+    /// The number of the instance to which the next line belongs; `None` before the first line that selects
+    /// an instance.
     pub fn instance(&self) -> Option<u64> {
         self.instance
     }
 
-    /// The lines that follow belong to this instance.
+    /// Sets the instance to which the following lines belong.
     pub fn select_instance(&mut self, number: u64) {
         self.instance = Some(number);
     }
 
-    /// Checks that the entries of a list follow its first line, all of them and nothing else.
+    /// Checks that the next line is an entry exactly if an endpoint list is incomplete.
     pub fn check_list_order(&self, fields: &Fields) -> Result<(), WireError> {
         let is_entry = fields.kind() == MessageKind::Endpoint;
         if self.incomplete_list.is_some() == is_entry {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Begins an endpoint list; returns its event if no entries follow.
+    /// Begins an endpoint list. Returns its event at once if no entries follow.
     pub fn begin_list(&mut self, start: EndpointListStart) -> Option<Event> {
         let Some(kind) = start.kind else {
             return Some(Event::EndpointListFailed);
@@ -61,7 +62,7 @@
         None
     }
 
-    /// Adds an entry to the list that was begun; returns the list's event if this was the last entry.
+    /// Adds an entry to the incomplete list. Returns the event of the list if this was its last entry.
     pub fn add_endpoint(&mut self, endpoint: Endpoint) -> Option<Event> {
         let list = self.incomplete_list.as_mut()?;
         list.endpoints.push(endpoint);
--- a/crates/wingfold-simhost/src/capture.rs
+++ b/crates/wingfold-simhost/src/capture.rs
@@ -1,4 +1,4 @@
-//! Captures the calls of an instance in a directory.
+//! Captures the decision module's calls of an instance in a directory.
 
 use std::path::Path;
 use wingfold_archive::{synchronous, SegmentFolder, SynchronousQueue};
@@ -7,13 +7,14 @@
 use wingfold_director::Director;
 use wingfold_settings::ReportNames;
 
-/// The capture of one instance; ends when it is dropped.
+/// The capture of one instance. Dropping it ends the capture.
 pub struct Capture {
     recorder: Recorder<SynchronousQueue<SegmentFolder>>,
 }
 
 impl Capture {
-    /// Starts the capture of an instance in its directory below `root`. If that fails, the instance goes without.
+    /// Starts the capture of an instance in a directory of its own below `root`. If the capture cannot start,
+    /// prints the error and returns `None`; the instance then runs without a capture.
     pub fn start(
         root: &Path,
         number: u64,
@@ -35,19 +36,19 @@
         };
         match synchronous(SegmentFolder::new(root, &name), head, SegmentLimits::default()) {
             Ok(queue) => Some(Capture { recorder: Recorder::new(queue) }),
-            Err(problem) => {
-                eprintln!("wingfold-simhost: no capture: {problem}");
+            Err(error) => {
+                eprintln!("wingfold-simhost: cannot start the capture of instance {number}: {error}");
                 None
             }
         }
     }
 
-    /// To be called before the decision module handles events.
+    /// Must be called before the decision module handles events.
     pub fn before_call(&mut self, now: Timestamp, director: &Director) {
         self.recorder.before_call(now, director);
     }
 
-    /// To be called after the decision module has handled `events` and ordered `actions`.
+    /// Must be called after the decision module has handled `events` and returned `actions`.
     pub fn after_call(&mut self, now: Timestamp, events: &[Event], actions: &[Action], director: &Director) {
         self.recorder.after_call(now, events, actions, director.digest());
     }
@@ -55,8 +56,8 @@
 
 impl Drop for Capture {
     fn drop(&mut self) {
-        if let Err(problem) = self.recorder.queue().finish() {
-            eprintln!("wingfold-simhost: the capture has gaps: {problem}");
+        if let Err(error) = self.recorder.queue().finish() {
+            eprintln!("wingfold-simhost: the capture is incomplete: {error}");
         }
     }
 }
--- a/crates/wingfold-simhost/src/hosting.rs
+++ b/crates/wingfold-simhost/src/hosting.rs
@@ -1,4 +1,4 @@
-//! Reads batches, hands their events to the instances concerned and writes the replies.
+//! Reads batches, passes their events to the instances and writes the replies.
 
 use crate::batch::Batch;
 use crate::instance::Instance;
@@ -8,41 +8,41 @@
 use std::path::PathBuf;
 use wingfold_director::interface::{Action, Event, Timestamp};
 
-/// Answers batches until the input ends. If `capture_root` is given, the calls of every instance are captured in a
-/// directory of its own there.
+/// Reads batches and replies to each until the input ends. If `capture_root` is given, the calls of each
+/// instance are captured in a directory of its own below it.
 pub fn serve(
     input: impl BufRead,
     mut output: impl Write,
     capture_root: Option<PathBuf>,
 ) -> Result<(), WireError> {
     let mut lines = LineReader::new(input);
-    let mut host = InstanceHost::new(capture_root);
+    let mut instances = Instances::new(capture_root);
     let mut reply = String::new();
     while let Some(mut fields) = lines.next_line()? {
         let start = wire::read_batch_start(&mut fields)?;
-        host.read_batch(&mut lines, start.clock)?;
+        instances.read_batch(&mut lines, start.clock)?;
         reply.clear();
-        host.write_reply(&mut reply, &start);
+        instances.write_reply(&mut reply, &start);
         output.write_all(reply.as_bytes())?;
         output.flush()?;
     }
     Ok(())
 }
 
-/// All instances of this process. They share nothing.
-struct InstanceHost {
-    instances: BTreeMap<u64, Instance>,
+/// All director instances of this process. They share no state.
+struct Instances {
+    by_number: BTreeMap<u64, Instance>,
     capture_root: Option<PathBuf>,
-    /// The actions of one instance; kept between calls for its allocation.
+    /// The actions of one instance. The vector is kept between calls to reuse its allocation.
     actions: Vec<Action>,
 }
 
-impl InstanceHost {
+impl Instances {
     fn new(capture_root: Option<PathBuf>) -> Self {
-        InstanceHost { instances: BTreeMap::new(), capture_root, actions: Vec::new() }
+        Instances { by_number: BTreeMap::new(), capture_root, actions: Vec::new() }
     }
 
-    /// Reads the lines of a batch up to its end; the events wait in their instances.
+    /// Reads the lines of a batch up to its end, and queues the events in their instances.
     fn read_batch(
         &mut self,
         lines: &mut LineReader<impl BufRead>,
@@ -60,7 +60,7 @@
         Err(WireError::input_ended_in_batch())
     }
 
-    /// Applies a line inside a batch.
+    /// Applies one line between the first and the last line of a batch.
     fn apply_line(&mut self, batch: &mut Batch, fields: &mut Fields) -> Result<(), WireError> {
         match fields.kind() {
             MessageKind::BatchStart => return Err(fields.unexpected(OrderError::BatchNotEnded)),
@@ -74,26 +74,27 @@
         match fields.kind() {
             MessageKind::Launch => self.launch(number, batch.clock(), fields),
             MessageKind::Destroy => {
-                self.instances.remove(&number);
+                self.by_number.remove(&number);
                 Ok(())
             }
             _ => self.queue_event(number, batch, fields),
         }
     }
 
-    /// Starts an instance, in place of the one that had its number.
+    /// Starts an instance. It replaces a running instance of the same number.
     fn launch(&mut self, number: u64, now: Timestamp, fields: &mut Fields) -> Result<(), WireError> {
         let launch = wire::read_launch(fields)?;
-        // The previous instance ends its capture before the next one begins in the same directory.
-        self.instances.remove(&number);
+        // Dropping the previous instance ends its capture, before the new instance captures into the same
+        // directory.
+        self.by_number.remove(&number);
         let instance = Instance::new(number, now, &launch, self.capture_root.as_deref());
-        self.instances.insert(number, instance);
+        self.by_number.insert(number, instance);
         Ok(())
     }
 
-    /// Queues the event of a line, or the part of an event that it holds.
+    /// Queues the event that a line completes. A line of an endpoint list may hold only a part of the event.
     fn queue_event(&mut self, number: u64, batch: &mut Batch, fields: &mut Fields) -> Result<(), WireError> {
-        let Some(instance) = self.instances.get_mut(&number) else {
+        let Some(instance) = self.by_number.get_mut(&number) else {
             return Err(fields.unexpected(OrderError::NotLaunched));
         };
         let event: Option<Event> = match fields.kind() {
@@ -107,9 +108,9 @@
         Ok(())
     }
 
-    /// Lets every instance with events handle them, and writes the reply.
+    /// Makes every instance with queued events handle them, and writes the reply to a batch.
     fn write_reply(&mut self, reply: &mut String, start: &BatchStart) {
-        for (&number, instance) in &mut self.instances {
+        for (&number, instance) in &mut self.by_number {
             if !instance.has_events() {
                 continue;
             }
--- a/crates/wingfold-simhost/src/main.rs
+++ b/crates/wingfold-simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts director instances behind the simulator's line protocol on standard input and output.
+//! Runs director instances that the simulator controls with a line protocol on standard input and output.
 #![forbid(unsafe_code)]
 
 mod batch;
@@ -11,11 +11,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Size of the input's and the output's buffer in bytes.
+/// The size of each of the buffers for input and output, in bytes.
 const IO_BUFFER_BYTES: usize = 1 << 16;
 
-/// ReportNames the directory for captures. It is a switch for whoever wants a simulated day to replay, not a setting of the
-/// director.
+/// The environment variable that names the directory for captures. It is set to record a simulation for
+/// replay, and is not a setting of the director.
 const CAPTURE_VARIABLE: &str = "WINGFOLD_CAPTURE";
 
 fn main() -> ExitCode {
--- a/crates/wingfold-simhost/src/wire.rs
+++ b/crates/wingfold-simhost/src/wire.rs
@@ -1,6 +1,6 @@
-//! The line protocol: reading events, writing actions. Nothing is decided here.
+//! The simulator's line protocol: reads events and writes actions, and makes no decisions.
 //!
-//! The protocol's words for messages, fields and values stand in these modules alone.
+//! Only these modules use the protocol's names of messages, fields and values.
 
 mod actions;
 mod error;
--- a/crates/wingfold-simhost/src/wire/actions.rs
+++ b/crates/wingfold-simhost/src/wire/actions.rs
@@ -5,16 +5,17 @@
 use std::fmt::{self, Write};
 use wingfold_director::interface::{Action, ClassMask, Notice, Retry, TableId};
 
-/// The table number that stands for all connected proxies.
+/// The table number that represents all connected proxies.
 const ALL_PROXIES_TABLE: u32 = 65_535;
 
-/// The receiver that stands for all peers.
+/// The receiver number that represents all peers.
 const ALL_PEERS: i64 = -1;
 
-/// How no bytes at all are written.
-const NO_BYTES: &str = "-";
+/// Represents an empty message to a peer.
+const EMPTY_MESSAGE: &str = "-";
 
-/// Writes the actions of an instance below a line that names it; nothing if there are none to write.
+/// Writes a line with the number of an instance, followed by the lines of its actions. Writes nothing if no
+/// action has a line.
 pub fn write_actions(out: &mut String, instance: u64, actions: &[Action]) {
     if !actions.iter().any(has_line) {
         return;
@@ -30,7 +31,8 @@
     out.push_str(&format!("ack\t{sequence}\n"));
 }
 
-/// Whether the protocol has a line for an action: the simulator keeps no records of hosts for a director.
+/// Whether the protocol has a line for an action. It has none for `EvictHost`: the simulator keeps no records
+/// of hosts on behalf of a director.
 fn has_line(action: &Action) -> bool {
     !matches!(action, Action::EvictHost(_))
 }
@@ -76,7 +78,7 @@
 
 fn write_peer_message(out: &mut String, to: Option<u32>, message: &[u8]) -> fmt::Result {
     let receiver = to.map_or(ALL_PEERS, i64::from);
-    let contents = if message.is_empty() { NO_BYTES.to_string() } else { STANDARD.encode(message) };
+    let contents = if message.is_empty() { EMPTY_MESSAGE.to_string() } else { STANDARD.encode(message) };
     write!(out, "broadcast_to\t{receiver}\t{contents}")
 }
 
@@ -92,7 +94,7 @@
     write!(out, "allow\t{}\t{level}\t{table}\t{retry}", classes.0)
 }
 
-/// Writes a notice on one line, whatever its text holds.
+/// Writes a notice on one line: control characters of its text, such as line ends, become spaces.
 fn write_notice(out: &mut String, notice: &Notice) -> fmt::Result {
     let text = notice.to_string();
     let line: String = text.chars().map(|c| if c.is_control() { ' ' } else { c }).collect();
--- a/crates/wingfold-simhost/src/wire/actions/tests.rs
+++ b/crates/wingfold-simhost/src/wire/actions/tests.rs
@@ -1,10 +1,10 @@
-//! Every action as the protocol writes it.
+//! Each action is written as its line of the protocol.
 
 use super::*;
 use std::sync::Arc;
 use wingfold_director::interface::{ClassMask, HostId, Notice, ProxyId, Retry, TableId, Timestamp};
 
-/// Checks that each action is written as this line.
+/// Checks that each action is written as the line beside it.
 fn assert_all_written(cases: &[(Action, &str)]) {
     for (action, line) in cases {
         let mut out = String::new();
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn list_timer_and_message_actions_are_written_as_the_protocol_has_them() {
+fn list_timer_and_message_actions_give_protocol_lines() {
     let cases = [
         (Action::WatchEndpoints(true), "listen\t1\n"),
         (Action::WatchEndpoints(false), "listen\t0\n"),
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn table_actions_are_written_as_the_protocol_has_them() {
+fn table_actions_give_protocol_lines() {
     let cases = [
         (
             Action::SetEntry { table: TableId(117), host: host(), weight: 0.75 },
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn admission_actions_are_written_as_the_protocol_has_them() {
+fn admission_actions_give_protocol_lines() {
     let mask = ClassMask(2);
     let cases = [
         (
--- a/crates/wingfold-simhost/src/wire/error.rs
+++ b/crates/wingfold-simhost/src/wire/error.rs
@@ -1,75 +1,75 @@
-//! What can be wrong with the input.
+//! Errors of the line protocol.
 
 use super::messages::BATCH_START;
 use std::io;
 use thiserror::Error;
 
-/// What can be wrong with the input.
+/// An error in the input, or a failure to read or write.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// A field that should be there is not.
+    /// A required field is missing.
     #[error("message `{message}`: field `{field}` is missing")]
-    Missing {
+    MissingField {
         /// The message's name.
         message: String,
         /// The field's name.
         field: &'static str,
     },
-    /// A field does not hold what it should.
-    #[error("message `{message}`: field `{field}` cannot be read: `{value}`")]
-    Invalid {
+    /// A field has an invalid value.
+    #[error("message `{message}`: field `{field}` has an invalid value: `{value}`")]
+    InvalidField {
         /// The message's name.
         message: String,
         /// The field's name.
         field: &'static str,
-        /// The beginning of its value, or why it is invalid.
+        /// The beginning of the value, or the reason why the value is invalid.
         value: String,
     },
-    /// More fields than the message has.
+    /// The line has more fields than its message.
     #[error("message `{message}`: more fields than expected")]
-    Excess {
+    ExcessFields {
         /// The message's name.
         message: String,
     },
-    /// A message that may not stand here, or that the protocol does not have.
+    /// The message is not allowed here, or is not a message of the protocol.
     #[error("message `{message}`: {problem}")]
-    Unexpected {
+    UnexpectedMessage {
         /// The beginning of the message's name.
         message: String,
-        /// Why it is not expected.
+        /// Why the message is not allowed.
         problem: OrderError,
     },
     /// Reading or writing failed.
-    #[error("input or output failed: {0}")]
+    #[error("cannot read the input or write the output: {0}")]
     Io(#[from] io::Error),
 }
 
 impl WireError {
-    /// The input has ended between the first and the last line of a batch.
+    /// The error of an input that ends between the first and the last line of a batch.
     pub fn input_ended_in_batch() -> Self {
-        WireError::Unexpected { message: BATCH_START.to_string(), problem: OrderError::InputEnded }
+        WireError::UnexpectedMessage { message: BATCH_START.to_string(), problem: OrderError::InputEnded }
     }
 }
 
-/// Why a message may not stand where it stands.
+/// Why a message is not allowed at its position in the input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum OrderError {
-    /// The input ends after the first line of a batch and before its last.
-    #[error("the input ends inside it")]
+    /// The input ends between the first and the last line of a batch.
+    #[error("the input ends inside the batch")]
     InputEnded,
-    /// Only the first line of a batch may stand here.
-    #[error("stands outside a batch")]
+    /// Outside a batch, only the first line of a batch is allowed.
+    #[error("not allowed outside a batch; a `batch` line is expected")]
     OutsideBatch,
-    /// A batch begins inside another.
-    #[error("the batch before it has not ended")]
+    /// A batch begins before the previous batch has ended.
+    #[error("the previous batch has not ended")]
     BatchNotEnded,
-    /// An entry without its list, or a list without all its entries.
-    #[error("list entries must follow their `fleet`, all of them")]
+    /// An entry outside an endpoint list, or another line before the list is complete.
+    #[error("a `fleet` line must be followed by exactly its number of `item` lines")]
     ListInterrupted,
-    /// No line of this batch has named an instance yet.
-    #[error("no instance was named before it")]
+    /// No line of this batch has selected an instance yet.
+    #[error("no `for` line has selected an instance in this batch")]
     NoInstance,
-    /// The instance does not run.
+    /// The selected instance does not run.
     #[error("the instance has not been launched")]
     NotLaunched,
     /// The protocol has no message of this name.
--- a/crates/wingfold-simhost/src/wire/events.rs
+++ b/crates/wingfold-simhost/src/wire/events.rs
@@ -1,16 +1,16 @@
-//! Reads the events of an instance that are neither its start, its end nor its endpoint list.
+//! Reads all events of an instance except its launch, its end and its endpoint list.
 
 use super::{Fields, OrderError, WireError};
 use wingfold_director::interface::{AttemptCounts, Event, HealthCheckOutcome, Micros};
 use wingfold_settings::ReportNames;
 
-/// The host answered the health check.
+/// The status of a health check that the host answered.
 const STATUS_OK: u32 = 1;
 
-/// The host rejected the health check: it drains, or has too many of them.
+/// The status of a health check that the host rejected, because it drains or received too many health checks.
 const STATUS_REJECTED: u32 = 3;
 
-/// How many attempts ended, and how many of them failed.
+/// The number of attempts or requests that ended, and the number of them that failed.
 struct Totals {
     total: u64,
     failed: u64,
@@ -23,12 +23,12 @@
         Ok(Totals { total, failed })
     }
 
-    fn over(self, period: Micros) -> AttemptCounts {
+    fn with_period(self, period: Micros) -> AttemptCounts {
         AttemptCounts { total: self.total, failed: self.failed, period }
     }
 }
 
-/// Reads any event of an instance that is neither its start, its end nor its endpoint list.
+/// Reads an event of an instance. The launch, the end and the endpoint list of an instance are not read here.
 pub fn read_event(fields: &mut Fields, names: &ReportNames) -> Result<Event, WireError> {
     match fields.message() {
         "wakeup" => Ok(Event::TimerFired(fields.value("ctx")?)),
@@ -77,7 +77,7 @@
     let host = fields.host()?;
     let totals = Totals::read(fields)?;
     let mean_latency = Micros(fields.value("duration")?);
-    let attempts = totals.over(Micros(fields.value("over")?));
+    let attempts = totals.with_period(Micros(fields.value("over")?));
     let load = fields.load(names)?;
     Ok(Event::LoadReport { zone, host, attempts, mean_latency, load })
 }
@@ -86,7 +86,7 @@
     let proxy = fields.proxy()?;
     let class = fields.class(names)?;
     let totals = Totals::read(fields)?;
-    let requests = totals.over(Micros(fields.value("over")?));
+    let requests = totals.with_period(Micros(fields.value("over")?));
     Ok(Event::Usage { proxy, class, requests })
 }
 
--- a/crates/wingfold-simhost/src/wire/events/tests.rs
+++ b/crates/wingfold-simhost/src/wire/events/tests.rs
@@ -1,9 +1,9 @@
-//! Every event as the protocol writes it.
+//! Each event of the protocol is read.
 
 use super::*;
 
 #[test]
-fn every_event_is_read_into_its_own_terms() {
+fn each_event_line_is_read_as_its_event() {
     let names = ReportNames {
         classes: vec!["score".into(), "verdict".into()],
         load_fields: vec!["cpu_share".into(), "busy_reqs".into(), "svc_ms".into(), "pending".into()],
@@ -38,7 +38,7 @@
         ("charge\t117\t1", "Shard"),
         ("held\th:1\t0.5\t117", "Shard"),
     ];
-    for (line, part) in cases {
-        assert!(read(line).contains(part), "{line}: {}", read(line));
+    for (line, expected) in cases {
+        assert!(read(line).contains(expected), "{line}: {}", read(line));
     }
 }
--- a/crates/wingfold-simhost/src/wire/fields.rs
+++ b/crates/wingfold-simhost/src/wire/fields.rs
@@ -8,16 +8,16 @@
 use wingfold_director::interface::{ClassId, HostId, HostLoad, ProxyId, ZoneId};
 use wingfold_settings::ReportNames;
 
-/// Between two fields of a line.
+/// Separates the fields of a line.
 const FIELD_SEPARATOR: char = '\t';
 
-/// Between two values of a load report.
+/// Separates the values of a load report.
 const LOAD_SEPARATOR: char = ',';
 
-/// Stands for an absent value.
+/// Represents an absent value.
 const ABSENT: &str = "-";
 
-/// The most characters of the input that an error quotes.
+/// The largest number of characters of the input that an error quotes.
 const MAX_QUOTED_CHARS: usize = 80;
 
 /// The fields of one line, read in order.
@@ -40,7 +40,7 @@
         self.message
     }
 
-    /// What the message is.
+    /// The kind of the message.
     pub fn kind(&self) -> MessageKind {
         MessageKind::of(self.message)
     }
@@ -55,22 +55,22 @@
         if self.is_at_end() {
             Ok(())
         } else {
-            Err(WireError::Excess { message: self.message.to_string() })
+            Err(WireError::ExcessFields { message: self.message.to_string() })
         }
     }
 
     /// An error about this message as a whole.
     pub fn unexpected(&self, problem: OrderError) -> WireError {
-        WireError::Unexpected { message: quoted(self.message), problem }
+        WireError::UnexpectedMessage { message: quoted(self.message), problem }
     }
 
     /// An error about a field of this message.
     pub(super) fn invalid(&self, field: &'static str, value: &str) -> WireError {
-        WireError::Invalid { message: self.message.to_string(), field, value: quoted(value) }
+        WireError::InvalidField { message: self.message.to_string(), field, value: quoted(value) }
     }
 
     fn missing(&self, field: &'static str) -> WireError {
-        WireError::Missing { message: self.message.to_string(), field }
+        WireError::MissingField { message: self.message.to_string(), field }
     }
 
     /// The next field as text.
@@ -84,8 +84,8 @@
         Ok(value)
     }
 
-    /// Everything up to the end of the line.
-    pub(super) fn tail(&mut self, field: &'static str) -> Result<&'a str, WireError> {
+    /// The rest of the line as one field, including any separators.
+    pub(super) fn rest_of_line(&mut self, field: &'static str) -> Result<&'a str, WireError> {
         self.rest.take().ok_or_else(|| self.missing(field))
     }
 
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The next field as a truth value.
+    /// The next field as a boolean, which is written as `1` or `0`.
     pub(super) fn flag(&mut self, field: &'static str) -> Result<bool, WireError> {
         match self.text(field)? {
             "1" => Ok(true),
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The next field as bytes.
+    /// The next field as bytes, which are written in Base64.
     pub(super) fn bytes(&mut self, field: &'static str) -> Result<Vec<u8>, WireError> {
         match self.text(field)? {
             ABSENT => Ok(Vec::new()),
@@ -131,6 +131,7 @@
         }
     }
 
+    /// The next field as a name, which must not be empty.
     fn name(&mut self, field: &'static str) -> Result<Arc<str>, WireError> {
         match self.text(field)? {
             "" => Err(self.invalid(field, "")),
@@ -158,7 +159,7 @@
         self.value("set_id")
     }
 
-    /// The next field as a class that the settings name.
+    /// The next field as a class, which is written by its name in the settings.
     pub(super) fn class(&mut self, names: &ReportNames) -> Result<ClassId, WireError> {
         let field = "profile";
         let text = self.text(field)?;
@@ -166,8 +167,8 @@
         position.map(ClassId).ok_or_else(|| self.invalid(field, text))
     }
 
-    /// The next field as a host's load report, whose values the settings name; values beyond those are checked and
-    /// ignored.
+    /// The next field as a host's load report. The settings give the names of its values by position; further
+    /// values must be numbers and are ignored.
     pub(super) fn load(&mut self, names: &ReportNames) -> Result<HostLoad, WireError> {
         let field = "pressure";
         let text = self.text(field)?;
@@ -188,7 +189,7 @@
     }
 }
 
-/// The beginning of a text, as errors quote it.
+/// The beginning of a text, for an error that quotes it.
 fn quoted(text: &str) -> String {
     text.chars().take(MAX_QUOTED_CHARS).collect()
 }
--- a/crates/wingfold-simhost/src/wire/lines.rs
+++ b/crates/wingfold-simhost/src/wire/lines.rs
@@ -10,7 +10,7 @@
 }
 
 impl<R: BufRead> LineReader<R> {
-    /// A reader of this input.
+    /// A reader of the lines of `input`.
     pub fn new(input: R) -> Self {
         LineReader { input, line: String::new() }
     }
--- a/crates/wingfold-simhost/src/wire/messages.rs
+++ b/crates/wingfold-simhost/src/wire/messages.rs
@@ -1,5 +1,5 @@
-//! The kinds of messages, and those that are no event by themselves: the frame of a batch, an instance's start and the
-//! endpoint list.
+//! The kinds of messages, and readers of the messages that are not events by themselves: the first line of a
+//! batch, the selection and the launch of an instance, and the lines of an endpoint list.
 
 use super::{Fields, OrderError, WireError};
 use wingfold_director::interface::{Endpoint, EndpointListKind, Readiness, Timestamp};
@@ -8,17 +8,17 @@
 /// The name of the message that begins a batch.
 pub(super) const BATCH_START: &str = "batch";
 
-/// The weight of an endpoint whose entry does not tell it.
+/// The weight of an endpoint whose entry has no weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// What a message is, as far as it matters where it may stand.
+/// The kind of a message, as far as it determines where in a batch the message is allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
     /// The first line of a batch.
     BatchStart,
     /// The last line of a batch.
     BatchEnd,
-    /// ReportNames the instance to which the lines that follow belong.
+    /// Selects the instance to which the following lines belong.
     Instance,
     /// Starts an instance.
     Launch,
@@ -28,12 +28,12 @@
     EndpointList,
     /// An entry of an endpoint list.
     Endpoint,
-    /// Any other event of an instance, or no message of this protocol.
+    /// Any other event of an instance, or a name that is not a message of this protocol.
     Event,
 }
 
 impl MessageKind {
-    /// The kind of the message that has this name.
+    /// The kind of the message of this name.
     pub(super) fn of(message: &str) -> Self {
         match message {
             BATCH_START => MessageKind::BatchStart,
@@ -59,16 +59,17 @@
 
 /// The start of an instance.
 pub struct Launch {
-    /// The seed of its random numbers.
+    /// The seed of the director's random numbers.
     pub seed: u64,
-    /// The settings.
+    /// The platform's settings.
     pub settings: PlatformSettings,
 }
 
 /// The first line of an endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointListStart {
-    /// What the entries stand for; `None`: the call for the list failed.
+    /// Whether the entries are changes, the complete list or a cached list; `None` if the call to discovery
+    /// failed.
     pub kind: Option<EndpointListKind>,
     /// The number of entries that follow.
     pub entries: usize,
@@ -85,7 +86,7 @@
     Ok(BatchStart { clock, sequence })
 }
 
-/// Reads the number of the instance to which the lines that follow belong.
+/// Reads the number of the instance to which the following lines belong.
 pub fn read_instance(fields: &mut Fields) -> Result<u64, WireError> {
     fields.value("i")
 }
@@ -93,7 +94,7 @@
 /// Reads the start of an instance.
 pub fn read_launch(fields: &mut Fields) -> Result<Launch, WireError> {
     let seed = fields.value("random_seed")?;
-    let text = fields.tail("info")?;
+    let text = fields.rest_of_line("info")?;
     let settings =
         wingfold_settings::parse_json(text).map_err(|error| fields.invalid("info", &error.to_string()))?;
     Ok(Launch { seed, settings })
@@ -109,8 +110,8 @@
         other => return Err(fields.invalid("how", other)),
     };
     fields.optional::<u64>("number")?;
-    let may_end_here = kind.is_none();
-    let entries = if may_end_here && fields.is_at_end() { 0 } else { fields.optional("items")?.unwrap_or(0) };
+    let is_failed = kind.is_none();
+    let entries = if is_failed && fields.is_at_end() { 0 } else { fields.optional("items")?.unwrap_or(0) };
     Ok(EndpointListStart { kind, entries })
 }
 
