--- a/crates/wingfold-emulator/tests/silence.rs
+++ b/crates/wingfold-emulator/tests/silence.rs
@@ -171,15 +171,15 @@
         assert!(between.iter().all(|states| is_expected(states.load_reports)), "{between:?}");
         assert_eq!(observer.states(DIRECTOR_ZONE_INDEX, 8, 98), [HEARD], "seed {seed}");
         for until_s in [45, 50, 55] {
-            assert_eq!(observer.value(Metric::TriesTotal, until_s), None, "no zero is sent");
-            assert_eq!(observer.value(Metric::ServiceAsked, until_s), None);
+            assert_eq!(observer.value(Metric::Attempts, until_s), None, "no zero is sent");
+            assert_eq!(observer.value(Metric::RequestsOffered, until_s), None);
         }
-        let ages = [45, 50, 55].map(|until_s| observer.value(Metric::ZoneAge, until_s).unwrap());
+        let ages = [45, 50, 55].map(|until_s| observer.value(Metric::LoadReportAge, until_s).unwrap());
         assert!(
             ages[0] > 10.0 && ages[1] > ages[0] + 4.0 && ages[2] > ages[1] + 4.0,
             "its age rises: {ages:?}"
         );
-        assert_eq!(observer.value(Metric::ZoneState, 50), Some(3.0));
+        assert_eq!(observer.value(Metric::LoadReportState, 50), Some(3.0));
     }
 }
 
@@ -207,8 +207,8 @@
         };
         assert_eq!(observer.states(ZONE_INDEX, 40, 59), [expected], "seed {seed}");
         assert_eq!(observer.states(ZONE_INDEX, 66, 98), [HEARD]);
-        assert_eq!(observer.value(Metric::TriesTotal, 50), None, "what is not known is not sent");
-        assert!(observer.value(Metric::ServiceAsked, 50).unwrap() > 50.0, "what is known is");
+        assert_eq!(observer.value(Metric::Attempts, 50), None, "what is not known is not sent");
+        assert!(observer.value(Metric::RequestsOffered, 50).unwrap() > 50.0, "what is known is");
     }
 }
 
@@ -218,10 +218,10 @@
         let observer = observe(&delayed_reports(), seed);
         // The gap of 3.5 s at the beginning may look like silence for a moment; then the zone is heard.
         assert_eq!(observer.states(ZONE_INDEX, 40, 59), [HEARD], "seed {seed}");
-        let lag_s = observer.value(Metric::ZoneLag, 45).unwrap();
+        let lag_s = observer.value(Metric::LoadReportLag, 45).unwrap();
         assert!((1.5..4.5).contains(&lag_s), "seed {seed}: {lag_s}");
-        assert!(observer.value(Metric::TriesLate, 45).unwrap() > 50.0, "late reports are marked");
-        assert_eq!(observer.value(Metric::TriesLate, 25), Some(0.0), "seed {seed}");
+        assert!(observer.value(Metric::AttemptsReportedLate, 45).unwrap() > 50.0, "late reports are marked");
+        assert_eq!(observer.value(Metric::AttemptsReportedLate, 25), Some(0.0), "seed {seed}");
         // Every interval that ends while reports are delayed is sent again with what arrived for it afterwards.
         let delayed = 40..=60;
         let corrected = observer.intervals.iter().filter(|interval| {
@@ -241,10 +241,10 @@
             states.load_reports == SourceState::Partitioned || states.first_class == SourceState::Partitioned
         };
         assert!(!states.iter().any(is_cut), "{states:?}");
-        assert_eq!(observer.value(Metric::TriesTotal, 50), None);
-        assert_eq!(observer.value(Metric::ServiceAsked, 50), None);
-        assert!(observer.value(Metric::ZoneAge, 50).unwrap() > 45.0);
-        assert_eq!(observer.value(Metric::ProxiesJoined, 50), Some(3.0), "its proxies are connected");
+        assert_eq!(observer.value(Metric::Attempts, 50), None);
+        assert_eq!(observer.value(Metric::RequestsOffered, 50), None);
+        assert!(observer.value(Metric::LoadReportAge, 50).unwrap() > 45.0);
+        assert_eq!(observer.value(Metric::ProxiesConnected, 50), Some(3.0), "its proxies are connected");
     }
 }
 
@@ -255,9 +255,9 @@
     let appearance = |fault: &String| {
         let observer = observe(fault, 1);
         let states = observer.states(ZONE_INDEX, 55, 56)[0];
-        let is_delayed = observer.value(Metric::ZoneLag, 55).unwrap() > 1.5;
-        let has_requests = observer.value(Metric::ServiceAsked, 55).is_some();
-        let has_proxies = observer.value(Metric::ProxiesJoined, 55).unwrap() > 0.0;
+        let is_delayed = observer.value(Metric::LoadReportLag, 55).unwrap() > 1.5;
+        let has_requests = observer.value(Metric::RequestsOffered, 55).is_some();
+        let has_proxies = observer.value(Metric::ProxiesConnected, 55).unwrap() > 0.0;
         let names = [states.load_reports, states.collector, states.first_class].map(SourceState::name);
         (names, is_delayed, has_requests, has_proxies)
     };
@@ -296,7 +296,7 @@
         chart.configure_mesh().max_light_lines(0).x_labels(11).y_labels(4).draw().unwrap();
         for interval in &observer.intervals {
             let until_s = interval.ended_at.0 / MICROS_PER_S;
-            let Some(requests) = observer.value(Metric::ServiceAsked, until_s) else { continue };
+            let Some(requests) = observer.value(Metric::RequestsOffered, until_s) else { continue };
             let from_x = until_s as f64 - 4.8;
             let until_x = until_s as f64 - 0.2;
             let style = RGBColor(170, 195, 225).filled();
--- a/crates/wingfold-metrics/src/catalogue.rs
+++ b/crates/wingfold-metrics/src/catalogue.rs
@@ -1,5 +1,6 @@
-//! The catalogue of all exported metrics: name, unit, kind, labels and meaning. docs/figures.md has the same table; a test
-//! compares them. The names of the variants of [`Metric`] follow the exported names.
+//! The catalogue of all exported metrics: name, unit, kind, labels and meaning. docs/figures.md has the same
+//! table; a test compares them. The variants of [`Metric`] are named in the terms of the code, not after the
+//! exported names, which must not change.
 
 #[cfg(test)]
 mod tests;
@@ -37,7 +38,7 @@
     pub unit: &'static str,
     /// How the values relate to their interval.
     pub kind: MetricKind,
-    /// Names of the labels, in the order in which samples have their values.
+    /// The names of the labels. [`Sample::labels`](crate::Sample::labels) has their values in the same order.
     pub labels: &'static [&'static str],
     /// What the metric measures.
     pub description: &'static str,
@@ -63,57 +64,57 @@
 }
 
 metrics! {
-    DirectorStart = "director.start", "unix seconds", Gauge, [], "When this life of the director began: a change tells a restart.";
-    DirectorUp = "director.up", "seconds", Gauge, [], "How long it has been up; an interval longer than that is told in part.";
-    ServiceAsked = "service.asked", "requests", Counter, ["zone", "class"], "Requests that reached the zone's proxies, as they told.";
-    ServiceRefused = "service.refused", "requests", Counter, ["zone", "class"], "Requests turned away: asked times what the level in force left out.";
-    ServiceLetIn = "service.let_in", "requests", Counter, ["zone", "class"], "Requests let in: asked less refused.";
-    ServiceLost = "service.lost", "requests", Counter, ["zone", "class"], "Requests let in and not served.";
-    ServiceLate = "service.late", "requests", Counter, ["zone", "class"], "Requests of the above that were told late and are booked to an earlier interval where the receiver takes a past time.";
-    TriesTotal = "tries.total", "tries", Counter, ["zone"], "Tries at hosts, as the zone's sums told.";
-    TriesLost = "tries.lost", "tries", Counter, ["zone"], "Tries without a good answer.";
-    TriesLate = "tries.late", "tries", Counter, ["zone"], "Tries of the above that were told late.";
-    TriesMs = "tries.ms", "milliseconds", Distribution, ["zone"], "Mean times of good tries, of each sum, weighted by its tries.";
-    TableWritten = "table.written", "milliseconds", Distribution, [], "From an order of the module until its last byte was written to the proxy.";
-    TableApplied = "table.applied", "milliseconds", Distribution, [], "From an order to its effect, where the module asked for a mark.";
-    ChannelDepth = "channel.depth", "lines", Gauge, [], "Lines that wait in the channel, by its usual pace.";
-    ChannelMost = "channel.most", "lines", Gauge, [], "Most lines that waited in the interval.";
-    MessagesOrdered = "messages.ordered", "messages", Counter, [], "Messages ordered, each for one proxy.";
-    LinesOrdered = "lines.ordered", "lines", Counter, [], "Lines in them.";
+    DirectorStartTime = "director.start", "unix seconds", Gauge, [], "When this life of the director began: a change tells a restart.";
+    DirectorUptime = "director.up", "seconds", Gauge, [], "How long it has been up; an interval longer than that is told in part.";
+    RequestsOffered = "service.asked", "requests", Counter, ["zone", "class"], "Requests that reached the zone's proxies, as they told.";
+    RequestsRejected = "service.refused", "requests", Counter, ["zone", "class"], "Requests turned away: asked times what the level in force left out.";
+    RequestsAdmitted = "service.let_in", "requests", Counter, ["zone", "class"], "Requests let in: asked less refused.";
+    RequestsFailed = "service.lost", "requests", Counter, ["zone", "class"], "Requests let in and not served.";
+    RequestsReportedLate = "service.late", "requests", Counter, ["zone", "class"], "Requests of the above that were told late and are booked to an earlier interval where the receiver takes a past time.";
+    Attempts = "tries.total", "tries", Counter, ["zone"], "Tries at hosts, as the zone's sums told.";
+    AttemptsFailed = "tries.lost", "tries", Counter, ["zone"], "Tries without a good answer.";
+    AttemptsReportedLate = "tries.late", "tries", Counter, ["zone"], "Tries of the above that were told late.";
+    AttemptLatency = "tries.ms", "milliseconds", Distribution, ["zone"], "Mean times of good tries, of each sum, weighted by its tries.";
+    TableWriteDelay = "table.written", "milliseconds", Distribution, [], "From an order of the module until its last byte was written to the proxy.";
+    TableAcknowledgementDelay = "table.applied", "milliseconds", Distribution, [], "From an order to its effect, where the module asked for a mark.";
+    QueuedLines = "channel.depth", "lines", Gauge, [], "Lines that wait in the channel, by its usual pace.";
+    MaxQueuedLines = "channel.most", "lines", Gauge, [], "Most lines that waited in the interval.";
+    ProxyMessages = "messages.ordered", "messages", Counter, [], "Messages ordered, each for one proxy.";
+    ProxyMessageLines = "lines.ordered", "lines", Counter, [], "Lines in them.";
     ModuleCalls = "module.calls", "calls", Counter, [], "Calls of the decision module.";
     ModuleEvents = "module.events", "events", Counter, [], "Events it was told.";
-    ModuleTime = "module.time", "microseconds", Distribution, [], "Time of a call with its orders carried out.";
+    ModuleCallDuration = "module.time", "microseconds", Distribution, [], "Time of a call with its orders carried out.";
     HostsLeading = "hosts.leading", "hosts", Gauge, ["zone"], "Hosts at listed weight in the zone's tables.";
-    HostsHalved = "hosts.halved", "hosts", Gauge, ["zone"], "Laggards at half their weight.";
-    HostsQuartered = "hosts.quartered", "hosts", Gauge, ["zone"], "Laggards at a quarter or less.";
-    HostsOut = "hosts.out", "hosts", Gauge, ["zone"], "Hosts taken out of the zone's tables.";
-    HostsTrial = "hosts.trial", "hosts", Gauge, ["zone"], "Hosts on trial.";
-    HostsCold = "hosts.cold", "hosts", Gauge, ["zone"], "Hosts that may still be cold, whatever else they are.";
-    HostsDraining = "hosts.draining", "hosts", Gauge, ["zone"], "Hosts that drain or are gone and still known.";
-    Level = "level", "share or requests a second", Gauge, ["zone", "class"], "What of a class the zone's tables let in.";
-    Admitted = "admitted", "share", Gauge, [], "Share of all work that is let in.";
-    Load = "load", "share", Gauge, [], "Busy share of the fleet's cores, or what waits say of it.";
-    ProxiesJoined = "proxies.joined", "proxies", Gauge, ["zone"], "Proxies joined to this director.";
-    StreamsLeft = "streams.left", "streams", Counter, ["zone"], "Streams of proxies that ended.";
-    ListAge = "list.age", "seconds", Gauge, [], "Since discovery last told anything, or answered that nothing changed.";
-    ListFailures = "list.failures", "calls", Counter, [], "Calls to discovery that failed.";
-    PeersIn = "peers.in", "datagrams", Counter, [], "Words of other directors heard.";
-    PeersOut = "peers.out", "datagrams", Counter, [], "Words sent to other directors.";
-    Invalid = "messages.invalid", "messages", Counter, ["reason"], "Messages dropped because something in them was wrong.";
+    HostsWeightHalved = "hosts.halved", "hosts", Gauge, ["zone"], "Laggards at half their weight.";
+    HostsWeightQuartered = "hosts.quartered", "hosts", Gauge, ["zone"], "Laggards at a quarter or less.";
+    HostsEjected = "hosts.out", "hosts", Gauge, ["zone"], "Hosts taken out of the zone's tables.";
+    HostsInProbation = "hosts.trial", "hosts", Gauge, ["zone"], "Hosts on trial.";
+    HostsWarmingUp = "hosts.cold", "hosts", Gauge, ["zone"], "Hosts that may still be cold, whatever else they are.";
+    HostsNotReady = "hosts.draining", "hosts", Gauge, ["zone"], "Hosts that drain or are gone and still known.";
+    AdmissionLevel = "level", "share or requests a second", Gauge, ["zone", "class"], "What of a class the zone's tables let in.";
+    AdmissionRatio = "admitted", "share", Gauge, [], "Share of all work that is let in.";
+    Utilization = "load", "share", Gauge, [], "Busy share of the fleet's cores, or what waits say of it.";
+    ProxiesConnected = "proxies.joined", "proxies", Gauge, ["zone"], "Proxies joined to this director.";
+    ProxiesDisconnected = "streams.left", "streams", Counter, ["zone"], "Streams of proxies that ended.";
+    EndpointListAge = "list.age", "seconds", Gauge, [], "Since discovery last told anything, or answered that nothing changed.";
+    EndpointListFailures = "list.failures", "calls", Counter, [], "Calls to discovery that failed.";
+    PeerDatagramsReceived = "peers.in", "datagrams", Counter, [], "Words of other directors heard.";
+    PeerDatagramsSent = "peers.out", "datagrams", Counter, [], "Words sent to other directors.";
+    InvalidMessages = "messages.invalid", "messages", Counter, ["reason"], "Messages dropped because something in them was wrong.";
     ReportsDropped = "reports.dropped", "messages", Counter, [], "Sums and usage dropped because the director lagged behind.";
-    ZoneAge = "news.zone.age", "seconds", Gauge, ["zone"], "Since the zone's sums were last heard.";
-    ZoneState = "news.zone.state", "0 heard, 1 quiet, 2 silent, 3 cut", Gauge, ["zone"], "What the zone's silence means.";
-    ZoneLag = "news.zone.lag", "seconds", Gauge, ["zone"], "How far behind their usual time the zone's sums are.";
-    ClassAge = "news.class.age", "seconds", Gauge, ["zone", "class"], "Since usage of the class was last told in the zone.";
-    ClassState = "news.class.state", "0 heard, 1 quiet, 2 silent, 3 cut", Gauge, ["zone", "class"], "What the class's silence means.";
+    LoadReportAge = "news.zone.age", "seconds", Gauge, ["zone"], "Since the zone's sums were last heard.";
+    LoadReportState = "news.zone.state", "0 heard, 1 quiet, 2 silent, 3 cut", Gauge, ["zone"], "What the zone's silence means.";
+    LoadReportLag = "news.zone.lag", "seconds", Gauge, ["zone"], "How far behind their usual time the zone's sums are.";
+    UsageReportAge = "news.class.age", "seconds", Gauge, ["zone", "class"], "Since usage of the class was last told in the zone.";
+    UsageReportState = "news.class.state", "0 heard, 1 quiet, 2 silent, 3 cut", Gauge, ["zone", "class"], "What the class's silence means.";
     CollectorAge = "news.collector.age", "seconds", Gauge, ["zone"], "Since the zone's collector last said anything.";
     CollectorState = "news.collector.state", "0 heard, 1 quiet, 2 silent, 3 cut", Gauge, ["zone"], "What the collector's silence means.";
-    SinkDropped = "sink.dropped", "intervals", Counter, ["receiver", "reason"], "Intervals dropped whole for a receiver.";
-    SinkWaiting = "sink.waiting", "bytes", Gauge, ["receiver"], "Bytes that wait for a receiver.";
-    SinkSent = "sink.sent", "bytes", Counter, ["receiver"], "Bytes that a receiver took.";
-    SinkCuts = "sink.cuts", "connections", Counter, ["receiver"], "Connections to a receiver that failed or were given up on.";
-    CaptureLost = "capture.lost", "calls", Counter, [], "Calls that the capture did not record.";
-    Invariants = "invariants.broken", "times", Counter, [], "Times that something did not hold that must.";
+    SinkIntervalsDropped = "sink.dropped", "intervals", Counter, ["receiver", "reason"], "Intervals dropped whole for a receiver.";
+    SinkQueuedBytes = "sink.waiting", "bytes", Gauge, ["receiver"], "Bytes that wait for a receiver.";
+    SinkBytesSent = "sink.sent", "bytes", Counter, ["receiver"], "Bytes that a receiver took.";
+    SinkFailedConnections = "sink.cuts", "connections", Counter, ["receiver"], "Connections to a receiver that failed or were given up on.";
+    CaptureCallsLost = "capture.lost", "calls", Counter, [], "Calls that the capture did not record.";
+    InvariantViolations = "invariants.broken", "times", Counter, [], "Times that something did not hold that must.";
 }
 
 impl Metric {
--- a/crates/wingfold-metrics/src/collectd.rs
+++ b/crates/wingfold-metrics/src/collectd.rs
@@ -1,6 +1,6 @@
-//! collectd's binary network protocol in both directions, after its public description ("Binary protocol" of collectd's
-//! wiki): parts of a type, a length and contents; values with the type of each; times in 2^-30 seconds; packets signed with
-//! HMAC-SHA-256 or encrypted with AES-256 in OFB mode.
+//! collectd's binary network protocol in both directions, after its public description ("Binary protocol" of
+//! collectd's wiki): parts of a type, a length and contents; values with the type of each; times in 2^-30
+//! seconds; packets signed with HMAC-SHA-256 or encrypted with AES-256 in OFB mode.
 
 mod decode;
 mod encode;
--- a/crates/wingfold-metrics/src/collectd/load_receiver.rs
+++ b/crates/wingfold-metrics/src/collectd/load_receiver.rs
@@ -65,8 +65,8 @@
 }
 
 impl LoadReceiver {
-    /// A receiver for machines that are mapped to hosts by `hosts`. With `requires_security`, packets must be signed or
-    /// encrypted by one of the users.
+    /// A receiver for machines that are mapped to hosts by `hosts`. With `requires_security`, packets must be
+    /// signed or encrypted by one of the users.
     pub fn new(users: Users, requires_security: bool, hosts: BTreeMap<String, MappedHost>) -> Self {
         LoadReceiver {
             users,
--- a/crates/wingfold-metrics/src/collectd/tests.rs
+++ b/crates/wingfold-metrics/src/collectd/tests.rs
@@ -102,12 +102,12 @@
     for zone in 0..6 {
         for class in 0..3 {
             let value = Value::Count((zone * 10 + class) as u64);
-            samples.push(Sample { metric: Metric::ServiceAsked, labels: labels(zone, class), value });
+            samples.push(Sample { metric: Metric::RequestsOffered, labels: labels(zone, class), value });
         }
     }
-    samples.push(Sample { metric: Metric::Load, labels: vec![], value: Value::Gauge(f64::INFINITY) });
+    samples.push(Sample { metric: Metric::Utilization, labels: vec![], value: Value::Gauge(f64::INFINITY) });
     samples.push(Sample {
-        metric: Metric::TableWritten,
+        metric: Metric::TableWriteDelay,
         labels: vec![],
         value: Value::Distribution(Distribution { count: 9, p50: 1.0, p90: 2.0, p99: 3.0, max: 4.0 }),
     });
--- a/crates/wingfold-metrics/src/collectd/users.rs
+++ b/crates/wingfold-metrics/src/collectd/users.rs
@@ -22,7 +22,8 @@
 }
 
 impl Users {
-    /// Parses the text of a file with lines `user: key`. Empty lines and those that begin with `#` are ignored.
+    /// Parses the text of a file with lines `user: key`. Empty lines and those that begin with `#` are
+    /// ignored.
     pub fn parse(text: &str) -> Result<Users, InvalidUserLine> {
         let mut users = BTreeMap::new();
         for (index, line) in text.lines().enumerate() {
--- a/crates/wingfold-metrics/src/graphite.rs
+++ b/crates/wingfold-metrics/src/graphite.rs
@@ -1,6 +1,7 @@
-//! Encodings of Graphite: plain text lines, and pickled lists with a length prefix. After the public description of carbon's
-//! protocols ("Feeding In Your Data" of Graphite's documentation): `path value time\n` with tags as `;name=value` after the
-//! path, or a big-endian length of four bytes and a pickled list of `(path, (time, value))`.
+//! Encodings of Graphite: plain text lines, and pickled lists with a length prefix. After the public
+//! description of carbon's protocols ("Feeding In Your Data" of Graphite's documentation): `path value
+//! time\n` with tags as `;name=value` after the path, or a big-endian length of four bytes and a pickled list
+//! of `(path, (time, value))`.
 
 #[cfg(test)]
 mod tests;
@@ -67,7 +68,8 @@
         path
     }
 
-    /// All points of an interval, the corrections of earlier ones first. Values that are not finite are left out.
+    /// All points of an interval, the corrections of earlier ones first. Values that are not finite are left
+    /// out.
     pub fn points(&self, interval: &Interval) -> Vec<Point> {
         let mut points = Vec::new();
         for correction in &interval.corrections {
--- a/crates/wingfold-metrics/src/graphite/tests.rs
+++ b/crates/wingfold-metrics/src/graphite/tests.rs
@@ -12,18 +12,18 @@
         ended_at: Timestamp(1_796_083_200_000_000),
         length: wingfold_director::interface::Micros(10_000_000),
         samples: vec![
-            one(Metric::ServiceAsked, &[zone, "verdict"], Value::Count(120)),
-            one(Metric::Admitted, &[], Value::Gauge(0.95)),
-            one(Metric::Load, &[], Value::Gauge(f64::NAN)),
+            one(Metric::RequestsOffered, &[zone, "verdict"], Value::Count(120)),
+            one(Metric::AdmissionRatio, &[], Value::Gauge(0.95)),
+            one(Metric::Utilization, &[], Value::Gauge(f64::NAN)),
             one(
-                Metric::TableWritten,
+                Metric::TableWriteDelay,
                 &[],
                 Value::Distribution(Distribution { count: 7, p50: 0.4, p90: 0.9, p99: 2.0, max: 3.5 }),
             ),
         ],
         corrections: vec![Correction {
             ended_at: Timestamp(1_796_083_190_000_000),
-            samples: vec![one(Metric::ServiceAsked, &[zone, "verdict"], Value::Count(99))],
+            samples: vec![one(Metric::RequestsOffered, &[zone, "verdict"], Value::Count(99))],
         }],
     }
 }
--- a/crates/wingfold-metrics/src/hash_ring.rs
+++ b/crates/wingfold-metrics/src/hash_ring.rs
@@ -1,5 +1,6 @@
-//! Assigns metric names to sinks by consistent hashing, with failover: the names of a failed sink go to the next sinks on
-//! the ring, and return once the sink has been healthy for a while.
+//! Assigns metric names to sinks by consistent hashing, with failover: the names of a failed sink are
+//! assigned to the next sinks on the ring, and are assigned to the sink again once it has been healthy for
+//! the settle time.
 
 #[cfg(test)]
 mod tests;
@@ -7,7 +8,7 @@
 use wingfold_director::interface::{Micros, Timestamp};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Points of each sink on the ring.
+/// The number of points of each sink on the ring.
 const POINTS_PER_SINK: u32 = 160;
 
 /// A sink's point on the ring.
@@ -17,17 +18,17 @@
     sink: usize,
 }
 
-/// A ring of sinks, which are known by their position.
+/// A ring of sinks, which are identified by their index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HashRing {
     points: Vec<RingPoint>,
-    /// Whether each sink has failed and not yet been healthy for `settle_time`.
+    /// By sink: whether the sink has failed and has not yet been healthy for `settle_time` since then.
     excluded: Vec<bool>,
     settle_time: Micros,
 }
 
 impl HashRing {
-    /// A ring of sinks of these names. The assignment does not depend on the order of the names.
+    /// A ring of sinks with these names. The assignment does not depend on the order of the names.
     pub fn new(names: &[String], settle_time: Micros) -> Self {
         let mut points = Vec::new();
         for (sink, name) in names.iter().enumerate() {
@@ -40,7 +41,7 @@
         HashRing { points, excluded: vec![false; names.len()], settle_time }
     }
 
-    /// Records the health of a sink: whether it is down, and since when it has been healthy.
+    /// Records the health of a sink: whether the sink is down, and since when it has been healthy.
     pub fn update_health(
         &mut self,
         now: Timestamp,
@@ -64,7 +65,8 @@
         !self.excluded[sink]
     }
 
-    /// The sink of a name. If all have failed, it is the one that the name is assigned to when none has.
+    /// The sink to which a metric name is assigned. If all sinks are excluded, the assignment is the same as
+    /// if none were.
     pub fn sink_for(&self, name: &str) -> usize {
         let hash = xxh3_64(name.as_bytes());
         let start = self.points.partition_point(|point| point.hash < hash);
--- a/crates/wingfold-metrics/src/interval.rs
+++ b/crates/wingfold-metrics/src/interval.rs
@@ -1,4 +1,4 @@
-//! The values of one interval, as sinks receive them.
+//! The values of one interval, as they are passed to sinks.
 
 use crate::catalogue::{Metric, MetricKind};
 use hdrhistogram::Histogram;
@@ -8,18 +8,19 @@
 /// The value of a metric in an interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Value {
-    /// Of a counter: events in the interval.
+    /// The value of a counter: the number of events in the interval.
     Count(u64),
-    /// Of a gauge: the value at the end of the interval.
+    /// The value of a gauge at the end of the interval.
     Gauge(f64),
-    /// Of a distribution.
+    /// The summary of a distribution.
     Distribution(Distribution),
 }
 
-/// Count and quantiles of the values recorded in an interval, in the unit of their metric.
+/// The count, the quantiles and the maximum of the values that were recorded in an interval, in the unit of
+/// the metric.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Distribution {
-    /// How many values were recorded.
+    /// The number of recorded values.
     pub count: u64,
     /// The median.
     pub p50: f64,
@@ -32,8 +33,8 @@
 }
 
 impl Distribution {
-    /// Summarizes a histogram whose recorded values are fractions of the metric's unit, `values_per_unit` to one unit.
-    /// `None` if the histogram is empty.
+    /// Summarizes a histogram. One unit of the metric is `values_per_unit` in the histogram. Returns `None`
+    /// if the histogram is empty.
     pub fn from_histogram(histogram: &Histogram<u64>, values_per_unit: f64) -> Option<Distribution> {
         if histogram.is_empty() {
             return None;
@@ -59,7 +60,7 @@
 pub struct Sample {
     /// The metric.
     pub metric: Metric,
-    /// Values of the metric's labels, in the order of the catalogue, not yet encoded.
+    /// The values of the metric's labels, in the order of the catalogue, before they are encoded.
     pub labels: Vec<Arc<str>>,
     /// The value.
     pub value: Value,
@@ -75,7 +76,7 @@
 /// All samples of one interval.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Interval {
-    /// Counts the intervals of this incarnation of the director, from 1.
+    /// The number of the interval, counted from 1 since the director started.
     pub number: u64,
     /// The end of the interval, in microseconds of the Unix epoch.
     pub ended_at: Timestamp,
@@ -83,15 +84,16 @@
     pub length: Micros,
     /// The samples of this interval.
     pub samples: Vec<Sample>,
-    /// Counters of earlier intervals that late reports have changed, for sinks that accept a past time.
+    /// Corrected counters of earlier intervals, to which late reports were added, for sinks that accept a
+    /// past time.
     pub corrections: Vec<Correction>,
 }
 
-/// Counters of an earlier interval, with the late reports that belong to it.
+/// Counters of an earlier interval, including the late reports that belong to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Correction {
     /// The end of the earlier interval.
     pub ended_at: Timestamp,
-    /// Its changed counters, complete.
+    /// The corrected counters. Each has the complete value for the earlier interval, not the increase.
     pub samples: Vec<Sample>,
 }
--- a/crates/wingfold-metrics/src/label_encoding.rs
+++ b/crates/wingfold-metrics/src/label_encoding.rs
@@ -1,20 +1,21 @@
-//! Encodes label values, which come from outside (zones, classes, hosts), so that distinct labels stay distinct and none can
-//! end a part of a name or a line.
+//! Encodes label values, which come from outside (zones, classes, hosts), so that distinct labels have
+//! distinct encodings and no label contains a separator of metric names or of lines.
 
 #[cfg(test)]
 mod tests;
 
 use xxhash_rust::xxh3::xxh3_128;
 
-/// The longest encoded label, in bytes: collectd accepts names of 127 bytes, of which other parts need some.
+/// The longest encoded label, in bytes. collectd accepts names of at most 127 bytes, which may have other
+/// parts besides a label.
 const MAX_ENCODED_BYTES: usize = 100;
-/// Bytes of the suffix of a truncated label: `_x` and a hash of 128 bits in hexadecimal digits.
+/// Bytes of the suffix of a truncated label: `_x` and a hash of 128 bits in 32 hexadecimal digits.
 const HASH_SUFFIX_BYTES: usize = 34;
 const HEX_DIGITS: &[u8; 16] = b"0123456789abcdef";
 
-/// Encodes a label: ASCII letters, digits and hyphens stay, any other byte becomes `_` and two hexadecimal digits, and the
-/// empty label becomes `_`. A label that would be too long is truncated and ends in `_x` and a hash of the whole label; it
-/// cannot be decoded.
+/// Encodes a label: ASCII letters, digits and hyphens stay, any other byte becomes `_` and two hexadecimal
+/// digits, and the empty label becomes `_`. A label whose encoding is too long is truncated and ends in `_x`
+/// and a hash of the complete label; it cannot be decoded.
 pub fn encode(label: &str) -> String {
     let mut encoded = String::with_capacity(label.len());
     for byte in label.bytes() {
@@ -37,7 +38,7 @@
     encoded
 }
 
-/// Decodes a label; `None` if [`encode`] writes no label like this, or truncated it.
+/// Decodes a label. Returns `None` if the text is not an output of [`encode`], or if the label was truncated.
 pub fn decode(encoded: &str) -> Option<String> {
     if encoded == "_" {
         return Some(String::new());
@@ -56,7 +57,7 @@
         }
     }
     let label = String::from_utf8(bytes).ok()?;
-    // Other ways to write the same label are not accepted.
+    // Only the encoding that `encode` writes for a label is accepted.
     (!label.is_empty() && encode(&label) == encoded).then_some(label)
 }
 
--- a/crates/wingfold-metrics/src/label_encoding/tests.rs
+++ b/crates/wingfold-metrics/src/label_encoding/tests.rs
@@ -1,23 +1,23 @@
-//! Encoded labels are distinct and can be decoded.
+//! Distinct labels have distinct encodings, which can be decoded unless they were truncated.
 
 use super::*;
 use proptest::prelude::*;
 
 #[test]
-fn strange_letters_stay_inside_their_part() {
+fn special_characters_are_escaped_and_invalid_text_is_rejected() {
     assert_eq!(encode("south-gyle"), "south-gyle");
     assert_eq!(encode("a.b c\n1 2"), "a_2eb_20c_0a1_202");
     assert_eq!(encode("a_2eb"), "a_5f2eb");
     assert_eq!(encode(""), "_");
     assert_eq!(decode("a_5f2eb").as_deref(), Some("a_2eb"));
-    for wrong in ["", "a.b", "_2", "_zz", "_61", "a_2E", "_ff"] {
-        assert_eq!(decode(wrong), None, "{wrong}");
+    for invalid in ["", "a.b", "_2", "_zz", "_61", "a_2E", "_ff"] {
+        assert_eq!(decode(invalid), None, "{invalid}");
     }
 }
 
 proptest! {
     #[test]
-    fn every_label_is_read_back_and_none_meets_another(one in ".{0,30}", other in ".{0,30}") {
+    fn labels_are_decoded_unchanged_and_have_distinct_encodings(one in ".{0,30}", other in ".{0,30}") {
         let encoded = encode(&one);
         prop_assert!(encoded.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_'));
         prop_assert!(encoded.len() <= MAX_ENCODED_BYTES);
@@ -28,8 +28,8 @@
     }
 
     #[test]
-    fn long_labels_are_cut_and_stay_apart(label in "[a-z. é]{90,400}", more in "[a-z]{1,3}") {
-        let (one, other) = (encode(&label), encode(&format!("{label}{more}")));
+    fn long_labels_are_truncated_and_stay_distinct(label in "[a-z. é]{90,400}", suffix in "[a-z]{1,3}") {
+        let (one, other) = (encode(&label), encode(&format!("{label}{suffix}")));
         prop_assert!(one.len() <= MAX_ENCODED_BYTES && other.len() <= MAX_ENCODED_BYTES);
         prop_assert_ne!(one, other);
     }
--- a/crates/wingfold-metrics/src/lib.rs
+++ b/crates/wingfold-metrics/src/lib.rs
@@ -1,6 +1,6 @@
-//! Metrics of a wingfold director: the catalogue, the values of each interval, the monitoring of their sources, the queue
-//! and the connection of each sink, and the encodings of Graphite and collectd. This crate does no I/O and reads no clock;
-//! its callers pass the time in (docs/figures-design.md).
+//! Metrics of a wingfold director: the catalogue, the values of each interval, monitoring of the sources of
+//! reports, the queue and the connection state of each sink, and the encodings of Graphite and collectd. This
+//! crate does no I/O and reads no clock; callers pass the time in (docs/figures-design.md).
 #![forbid(unsafe_code)]
 
 pub mod catalogue;
--- a/crates/wingfold-metrics/src/meter.rs
+++ b/crates/wingfold-metrics/src/meter.rs
@@ -1,5 +1,5 @@
-//! Counts the events and the actions of the decision module and turns them into intervals. An interval ends at a whole
-//! multiple of its length; its cost grows with zones times hosts and classes, not with traffic.
+//! Counts the events and the actions of the decision module and turns them into intervals. An interval ends
+//! at a whole multiple of its length; its cost grows with zones times hosts and classes, not with traffic.
 
 mod counts;
 mod export;
--- a/crates/wingfold-metrics/src/meter/export.rs
+++ b/crates/wingfold-metrics/src/meter/export.rs
@@ -1,4 +1,5 @@
-//! Turns the counts of an interval into samples. The order of the samples is the order in which they are sent.
+//! Turns the counts of an interval into samples. The order of the samples is the order in which they are
+//! sent.
 
 use super::counts::{IntervalCounts, ServiceCounts, ServiceKey};
 use super::samples::SampleList;
@@ -19,8 +20,8 @@
 const DURATIONS_PER_US: f64 = 1.0;
 
 impl Meter {
-    /// Ends the present interval if its time has come. Intervals that passed without a call in between are skipped: nothing
-    /// is known of them.
+    /// Ends the present interval if its time has come. Intervals that passed without a call in between are
+    /// skipped: nothing is known of them.
     pub fn end_interval(
         &mut self,
         now: Timestamp,
@@ -65,30 +66,30 @@
 
     fn export_gauges(&mut self, now: Timestamp, director: &Director, samples: &mut SampleList) {
         let fleet = director.fleet_view();
-        samples.push_gauge(Metric::DirectorStart, &[], self.started_at.secs());
-        samples.push_gauge(Metric::DirectorUp, &[], now.since(self.started_at));
-        samples.push_gauge(Metric::Admitted, &[], fleet.admission_ratio);
-        samples.push_gauge(Metric::Load, &[], fleet.utilization);
-        samples.push_gauge(Metric::ChannelDepth, &[], self.queued_lines);
-        samples.push_gauge(Metric::ChannelMost, &[], std::mem::take(&mut self.max_queued_lines));
-        samples.push_gauge(Metric::ListAge, &[], now.since(self.last_list_response_at));
+        samples.push_gauge(Metric::DirectorStartTime, &[], self.started_at.secs());
+        samples.push_gauge(Metric::DirectorUptime, &[], now.since(self.started_at));
+        samples.push_gauge(Metric::AdmissionRatio, &[], fleet.admission_ratio);
+        samples.push_gauge(Metric::Utilization, &[], fleet.utilization);
+        samples.push_gauge(Metric::QueuedLines, &[], self.queued_lines);
+        samples.push_gauge(Metric::MaxQueuedLines, &[], std::mem::take(&mut self.max_queued_lines));
+        samples.push_gauge(Metric::EndpointListAge, &[], now.since(self.last_list_response_at));
     }
 
     fn export_counters(&mut self, samples: &mut SampleList) {
-        samples.push_count(Metric::MessagesOrdered, &[], std::mem::take(&mut self.module.messages));
-        samples.push_count(Metric::LinesOrdered, &[], std::mem::take(&mut self.module.lines));
+        samples.push_count(Metric::ProxyMessages, &[], std::mem::take(&mut self.module.messages));
+        samples.push_count(Metric::ProxyMessageLines, &[], std::mem::take(&mut self.module.lines));
         samples.push_count(Metric::ModuleCalls, &[], std::mem::take(&mut self.module.calls));
         samples.push_count(Metric::ModuleEvents, &[], std::mem::take(&mut self.module.events));
-        samples.push_count(Metric::ListFailures, &[], std::mem::take(&mut self.failed_list_polls));
+        samples.push_count(Metric::EndpointListFailures, &[], std::mem::take(&mut self.failed_list_polls));
     }
 
     fn export_distributions(&mut self, external: ExternalValues<'_>, samples: &mut SampleList) {
         let durations = Distribution::from_histogram(&self.module.duration_us, DURATIONS_PER_US);
         let acknowledgements = Distribution::from_histogram(&self.acknowledgement_delays, DELAYS_PER_MS);
         let writes = Distribution::from_histogram(external.write_delays, DELAYS_PER_MS);
-        samples.push_distribution(Metric::ModuleTime, &[], durations);
-        samples.push_distribution(Metric::TableApplied, &[], acknowledgements);
-        samples.push_distribution(Metric::TableWritten, &[], writes);
+        samples.push_distribution(Metric::ModuleCallDuration, &[], durations);
+        samples.push_distribution(Metric::TableAcknowledgementDelay, &[], acknowledgements);
+        samples.push_distribution(Metric::TableWriteDelay, &[], writes);
         self.module.duration_us.reset();
         self.acknowledgement_delays.reset();
     }
@@ -98,7 +99,7 @@
         export_hosts(zone, director, samples);
         export_sources(zone, now, samples);
         let latencies = Distribution::from_histogram(&zone.attempt_latencies, DELAYS_PER_MS);
-        samples.push_distribution(Metric::TriesMs, &[&zone.name.0], latencies);
+        samples.push_distribution(Metric::AttemptLatency, &[&zone.name.0], latencies);
         zone.attempt_latencies.reset();
         self.export_attempts(index, samples);
         for class in 0..self.classes.len() {
@@ -114,9 +115,9 @@
             zone.load_reports.has_reported() && zone.load_reports.state() == SourceState::Reporting;
         if attempts.total + attempts.late > 0 || is_reporting {
             let label = &zone.name.0;
-            samples.push_count(Metric::TriesTotal, &[label], attempts.total);
-            samples.push_count(Metric::TriesLost, &[label], attempts.failed);
-            samples.push_count(Metric::TriesLate, &[label], attempts.late);
+            samples.push_count(Metric::Attempts, &[label], attempts.total);
+            samples.push_count(Metric::AttemptsFailed, &[label], attempts.failed);
+            samples.push_count(Metric::AttemptsReportedLate, &[label], attempts.late);
         }
     }
 
@@ -124,9 +125,9 @@
         let zone = &self.zones[zone_index];
         let usage = &zone.class_usage[class];
         let labels = [&zone.name.0, &self.classes[class]];
-        samples.push_gauge(Metric::ClassAge, &labels, usage.age_s(now));
-        samples.push_gauge(Metric::ClassState, &labels, usage.state().number());
-        samples.push_gauge(Metric::Level, &labels, zone.admission_levels[class]);
+        samples.push_gauge(Metric::UsageReportAge, &labels, usage.age_s(now));
+        samples.push_gauge(Metric::UsageReportState, &labels, usage.state().number());
+        samples.push_gauge(Metric::AdmissionLevel, &labels, zone.admission_levels[class]);
         let key = ServiceKey { zone: zone_index, class };
         let service = self.current.services.get(&key).copied().unwrap_or_default();
         let is_reporting = usage.has_reported() && usage.state() == SourceState::Reporting;
@@ -134,7 +135,7 @@
         let zone_has_usage = zone.last_usage_at.is_some_and(|at| now.since(at) < self.interval_length.secs());
         if service != ServiceCounts::default() || is_reporting || zone_has_usage {
             export_service(&service, labels, samples);
-            samples.push_count(Metric::ServiceLate, &labels, service.late);
+            samples.push_count(Metric::RequestsReportedLate, &labels, service.late);
         }
     }
 
@@ -156,8 +157,8 @@
             let mut samples = SampleList::default();
             for (zone, attempts) in &counts.attempts {
                 let label = &self.zones[*zone].name.0;
-                samples.push_count(Metric::TriesTotal, &[label], attempts.total);
-                samples.push_count(Metric::TriesLost, &[label], attempts.failed);
+                samples.push_count(Metric::Attempts, &[label], attempts.total);
+                samples.push_count(Metric::AttemptsFailed, &[label], attempts.failed);
             }
             for (key, service) in &counts.services {
                 let labels = [&self.zones[key.zone].name.0, &self.classes[key.class]];
@@ -174,22 +175,22 @@
     let hosts = director.host_counts(&zone.name);
     let mut push = |metric, count: usize| samples.push_gauge(metric, &[&zone.name.0], count as f64);
     push(Metric::HostsLeading, hosts.leading);
-    push(Metric::HostsHalved, hosts.weight_halved);
-    push(Metric::HostsQuartered, hosts.weight_quartered);
-    push(Metric::HostsOut, hosts.ejected);
-    push(Metric::HostsTrial, hosts.in_probation);
-    push(Metric::HostsCold, hosts.warming_up);
-    push(Metric::HostsDraining, hosts.not_ready);
-    push(Metric::ProxiesJoined, zone.connected_proxies.len());
+    push(Metric::HostsWeightHalved, hosts.weight_halved);
+    push(Metric::HostsWeightQuartered, hosts.weight_quartered);
+    push(Metric::HostsEjected, hosts.ejected);
+    push(Metric::HostsInProbation, hosts.in_probation);
+    push(Metric::HostsWarmingUp, hosts.warming_up);
+    push(Metric::HostsNotReady, hosts.not_ready);
+    push(Metric::ProxiesConnected, zone.connected_proxies.len());
 }
 
 /// Adds the zone's disconnections and the states of its sources.
 fn export_sources(zone: &mut ZoneMeter, now: Timestamp, samples: &mut SampleList) {
     let label = &zone.name.0;
-    samples.push_count(Metric::StreamsLeft, &[label], std::mem::take(&mut zone.disconnections));
-    samples.push_gauge(Metric::ZoneAge, &[label], zone.load_reports.age_s(now));
-    samples.push_gauge(Metric::ZoneState, &[label], zone.load_reports.state().number());
-    samples.push_gauge(Metric::ZoneLag, &[label], zone.lag.secs());
+    samples.push_count(Metric::ProxiesDisconnected, &[label], std::mem::take(&mut zone.disconnections));
+    samples.push_gauge(Metric::LoadReportAge, &[label], zone.load_reports.age_s(now));
+    samples.push_gauge(Metric::LoadReportState, &[label], zone.load_reports.state().number());
+    samples.push_gauge(Metric::LoadReportLag, &[label], zone.lag.secs());
     samples.push_gauge(Metric::CollectorAge, &[label], zone.collector.age_s(now));
     samples.push_gauge(Metric::CollectorState, &[label], zone.collector.state().number());
 }
@@ -197,10 +198,10 @@
 /// Adds the counters of a class in a zone that late reports may correct.
 fn export_service(service: &ServiceCounts, labels: [&Arc<str>; 2], samples: &mut SampleList) {
     let rejected = (service.rejected.round() as u64).min(service.offered);
-    samples.push_count(Metric::ServiceAsked, &labels, service.offered);
-    samples.push_count(Metric::ServiceRefused, &labels, rejected);
-    samples.push_count(Metric::ServiceLetIn, &labels, service.offered - rejected);
-    samples.push_count(Metric::ServiceLost, &labels, service.failed);
+    samples.push_count(Metric::RequestsOffered, &labels, service.offered);
+    samples.push_count(Metric::RequestsRejected, &labels, rejected);
+    samples.push_count(Metric::RequestsAdmitted, &labels, service.offered - rejected);
+    samples.push_count(Metric::RequestsFailed, &labels, service.failed);
 }
 
 fn export_external_gauges(gauges: &[ExternalValue], samples: &mut SampleList) {
--- a/crates/wingfold-metrics/src/sink.rs
+++ b/crates/wingfold-metrics/src/sink.rs
@@ -1,6 +1,6 @@
-//! The queue and the connection of one sink, as a state machine without I/O. Complete intervals wait within a bound of
-//! bytes, and the oldest are dropped first; an interval that was partly written when a connection ended is written again
-//! from its beginning.
+//! The queue and the connection of one sink, as a state machine without I/O. The queue holds complete
+//! intervals up to a limit in bytes; beyond it, the oldest intervals are dropped first. If a connection ends
+//! while an interval is being written, the interval is written again from its beginning.
 
 #[cfg(test)]
 mod tests;
@@ -12,16 +12,17 @@
 use std::sync::Arc;
 use wingfold_director::interface::{Micros, Timestamp};
 
-/// Queue bound, timeouts and backoff of a sink.
+/// The queue limit, the timeouts and the backoff of a sink.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SinkLimits {
-    /// Bytes that may be queued.
+    /// The largest number of bytes in the queue.
     pub max_queued_bytes: usize,
-    /// Time to connect, with the lookup of the sink's name.
+    /// The time limit for connecting, including the lookup of the sink's host name.
     pub connect_timeout: Micros,
-    /// Time to write one interval.
+    /// The time limit for writing one interval.
     pub write_timeout: Micros,
-    /// Backoff after the first failure; it doubles with each further one. A quarter of it is jitter.
+    /// The backoff after the first failure. It doubles with each consecutive failure. A quarter of it is
+    /// jitter.
     pub initial_backoff: Micros,
     /// The longest backoff.
     pub max_backoff: Micros,
@@ -39,15 +40,15 @@
     }
 }
 
-/// The backoff is doubled at most this often.
+/// The largest number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
 /// Why an interval did not reach a sink.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// The queue was full, and the interval the oldest.
+    /// The queue was full, and the interval was the oldest.
     QueueFull,
-    /// The interval is larger than the queue.
+    /// The interval is larger than the queue limit.
     TooLarge,
     /// The sink was removed from the settings.
     SinkRemoved,
@@ -66,22 +67,22 @@
     }
 }
 
-/// What has happened to a sink.
+/// An event that the caller reports to a sink.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SinkEvent {
-    /// An interval has been rendered into these bytes.
+    /// An interval has ended and was encoded as these bytes.
     Interval(Arc<[u8]>),
     /// The requested connection is established.
     Connected,
     /// The connection could not be established, or has ended.
     Disconnected,
-    /// This many of the bytes to write have been written.
+    /// This many further bytes of the interval have been written.
     Written(usize),
-    /// Time has passed.
+    /// Time has passed, perhaps a deadline.
     Tick,
 }
 
-/// What the sink's caller is to do.
+/// An action that the caller must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SinkAction {
     /// Establish a connection.
@@ -90,7 +91,7 @@
     Write {
         /// All bytes of the interval.
         bytes: Arc<[u8]>,
-        /// How many of them are to be skipped.
+        /// The number of bytes to skip at the beginning.
         offset: usize,
     },
     /// Close the connection, or stop connecting.
@@ -131,7 +132,7 @@
     pub written_bytes: u64,
     /// Intervals written completely.
     pub intervals: u64,
-    /// Connections that failed, ended or timed out.
+    /// Connections that could not be established, ended or timed out.
     pub failed_connections: u64,
 }
 
@@ -154,18 +155,18 @@
     /// Rendered intervals, the oldest first.
     queue: VecDeque<Arc<[u8]>>,
     queued_bytes: usize,
-    /// Bytes of the oldest interval that were written on this connection.
+    /// The number of bytes of the oldest interval that were written on this connection.
     written_bytes: usize,
     consecutive_failures: u32,
     jitter: ChaCha8Rng,
-    /// Counters since the start.
+    /// Counters since the sink was created.
     pub counts: DeliveryCounts,
-    /// When it took the first complete interval after its last failure.
+    /// When the first complete interval after the last failure was written.
     healthy_since: Option<Timestamp>,
 }
 
 impl Sink {
-    /// A sink without a connection; `seed` determines its jitter.
+    /// A sink without a connection. `seed` determines the jitter of its backoff.
     pub fn new(limits: SinkLimits, seed: u64) -> Self {
         Sink {
             limits,
@@ -180,17 +181,19 @@
         }
     }
 
-    /// Bytes in the queue, those of a partly written interval included.
+    /// Bytes in the queue, including all bytes of a partly written interval.
     pub fn queued_bytes(&self) -> usize {
         self.queued_bytes
     }
 
-    /// Since when intervals have been written without a failure; `None` if none has been written since the last failure.
+    /// Since when intervals have been written without a failure; `None` if no interval was written since the
+    /// last failure.
     pub fn healthy_since(&self) -> Option<Timestamp> {
         self.healthy_since
     }
 
-    /// Whether the sink has failed and not recovered, so that others should take its names.
+    /// Whether the sink has failed and not recovered, so that its metric names should be assigned to other
+    /// sinks.
     pub fn is_down(&self) -> bool {
         match self.consecutive_failures {
             0 => false,
@@ -199,7 +202,7 @@
         }
     }
 
-    /// When the next [`SinkEvent::Tick`] is due; `None` if there is nothing to wait for.
+    /// When the next [`SinkEvent::Tick`] is due; `None` if no timeout or backoff is running.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         let after = |since: Timestamp, timeout: Micros| Timestamp(since.0.saturating_add(timeout.0));
         match self.state {
@@ -210,7 +213,7 @@
         }
     }
 
-    /// Handles an event; adds to `actions` what is to be done.
+    /// Handles an event, and adds the resulting actions to `actions`.
     pub fn handle(&mut self, now: Timestamp, event: SinkEvent, actions: &mut Vec<SinkAction>) {
         match event {
             SinkEvent::Interval(bytes) => self.enqueue(bytes),
@@ -247,7 +250,8 @@
         }
     }
 
-    /// A connection that was established after its timeout is not used.
+    /// Records that the connection was established. A connection that is established after its timeout is not
+    /// used.
     fn record_connected(&mut self) {
         if let ConnectionState::Connecting { .. } = self.state {
             self.state = ConnectionState::Idle;
@@ -287,7 +291,8 @@
         self.state = ConnectionState::BackingOff { until: Timestamp(now.0.saturating_add(backoff.0)) };
     }
 
-    /// The exponential backoff, of which a quarter is drawn at random.
+    /// The exponential backoff. Three quarters are fixed, the last quarter is random, so that directors do
+    /// not reconnect at the same time.
     fn next_backoff(&mut self) -> Micros {
         let factor = 1 << self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
         let full = self.limits.initial_backoff.0.saturating_mul(factor).min(self.limits.max_backoff.0);
@@ -295,7 +300,7 @@
         Micros(full * 3 / 4 + jitter)
     }
 
-    /// Gives a connection up after its timeout, and ends a backoff that has passed.
+    /// Closes a connection whose timeout has passed, and ends a backoff that has passed.
     fn check_deadline(&mut self, now: Timestamp, actions: &mut Vec<SinkAction>) {
         let has_passed = |since: Timestamp, timeout: Micros| now.0.saturating_sub(since.0) >= timeout.0;
         let has_timed_out = match self.state {
@@ -331,7 +336,7 @@
         }
     }
 
-    /// Drops the queue of a sink that is removed from the settings.
+    /// Drops all queued intervals, when the sink is removed from the settings.
     pub fn shut_down(&mut self) {
         self.counts.add_dropped(DropReason::SinkRemoved, self.queue.len() as u64);
         self.queue.clear();
--- a/crates/wingfold-metrics/src/sink/tests.rs
+++ b/crates/wingfold-metrics/src/sink/tests.rs
@@ -1,9 +1,9 @@
-//! Queue, timeouts and backoff of a sink.
+//! The queue, the timeouts and the backoff of a sink.
 
 use super::*;
 use proptest::prelude::*;
 
-const S: u64 = 1_000_000;
+const SECOND: u64 = 1_000_000;
 
 fn bytes(length: usize) -> Arc<[u8]> {
     vec![b'x'; length].into()
@@ -13,14 +13,14 @@
     SinkLimits { max_queued_bytes: 1000, ..SinkLimits::default() }
 }
 
-fn actions(sink: &mut Sink, at: u64, input: SinkEvent) -> Vec<SinkAction> {
+fn actions(sink: &mut Sink, at: u64, event: SinkEvent) -> Vec<SinkAction> {
     let mut out = Vec::new();
-    sink.handle(Timestamp(at), input, &mut out);
+    sink.handle(Timestamp(at), event, &mut out);
     out
 }
 
 #[test]
-fn intervals_are_written_one_after_the_other_once_it_is_up() {
+fn intervals_are_written_in_order_once_connected() {
     let mut sink = Sink::new(limits(), 1);
     assert_eq!(actions(&mut sink, 0, SinkEvent::Interval(bytes(100))), [SinkAction::Connect]);
     assert_eq!(actions(&mut sink, 1, SinkEvent::Interval(bytes(50))), []);
@@ -41,15 +41,15 @@
 }
 
 #[test]
-fn one_that_is_frozen_is_cut_off_and_its_queue_is_bounded() {
+fn write_timeout_disconnects_and_queue_stays_bounded() {
     let mut sink = Sink::new(limits(), 1);
     actions(&mut sink, 0, SinkEvent::Interval(bytes(100)));
     actions(&mut sink, 0, SinkEvent::Connected);
     for number in 1..500 {
-        let out = actions(&mut sink, number * S / 10, SinkEvent::Interval(bytes(100)));
+        let out = actions(&mut sink, number * SECOND / 10, SinkEvent::Interval(bytes(100)));
         assert!(sink.queued_bytes() <= 1000);
         if number == 100 {
-            assert_eq!(out, [SinkAction::Disconnect], "10 s for one interval");
+            assert_eq!(out, [SinkAction::Disconnect], "one interval took 10 s");
         }
     }
     assert!(sink.is_down() && sink.counts.dropped(DropReason::QueueFull) >= 480);
@@ -58,31 +58,31 @@
 }
 
 #[test]
-fn pauses_grow_to_the_longest_and_are_drawn_apart() {
-    let pauses = |seed: u64| {
+fn backoffs_grow_to_the_maximum_and_differ_by_seed() {
+    let backoffs_of = |seed: u64| {
         let mut sink = Sink::new(limits(), seed);
-        let (mut now, mut pauses) = (0, Vec::new());
+        let (mut now, mut backoffs) = (0, Vec::new());
         actions(&mut sink, now, SinkEvent::Interval(bytes(10)));
         for _ in 0..10 {
             actions(&mut sink, now, SinkEvent::Disconnected);
             let due = sink.next_deadline().unwrap().0;
-            pauses.push(due - now);
+            backoffs.push(due - now);
             now = due;
             assert_eq!(actions(&mut sink, now, SinkEvent::Tick), [SinkAction::Connect]);
         }
-        pauses
+        backoffs
     };
-    let one = pauses(1);
-    for (at, pause) in one.iter().enumerate() {
-        let whole = (S << at).min(60 * S);
-        assert!((whole * 3 / 4..=whole).contains(pause), "{at}: {pause}");
+    let backoffs = backoffs_of(1);
+    for (index, backoff) in backoffs.iter().enumerate() {
+        let full = (SECOND << index).min(60 * SECOND);
+        assert!((full * 3 / 4..=full).contains(backoff), "{index}: {backoff}");
     }
-    assert_ne!(one, pauses(2), "two directors come back apart");
-    assert_eq!(one, pauses(1), "and each the same way for its seed");
+    assert_ne!(backoffs, backoffs_of(2), "another seed gives other backoffs");
+    assert_eq!(backoffs, backoffs_of(1), "the same seed gives the same backoffs");
 }
 
 #[test]
-fn one_that_closes_in_the_middle_of_an_interval_gets_it_again_from_its_beginning() {
+fn interval_cut_by_a_disconnection_is_written_again_completely() {
     let mut sink = Sink::new(limits(), 1);
     actions(&mut sink, 0, SinkEvent::Interval(bytes(100)));
     actions(&mut sink, 0, SinkEvent::Connected);
@@ -97,50 +97,50 @@
 }
 
 #[test]
-fn a_connection_that_does_not_come_up_is_given_up_on() {
+fn connect_timeout_disconnects_and_later_events_are_ignored() {
     let mut sink = Sink::new(limits(), 1);
     actions(&mut sink, 0, SinkEvent::Interval(bytes(100)));
-    assert_eq!(sink.next_deadline(), Some(Timestamp(2 * S)));
-    assert_eq!(actions(&mut sink, 2 * S - 1, SinkEvent::Tick), []);
-    assert_eq!(actions(&mut sink, 2 * S, SinkEvent::Tick), [SinkAction::Disconnect]);
+    assert_eq!(sink.next_deadline(), Some(Timestamp(2 * SECOND)));
+    assert_eq!(actions(&mut sink, 2 * SECOND - 1, SinkEvent::Tick), []);
+    assert_eq!(actions(&mut sink, 2 * SECOND, SinkEvent::Tick), [SinkAction::Disconnect]);
     assert_eq!(sink.counts.failed_connections, 1);
-    // A late word of the connection that was given up on changes nothing.
-    assert_eq!(actions(&mut sink, 2 * S + 1, SinkEvent::Connected), []);
-    assert_eq!(actions(&mut sink, 2 * S + 2, SinkEvent::Written(50)), []);
+    // Late events of the connection that timed out have no effect.
+    assert_eq!(actions(&mut sink, 2 * SECOND + 1, SinkEvent::Connected), []);
+    assert_eq!(actions(&mut sink, 2 * SECOND + 2, SinkEvent::Written(50)), []);
     assert_eq!(sink.counts.written_bytes, 0);
 }
 
 #[test]
-fn an_hour_of_a_dead_receiver_costs_no_more_than_its_first_minute() {
+fn queue_and_connect_rate_stay_bounded_during_an_hour_of_failure() {
     let mut sink = Sink::new(SinkLimits { max_queued_bytes: 100_000, ..SinkLimits::default() }, 3);
-    let (mut now, mut out, mut dials) = (0, Vec::new(), 0);
-    let mut most = [0, 0];
+    let (mut now, mut out, mut connects) = (0, Vec::new(), 0);
+    let mut max_queued = [0, 0];
     for second in 0..3600u64 {
-        now = second * S;
+        now = second * SECOND;
         out.clear();
         if second % 10 == 0 {
             sink.handle(Timestamp(now), SinkEvent::Interval(bytes(9_000)), &mut out);
         } else {
             sink.handle(Timestamp(now), SinkEvent::Tick, &mut out);
         }
-        // Each dial is refused, or hangs until it is given up on.
-        while let Some(order) = out.pop() {
-            dials += u32::from(order == SinkAction::Connect);
-            if order == SinkAction::Connect && dials % 2 == 0 {
+        // Connections are alternately refused at once, or not established until the timeout.
+        while let Some(action) = out.pop() {
+            connects += u32::from(action == SinkAction::Connect);
+            if action == SinkAction::Connect && connects % 2 == 0 {
                 sink.handle(Timestamp(now), SinkEvent::Disconnected, &mut out);
             }
         }
-        let half = usize::from(second >= 120);
-        most[half] = most[half].max(sink.queued_bytes());
+        let part = usize::from(second >= 120);
+        max_queued[part] = max_queued[part].max(sink.queued_bytes());
     }
-    assert!(most[1] <= most[0] && most[0] <= 100_000, "{most:?}");
-    assert!((60..130).contains(&dials), "a pause of a minute at most: {dials} dials");
+    assert!(max_queued[1] <= max_queued[0] && max_queued[0] <= 100_000, "{max_queued:?}");
+    assert!((60..130).contains(&connects), "the backoff is at most a minute: {connects} connects");
     assert_eq!(sink.counts.dropped(DropReason::QueueFull), 360 - sink.queue.len() as u64, "at {now}");
 }
 
 proptest! {
     #[test]
-    fn whatever_a_receiver_does_its_queue_is_bounded_and_intervals_go_whole_and_in_order(
+    fn queue_is_bounded_and_intervals_are_written_completely_one_by_one(
         seed in any::<u64>(), steps in prop::collection::vec((0..4_000_000u64, 0..7u8, 1..400usize), 1..200),
     ) {
         let mut sink = Sink::new(limits(), seed);
@@ -149,7 +149,7 @@
         let (mut queued, mut done) = (0u64, 0u64);
         for (step, kind, size) in steps {
             now += step;
-            let input = match kind {
+            let event = match kind {
                 0..=2 => {
                     number += 1;
                     queued += 1;
@@ -159,25 +159,25 @@
                 4 => { writing = None; SinkEvent::Disconnected }
                 5 => match &mut writing {
                     Some((bytes, at)) => {
-                        let took = size.min(bytes.len() - *at);
-                        *at += took;
-                        SinkEvent::Written(took)
+                        let written = size.min(bytes.len() - *at);
+                        *at += written;
+                        SinkEvent::Written(written)
                     }
                     None => SinkEvent::Tick,
                 },
                 _ => SinkEvent::Tick,
             };
             out.clear();
-            sink.handle(Timestamp(now), input, &mut out);
+            sink.handle(Timestamp(now), event, &mut out);
             if writing.as_ref().is_some_and(|(bytes, at)| *at == bytes.len()) {
                 writing = None;
                 done += 1;
             }
-            for order in &out {
-                match order {
+            for action in &out {
+                match action {
                     SinkAction::Disconnect => writing = None,
                     SinkAction::Write { bytes, offset: from } => {
-                        prop_assert!(writing.is_none() && *from == 0, "one at a time, from its beginning");
+                        prop_assert!(writing.is_none() && *from == 0, "one interval at a time, from offset 0");
                         writing = Some((bytes.clone(), 0));
                     }
                     SinkAction::Connect => prop_assert!(writing.is_none()),
--- a/crates/wingfold-metrics/src/source_monitor.rs
+++ b/crates/wingfold-metrics/src/source_monitor.rs
@@ -1,5 +1,5 @@
-//! Detects whether a source of reports is silent, and tells an outage from a period with nothing to report: by the reports
-//! that are expected of the source, not by time alone.
+//! Detects whether a source of reports is silent, and tells an outage from a period with nothing to report:
+//! by the reports that are expected of the source, not by time alone.
 
 #[cfg(test)]
 mod tests;
@@ -114,8 +114,8 @@
         self.last_report_at.is_some()
     }
 
-    /// Updates the state and returns it. `expected_per_s` is the rate to be expected of the connected proxies, used until the
-    /// first report; `None` if no proxy is connected.
+    /// Updates the state and returns it. `expected_per_s` is the rate to be expected of the connected
+    /// proxies, used until the first report; `None` if no proxy is connected.
     pub fn update(
         &mut self,
         now: Timestamp,
@@ -156,7 +156,8 @@
             }
             return SourceState::Quiet;
         }
-        // The evidence expires, since no attempts are made at unreachable hosts; the partition lasts until a report arrives.
+        // The evidence expires, since no attempts are made at unreachable hosts; the partition lasts until a
+        // report arrives.
         if self.state == SourceState::Partitioned {
             return SourceState::Partitioned;
         }
--- a/crates/wingfold-metrics/tests/large.rs
+++ b/crates/wingfold-metrics/tests/large.rs
@@ -104,7 +104,7 @@
     assert_eq!(of("wingfold.n1.service.asked."), 18);
     assert_eq!(of("wingfold.n1.hosts.leading."), 6);
     assert!(points.iter().all(|point| !point.path.contains(' ')), "halls have blanks in their names");
-    let asked = interval.samples.iter().filter(|sample| sample.metric == Metric::ServiceAsked);
+    let asked = interval.samples.iter().filter(|sample| sample.metric == Metric::RequestsOffered);
     assert_eq!(asked.count(), 18);
     let lists: Vec<_> =
         interval.samples.iter().filter_map(|one| ValueList::from_sample("n1", &interval, one)).collect();
--- a/crates/wingfold-node/src/reporting.rs
+++ b/crates/wingfold-node/src/reporting.rs
@@ -276,15 +276,15 @@
     fn totals(&self, metrics: &Metrics) -> Vec<ExternalValue> {
         let total = |metric, value| external_value(metric, Vec::new(), value);
         let mut totals = vec![
-            total(Metric::PeersIn, metrics.datagrams_in_total.get()),
-            total(Metric::PeersOut, metrics.datagrams_out_total.get()),
+            total(Metric::PeerDatagramsReceived, metrics.datagrams_in_total.get()),
+            total(Metric::PeerDatagramsSent, metrics.datagrams_out_total.get()),
             total(Metric::ReportsDropped, metrics.reports_dropped_total.get()),
-            total(Metric::CaptureLost, metrics.capture_calls_lost_total.get()),
-            total(Metric::Invariants, metrics.invariants_broken_total.get()),
+            total(Metric::CaptureCallsLost, metrics.capture_calls_lost_total.get()),
+            total(Metric::InvariantViolations, metrics.invariants_broken_total.get()),
         ];
         for (reason, label) in INVALID_REASONS.into_iter().zip(&self.invalid_labels) {
             let value = metrics.invalid_total(reason);
-            totals.push(external_value(Metric::Invalid, vec![label.clone()], value));
+            totals.push(external_value(Metric::InvalidMessages, vec![label.clone()], value));
         }
         totals
     }
@@ -294,13 +294,13 @@
         let receivers = self.sink_stats.receivers.lock().unwrap_or_else(PoisonError::into_inner);
         for (receiver, counters) in receivers.iter() {
             let value = |metric, value| external_value(metric, vec![receiver.clone()], value);
-            totals.push(value(Metric::SinkSent, counters.sent_bytes));
-            totals.push(value(Metric::SinkCuts, counters.failed_connections));
+            totals.push(value(Metric::SinkBytesSent, counters.sent_bytes));
+            totals.push(value(Metric::SinkFailedConnections, counters.failed_connections));
             for (reason, count) in &counters.dropped {
                 let labels = vec![receiver.clone(), Arc::from(*reason)];
-                totals.push(external_value(Metric::SinkDropped, labels, *count));
+                totals.push(external_value(Metric::SinkIntervalsDropped, labels, *count));
             }
-            gauges.push(value(Metric::SinkWaiting, counters.queued_bytes));
+            gauges.push(value(Metric::SinkQueuedBytes, counters.queued_bytes));
         }
     }
 
