--- a/crates/wingfold-metrics/src/collectd.rs
+++ b/crates/wingfold-metrics/src/collectd.rs
@@ -1,6 +1,6 @@
-//! collectd's binary network protocol in both directions, after its public description ("Binary protocol" of
-//! collectd's wiki): parts of a type, a length and contents; values with the type of each; times in 2^-30
-//! seconds; packets signed with HMAC-SHA-256 or encrypted with AES-256 in OFB mode.
+//! Encodes and decodes collectd's binary network protocol, following its public description ("Binary
+//! protocol" of collectd's wiki): parts of a type, a length and contents; values with the type of each; times
+//! in 2^-30 seconds; packets signed with HMAC-SHA-256 or encrypted with AES-256 in OFB mode.
 
 mod decode;
 mod encode;
@@ -23,5 +23,5 @@
 pub use value::TypedValue;
 pub use value_list::{high_resolution, timestamp, ValueList, TYPES_DB};
 
-/// Default size of a packet in bytes: the payload of one Ethernet frame.
+/// The default of the largest packet size in bytes: the payload of one Ethernet frame.
 pub const DEFAULT_PACKET_BYTES: usize = 1452;
--- a/crates/wingfold-metrics/src/collectd/decode.rs
+++ b/crates/wingfold-metrics/src/collectd/decode.rs
@@ -7,7 +7,8 @@
 /// Units of high-resolution time per second.
 const UNITS_PER_S: u64 = 1 << 30;
 
-/// Decodes a packet's value lists; parts that belong to none (notifications, unknown parts) are ignored.
+/// Decodes the value lists of a packet. Parts that do not belong to a value list (notifications, unknown
+/// parts) are ignored.
 pub fn decode_packet(mut bytes: &[u8]) -> Result<Vec<ValueList>, PacketRejection> {
     let mut list = ValueList::default();
     let mut lists = Vec::new();
--- a/crates/wingfold-metrics/src/collectd/encode.rs
+++ b/crates/wingfold-metrics/src/collectd/encode.rs
@@ -6,10 +6,11 @@
 use super::{PacketSecurity, ValueList};
 use rand::RngCore;
 
-/// Bytes for value lists in a packet, however small its size is set.
+/// The smallest limit, in bytes, on the value lists in a packet; it applies even if the packet size is set
+/// lower.
 const MIN_CONTENT_BYTES: usize = 256;
 
-/// Encodes value lists as packets of at most `max_bytes`, and signs or encrypts them.
+/// Encodes value lists as packets of at most `max_bytes`, and signs or encrypts the packets.
 pub fn encode_packets(
     lists: &[ValueList],
     max_bytes: usize,
@@ -35,7 +36,8 @@
     packets
 }
 
-/// The parts of a value list that differ from the previous list in the packet.
+/// Encodes the parts of a value list that differ from the previous list in the packet, or all parts if there
+/// is none, and the values.
 fn parts_after(previous: Option<&ValueList>, list: &ValueList) -> Vec<u8> {
     let mut parts = Vec::new();
     let text_differs =
--- a/crates/wingfold-metrics/src/collectd/load_receiver.rs
+++ b/crates/wingfold-metrics/src/collectd/load_receiver.rs
@@ -1,16 +1,16 @@
-//! Receives packets: checks them, and extracts the loads of hosts.
+//! Receives packets of collectd: checks them, and extracts the loads of hosts.
 
 use super::security::{open, Fingerprint};
 use super::{decode_packet, timestamp, PacketRejection, TypedValue, Users, ValueList};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wingfold_director::interface::{HostLoad, Timestamp};
 
-/// The host of the endpoint list that a machine of collectd is.
+/// The host of the endpoint list that runs on a machine of collectd.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MappedHost {
-    /// The host.
+    /// The host, by its name in the endpoint list.
     pub host: String,
-    /// Its cores: a load average of this many is full utilization.
+    /// The number of the host's cores. A load average of this number is a utilization of 1.
     pub cores: f64,
 }
 
@@ -19,16 +19,16 @@
 pub struct ReportedLoad {
     /// The host, by its name in the endpoint list.
     pub host: String,
-    /// Its load.
+    /// The load of the host.
     pub load: HostLoad,
 }
 
-/// Older values are rejected; in seconds.
+/// The largest age of values in seconds; older values are rejected.
 const MAX_AGE_S: f64 = 60.0;
-/// Values further in the future are rejected; in seconds.
+/// The largest time by which values may be in the future, in seconds; other values are rejected.
 const MAX_AHEAD_S: f64 = 10.0;
 
-/// Bound of the packets and of the value times that are remembered.
+/// The largest number of packets that are remembered, and of series whose last time is remembered.
 pub(super) const MAX_REMEMBERED: usize = 8192;
 
 /// Identifies a series of values.
@@ -51,21 +51,22 @@
 pub struct LoadReceiver {
     users: Users,
     requires_security: bool,
-    /// By the name of the machine.
+    /// The mapped hosts, by collectd's name of the machine.
     hosts: BTreeMap<String, MappedHost>,
+    /// Fingerprints of recently accepted packets, to detect replays.
     pub(super) accepted_fingerprints: BTreeSet<Fingerprint>,
-    /// The same packets, the oldest first.
+    /// The packets of `accepted_fingerprints`, the oldest first.
     pub(super) accepted_packets: VecDeque<AcceptedPacket>,
     /// The time of the last value of each series, in 2^-30 seconds.
     pub(super) last_times: BTreeMap<SeriesName, u64>,
-    /// Packets accepted.
+    /// The number of accepted packets.
     pub accepted: u64,
-    /// Packets rejected, by reason.
+    /// The numbers of rejected packets, by reason.
     pub rejected: BTreeMap<PacketRejection, u64>,
 }
 
 impl LoadReceiver {
-    /// A receiver for machines that are mapped to hosts by `hosts`. With `requires_security`, packets must be
+    /// A receiver of the loads of the machines in `hosts`. With `requires_security`, packets must be
     /// signed or encrypted by one of the users.
     pub fn new(users: Users, requires_security: bool, hosts: BTreeMap<String, MappedHost>) -> Self {
         LoadReceiver {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Receives a packet; returns the loads it reports, in the order of their hosts.
+    /// Receives a packet. Returns the loads that the packet reports, in the order of the hosts' names.
     pub fn receive(&mut self, now: Timestamp, packet: &[u8]) -> Result<Vec<ReportedLoad>, PacketRejection> {
         let loads = self.check_packet(now, packet);
         match &loads {
@@ -109,7 +110,8 @@
         loads
     }
 
-    /// The loads in value lists, without those that are not newer than the last one of their series.
+    /// Extracts the loads from value lists. Values that are not newer than the last value of their series are
+    /// left out.
     fn extract_loads(&mut self, lists: &[ValueList]) -> Result<Vec<ReportedLoad>, PacketRejection> {
         let mut loads: BTreeMap<String, HostLoad> = BTreeMap::new();
         let mut has_known_host = false;
@@ -134,7 +136,7 @@
         Ok(loads.into_iter().map(|(host, load)| ReportedLoad { host, load }).collect())
     }
 
-    /// Whether a value list is newer than all before it in its series; remembers its time if it is.
+    /// Whether a value list is newer than all previous lists of its series. If so, remembers the list's time.
     fn is_newest(&mut self, list: &ValueList) -> bool {
         let series = SeriesName {
             machine: list.host.clone(),
@@ -151,7 +153,8 @@
         true
     }
 
-    /// Remembers an accepted packet until its values would be rejected for their age.
+    /// Remembers an accepted packet as long as its values would still be accepted by their time, to detect
+    /// replays.
     fn remember(&mut self, now: Timestamp, fingerprint: Fingerprint) {
         self.accepted_fingerprints.insert(fingerprint);
         self.accepted_packets.push_back(AcceptedPacket { fingerprint, at: now });
@@ -171,7 +174,7 @@
     now.since(at) <= MAX_AGE_S && at.since(now) <= MAX_AHEAD_S
 }
 
-/// The utilization of a host's cores, as a ratio, if a value list has it.
+/// The utilization of a host's cores, as a ratio; `None` if the value list does not have it.
 fn utilization(list: &ValueList, mapped: &MappedHost) -> Option<f64> {
     match (list.plugin.as_str(), list.type_name.as_str(), list.type_instance.as_str()) {
         // The load average of the last minute.
@@ -182,7 +185,7 @@
     }
 }
 
-/// The first value, if it is a finite gauge that is not negative.
+/// The first value of a list; `None` unless it is a finite and non-negative gauge.
 fn first_gauge(list: &ValueList) -> Option<f64> {
     match list.values.first() {
         Some(TypedValue::Gauge(value)) if value.is_finite() && *value >= 0.0 => Some(*value),
--- a/crates/wingfold-metrics/src/collectd/part.rs
+++ b/crates/wingfold-metrics/src/collectd/part.rs
@@ -1,8 +1,8 @@
-//! The parts that packets are made of: a type, a length, and contents.
+//! The parts of a packet. Each part has a type, a length and contents.
 
 use super::PacketRejection;
 
-/// Types of parts.
+/// Types of parts, as the protocol numbers them.
 pub(super) mod part_type {
     pub(crate) const HOST: u16 = 0x0000;
     pub(crate) const TIME: u16 = 0x0001;
@@ -18,7 +18,7 @@
     pub(crate) const ENCRYPTED: u16 = 0x0210;
 }
 
-/// Bytes of the type and the length of a part.
+/// Bytes of a part's type and length.
 pub(super) const HEADER_BYTES: usize = 4;
 
 /// One part of a packet.
@@ -61,7 +61,7 @@
 }
 
 impl Part<'_> {
-    /// The contents as a string, which must end with its only zero byte.
+    /// The contents as a string, which must end with a zero byte and have no other.
     pub(super) fn text(&self) -> Result<String, PacketRejection> {
         let (last, text) = self.contents.split_last().ok_or(PacketRejection::Malformed)?;
         let text = std::str::from_utf8(text).map_err(|_| PacketRejection::Malformed)?;
--- a/crates/wingfold-metrics/src/collectd/rejection.rs
+++ b/crates/wingfold-metrics/src/collectd/rejection.rs
@@ -3,22 +3,23 @@
 /// Why a packet was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum PacketRejection {
-    /// It cannot be decoded.
-    #[error("it cannot be read")]
+    /// The packet cannot be decoded.
+    #[error("the packet is malformed")]
     Malformed,
-    /// It is neither signed nor encrypted, and must be.
-    #[error("it is neither signed nor encrypted")]
+    /// The packet is neither signed nor encrypted, which is required.
+    #[error("the packet is neither signed nor encrypted")]
     Unsecured,
-    /// Its user has no key.
-    #[error("its user is not known")]
+    /// The packet's user is not among the receiver's users.
+    #[error("the packet's user is unknown")]
     UnknownUser,
-    /// Its signature, or its checksum after decryption, is wrong.
-    #[error("its key is wrong, or it was changed")]
+    /// The signature, or the checksum after decryption, is wrong.
+    #[error("the packet's signature or checksum is wrong: the keys differ or the packet was altered")]
     InvalidKey,
-    /// It was received before, or its time is too old or in the future.
-    #[error("it is old, from the future, or was sent before")]
+    /// The packet was received before, or its values are too old, too far in the future, or not newer than
+    /// the last values.
+    #[error("the packet was received before, or its values are outdated or in the future")]
     Replayed,
-    /// None of its machines is mapped to a host.
-    #[error("it names no host that is known")]
+    /// None of the packet's machines is mapped to a host.
+    #[error("the packet has values of no mapped host")]
     UnknownHost,
 }
--- a/crates/wingfold-metrics/src/collectd/security.rs
+++ b/crates/wingfold-metrics/src/collectd/security.rs
@@ -1,4 +1,4 @@
-//! Secures packets by signature or encryption, and opens those that are.
+//! Signs or encrypts packets, and verifies or decrypts received packets.
 
 use super::part::{part_type, split_part, split_u16, write_part, HEADER_BYTES};
 use super::users::Users;
@@ -20,7 +20,7 @@
 
 type Cipher = ofb::Ofb<aes::Aes256>;
 
-/// A user and the user's key.
+/// The name of a user and the key that the user shares with the receiver.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Credentials {
     /// The name of the user.
@@ -30,7 +30,7 @@
 }
 
 impl std::fmt::Debug for Credentials {
-    /// Without the key.
+    /// Omits the key, so that it does not get into logs.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_tuple("Credentials").field(&self.user).finish()
     }
@@ -58,7 +58,7 @@
     }
 }
 
-/// Secures a packet.
+/// Signs or encrypts a packet, or returns it unchanged with [`PacketSecurity::None`].
 pub(super) fn secure(packet: Vec<u8>, security: &PacketSecurity, rng: &mut impl RngCore) -> Vec<u8> {
     match security {
         PacketSecurity::None => packet,
@@ -104,18 +104,18 @@
     Cipher::new(&Sha256::digest(key.as_bytes()), vector.into())
 }
 
-/// Identifies a secured packet.
+/// Identifies a signed or encrypted packet, to detect replays.
 pub(super) type Fingerprint = [u8; 32];
 
 /// A packet after verification and decryption.
 pub(super) struct OpenedPacket {
-    /// The parts with its value lists.
+    /// The parts of the packet without its signature, decrypted.
     pub(super) contents: Vec<u8>,
-    /// `None` if it was not secured.
+    /// `None` if the packet was neither signed nor encrypted.
     pub(super) fingerprint: Option<Fingerprint>,
 }
 
-/// Verifies and decrypts a packet; an unsecured one is returned as it is.
+/// Verifies or decrypts a packet. A packet that is neither signed nor encrypted is returned unchanged.
 pub(super) fn open(bytes: &[u8], users: &Users) -> Result<OpenedPacket, PacketRejection> {
     let (part, rest) = split_part(bytes)?;
     match part.part_type {
--- a/crates/wingfold-metrics/src/collectd/tests.rs
+++ b/crates/wingfold-metrics/src/collectd/tests.rs
@@ -1,4 +1,4 @@
-//! The protocol both ways, its security, and what the receiver makes of packets.
+//! Encoding, decoding and security of packets, and the loads that the receiver extracts.
 
 use super::load_receiver::MAX_REMEMBERED;
 use super::security::open;
@@ -14,7 +14,7 @@
 
 const NOW: Timestamp = Timestamp(1_796_083_200_000_000);
 
-fn chance() -> ChaCha8Rng {
+fn rng() -> ChaCha8Rng {
     ChaCha8Rng::seed_from_u64(1)
 }
 
@@ -35,21 +35,21 @@
 }
 
 fn securities() -> [PacketSecurity; 3] {
-    let credentials = || credentials("lines", "a key that is long");
+    let credentials = || credentials("alice", "a key that is long");
     [PacketSecurity::None, PacketSecurity::Signed(credentials()), PacketSecurity::Encrypted(credentials())]
 }
 
 fn users() -> Users {
-    Users::parse("# those who may\nlines: a key that is long\n\nother: another key\n").unwrap()
+    Users::parse("# users that may send\nalice: a key that is long\n\nother: another key\n").unwrap()
 }
 
-fn load_receiver(secured: bool) -> LoadReceiver {
+fn load_receiver(requires_security: bool) -> LoadReceiver {
     let mapped = MappedHost { host: "s-1".into(), cores: 4.0 };
-    LoadReceiver::new(users(), secured, BTreeMap::from([("db1".to_string(), mapped)]))
+    LoadReceiver::new(users(), requires_security, BTreeMap::from([("db1".to_string(), mapped)]))
 }
 
 #[test]
-fn the_bytes_are_those_of_the_protocols_description() {
+fn encoded_packet_has_the_bytes_of_the_protocol_description() {
     let list = ValueList {
         plugin_instance: "x".into(),
         type_instance: "y".into(),
@@ -66,38 +66,34 @@
     expected.extend(2.5f64.to_le_bytes());
     expected.extend(1f64.to_le_bytes());
     expected.extend(1f64.to_le_bytes());
-    let packets = encode_packets(
-        std::slice::from_ref(&list),
-        DEFAULT_PACKET_BYTES,
-        &PacketSecurity::None,
-        &mut chance(),
-    );
+    let packets =
+        encode_packets(std::slice::from_ref(&list), DEFAULT_PACKET_BYTES, &PacketSecurity::None, &mut rng());
     assert_eq!(packets, [expected]);
     assert_eq!(decode_packet(&packets[0]).unwrap(), [list]);
 }
 
 #[test]
-fn a_signature_is_that_of_the_user_and_the_packet() {
-    // HMAC-SHA-256 of "lines" and the packet under the key, worked out by parts here.
+fn signature_is_the_hmac_of_user_and_packet() {
+    // Computes HMAC-SHA-256 of the user's name and the packet from two plain SHA-256 hashes.
     let [_, signed, _] = securities();
-    let packet = &encode_packets(&[load("db1", NOW, 1.0)], DEFAULT_PACKET_BYTES, &signed, &mut chance())[0];
+    let packet = &encode_packets(&[load("db1", NOW, 1.0)], DEFAULT_PACKET_BYTES, &signed, &mut rng())[0];
     assert_eq!(packet[..4], [2, 0, 0, 36 + 5]);
-    assert_eq!(&packet[36..41], b"lines");
+    assert_eq!(&packet[36..41], b"alice");
     let key = {
         let mut block = [0u8; 64];
         block[..18].copy_from_slice(b"a key that is long");
         block
     };
-    let pad = |with: u8| key.iter().map(|byte| byte ^ with).collect::<Vec<u8>>();
-    let inner = Sha256::digest([&pad(0x36)[..], b"lines", &packet[41..]].concat());
-    let outer = Sha256::digest([&pad(0x5c)[..], &inner[..]].concat());
+    let padded_key = |pad: u8| key.iter().map(|byte| byte ^ pad).collect::<Vec<u8>>();
+    let inner = Sha256::digest([&padded_key(0x36)[..], b"alice", &packet[41..]].concat());
+    let outer = Sha256::digest([&padded_key(0x5c)[..], &inner[..]].concat());
     assert_eq!(packet[4..36], outer[..]);
 }
 
 #[test]
-fn every_figure_of_an_interval_comes_back_from_packets_of_a_set_size() {
+fn all_values_of_an_interval_are_decoded_from_packets() {
     let labels =
-        |zone: usize, class: usize| vec![format!("hall {zone}").into(), format!("class-{class}").into()];
+        |zone: usize, class: usize| vec![format!("zone {zone}").into(), format!("class-{class}").into()];
     let mut samples: Vec<Sample> = Vec::new();
     for zone in 0..6 {
         for class in 0..3 {
@@ -113,35 +109,38 @@
     });
     let interval =
         Interval { number: 1, ended_at: NOW, length: Micros(10_000_000), samples, corrections: vec![] };
-    let lists: Vec<ValueList> =
-        interval.samples.iter().filter_map(|one| ValueList::from_sample("n.3", &interval, one)).collect();
-    assert_eq!(lists.len(), 19, "what is no number is left out");
-    assert_eq!(lists[0].plugin_instance, "hall_200.class-0");
+    let lists: Vec<ValueList> = interval
+        .samples
+        .iter()
+        .filter_map(|sample| ValueList::from_sample("n.3", &interval, sample))
+        .collect();
+    assert_eq!(lists.len(), 19, "the infinite value is left out");
+    assert_eq!(lists[0].plugin_instance, "zone_200.class-0");
     assert_eq!((&*lists[0].type_instance, &*lists[18].type_name), ("service.asked", "wingfold_spread"));
     for security in &securities() {
-        let packets = encode_packets(&lists, 400, security, &mut chance());
+        let packets = encode_packets(&lists, 400, security, &mut rng());
         assert!(packets.len() > 2 && packets.iter().all(|packet| packet.len() <= 400), "{security:?}");
-        let read: Vec<ValueList> = packets
+        let decoded: Vec<ValueList> = packets
             .iter()
             .flat_map(|packet| decode_packet(&open(packet, &users()).unwrap().contents).unwrap())
             .collect();
-        assert_eq!(read, lists);
+        assert_eq!(decoded, lists);
     }
 }
 
 #[test]
-fn a_machines_load_becomes_its_hosts_and_is_told_once() {
-    for (secured, security) in [false, true, true].into_iter().zip(&securities()) {
-        let mut receiver = load_receiver(secured);
+fn load_is_extracted_once_and_replays_are_rejected() {
+    for (requires_security, security) in [false, true, true].into_iter().zip(&securities()) {
+        let mut receiver = load_receiver(requires_security);
         let packet = |at: u64, value: f64| {
             let list = load("db1", Timestamp(NOW.0 + at), value);
             encode_packets(&[list], DEFAULT_PACKET_BYTES, security, &mut ChaCha8Rng::seed_from_u64(at))
                 .remove(0)
         };
         let first = packet(0, 3.0);
-        let busy = receiver.receive(NOW, &first).unwrap();
+        let loads = receiver.receive(NOW, &first).unwrap();
         assert_eq!(
-            busy,
+            loads,
             [ReportedLoad {
                 host: "s-1".into(),
                 load: HostLoad { utilization: Some(0.75), ..HostLoad::default() }
@@ -153,60 +152,72 @@
         assert_eq!(
             receiver.receive(later, &packet(9_000_000, 1.0)).unwrap_err(),
             PacketRejection::Replayed,
-            "an older one"
+            "older than the last value"
         );
-        let hour = Timestamp(NOW.0 + 3_600_000_000);
+        let hour_later = Timestamp(NOW.0 + 3_600_000_000);
         assert_eq!(
-            receiver.receive(hour, &packet(20_000_000, 1.0)).unwrap_err(),
+            receiver.receive(hour_later, &packet(20_000_000, 1.0)).unwrap_err(),
             PacketRejection::Replayed,
-            "long ago"
+            "older than the largest age"
         );
         assert_eq!(
             receiver.receive(NOW, &packet(60_000_000, 1.0)).unwrap_err(),
             PacketRejection::Replayed,
-            "ahead"
+            "too far in the future"
         );
         let other =
-            encode_packets(&[load("db2", NOW, 1.0)], DEFAULT_PACKET_BYTES, security, &mut chance()).remove(0);
+            encode_packets(&[load("db2", NOW, 1.0)], DEFAULT_PACKET_BYTES, security, &mut rng()).remove(0);
         assert_eq!(receiver.receive(NOW, &other).unwrap_err(), PacketRejection::UnknownHost);
         assert_eq!((receiver.accepted, receiver.rejected[&PacketRejection::Replayed]), (2, 4));
     }
 }
 
 #[test]
-fn wrong_keys_users_and_changed_or_cut_packets_are_refused() {
+fn altered_packets_and_wrong_keys_or_users_are_rejected() {
     let [plain, signed, encrypted] = securities();
-    let one = |security: &PacketSecurity| {
-        encode_packets(&[load("db1", NOW, 1.0)], DEFAULT_PACKET_BYTES, security, &mut chance()).remove(0)
+    let packet_with = |security: &PacketSecurity| {
+        encode_packets(&[load("db1", NOW, 1.0)], DEFAULT_PACKET_BYTES, security, &mut rng()).remove(0)
     };
-    assert_eq!(load_receiver(true).receive(NOW, &one(&plain)).unwrap_err(), PacketRejection::Unsecured);
+    assert_eq!(
+        load_receiver(true).receive(NOW, &packet_with(&plain)).unwrap_err(),
+        PacketRejection::Unsecured
+    );
     for security in [&signed, &encrypted] {
-        let packet = one(security);
-        for at in 0..packet.len() {
+        let packet = packet_with(security);
+        for index in 0..packet.len() {
             let mut changed = packet.clone();
-            changed[at] ^= 0x20;
-            assert!(load_receiver(true).receive(NOW, &changed).is_err(), "{security:?}, byte {at}");
-            assert!(load_receiver(true).receive(NOW, &packet[..at]).is_err(), "{security:?}, cut at {at}");
+            changed[index] ^= 0x20;
+            assert!(load_receiver(true).receive(NOW, &changed).is_err(), "{security:?}, byte {index}");
+            assert!(
+                load_receiver(true).receive(NOW, &packet[..index]).is_err(),
+                "{security:?}, truncated at byte {index}"
+            );
         }
     }
-    let stranger = PacketSecurity::Signed(credentials("nobody", "a key that is long"));
-    assert_eq!(load_receiver(true).receive(NOW, &one(&stranger)).unwrap_err(), PacketRejection::UnknownUser);
-    let liar = PacketSecurity::Encrypted(credentials("other", "a key that is long"));
-    assert_eq!(load_receiver(true).receive(NOW, &one(&liar)).unwrap_err(), PacketRejection::InvalidKey);
+    let unknown_user = PacketSecurity::Signed(credentials("nobody", "a key that is long"));
+    assert_eq!(
+        load_receiver(true).receive(NOW, &packet_with(&unknown_user)).unwrap_err(),
+        PacketRejection::UnknownUser
+    );
+    let wrong_key = PacketSecurity::Encrypted(credentials("other", "a key that is long"));
+    assert_eq!(
+        load_receiver(true).receive(NOW, &packet_with(&wrong_key)).unwrap_err(),
+        PacketRejection::InvalidKey
+    );
     for (text, line) in [("a", 1), ("a: b\na: c", 2), (": x", 1), ("a:", 1)] {
         assert_eq!(Users::parse(text).unwrap_err().line, line, "{text}");
     }
-    assert!(!format!("{:?} {signed:?}", users()).contains("key that"), "keys are in no log");
+    assert!(!format!("{:?} {signed:?}", users()).contains("key that"), "debug output has no keys");
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
+fn remembered_packets_are_bounded() {
     let mut receiver = load_receiver(true);
     let [_, signed, _] = securities();
-    for at in 0..20_000u64 {
-        let now = Timestamp(NOW.0 + at * 1000);
+    for index in 0..20_000u64 {
+        let now = Timestamp(NOW.0 + index * 1000);
         let packet =
-            encode_packets(&[load("db1", now, 1.0)], DEFAULT_PACKET_BYTES, &signed, &mut chance()).remove(0);
+            encode_packets(&[load("db1", now, 1.0)], DEFAULT_PACKET_BYTES, &signed, &mut rng()).remove(0);
         receiver.receive(now, &packet).unwrap();
     }
     assert!(
@@ -217,21 +228,22 @@
 }
 
 #[test]
-fn a_million_random_packets_do_no_harm() {
-    let mut chance = chance();
+fn a_million_random_packets_are_accepted_or_rejected() {
+    let mut rng = rng();
     let mut receiver = load_receiver(false);
-    let sound =
-        encode_packets(&[load("db1", NOW, 1.0)], DEFAULT_PACKET_BYTES, &PacketSecurity::None, &mut chance)
+    let valid =
+        encode_packets(&[load("db1", NOW, 1.0)], DEFAULT_PACKET_BYTES, &PacketSecurity::None, &mut rng)
             .remove(0);
     let mut bytes = [0; 96];
     for number in 0..1_000_000u32 {
-        let length = chance.next_u32() as usize % 96;
-        chance.fill_bytes(&mut bytes[..length]);
+        let length = rng.next_u32() as usize % 96;
+        rng.fill_bytes(&mut bytes[..length]);
         if number % 2 == 0 {
-            // Heads that look right reach further in.
-            let (at, from) = (length.min(60), (chance.next_u32() as usize) % sound.len());
-            let some = &sound[from..];
-            bytes[..some.len().min(at)].copy_from_slice(&some[..some.len().min(at)]);
+            // Begins with bytes of a valid packet, so that decoding fails later than at the first part.
+            let (max_copied, start) = (length.min(60), (rng.next_u32() as usize) % valid.len());
+            let copied = &valid[start..];
+            let count = copied.len().min(max_copied);
+            bytes[..count].copy_from_slice(&copied[..count]);
         }
         let _ = receiver.receive(NOW, &bytes[..length]);
     }
@@ -240,20 +252,26 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read(names in prop::collection::vec("[a-z]{0,9}", 5), time in any::<u64>(), kinds in prop::collection::vec((0..4u8, any::<u64>()), 1..9)) {
-        let one = |(kind, bits): &(u8, u64)| match kind {
+    fn encoded_lists_are_decoded_unchanged(
+        names in prop::collection::vec("[a-z]{0,9}", 5),
+        time in any::<u64>(),
+        kinds in prop::collection::vec((0..4u8, any::<u64>()), 1..9),
+    ) {
+        let value = |(kind, bits): &(u8, u64)| match kind {
             0 => TypedValue::Counter(*bits),
             1 => TypedValue::Gauge(f64::from(*bits as u32)),
             2 => TypedValue::Derive(*bits as i64),
             _ => TypedValue::Absolute(*bits),
         };
+        let values = kinds.iter().map(value).collect();
         let list = ValueList {
             host: names[0].clone(), plugin: names[1].clone(), plugin_instance: names[2].clone(),
-            type_name: names[3].clone(), type_instance: names[4].clone(), time, interval: 7, values: kinds.iter().map(one).collect(),
+            type_name: names[3].clone(), type_instance: names[4].clone(), time, interval: 7, values,
         };
         let lists = vec![list.clone(), ValueList { type_instance: "z".into(), ..list }];
-        let packets = encode_packets(&lists, DEFAULT_PACKET_BYTES, &PacketSecurity::None, &mut chance());
-        let back: Vec<ValueList> = packets.iter().flat_map(|packet| decode_packet(packet).unwrap()).collect();
-        prop_assert_eq!(back, lists);
+        let packets = encode_packets(&lists, DEFAULT_PACKET_BYTES, &PacketSecurity::None, &mut rng());
+        let decoded: Vec<ValueList> =
+            packets.iter().flat_map(|packet| decode_packet(packet).unwrap()).collect();
+        prop_assert_eq!(decoded, lists);
     }
 }
--- a/crates/wingfold-metrics/src/collectd/users.rs
+++ b/crates/wingfold-metrics/src/collectd/users.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-/// A line that is not `user: key`, or names a user again.
+/// A line that does not have the form `user: key`, or has the same user as an earlier line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("line {line}: `user: key` is expected, each user once")]
+#[error("line {line}: not of the form `user: key`, or the user has an earlier line")]
 pub struct InvalidUserLine {
-    /// The number of the line, from 1.
+    /// The number of the line, counted from 1.
     pub line: usize,
 }
 
@@ -15,15 +15,15 @@
 pub struct Users(BTreeMap<String, String>);
 
 impl std::fmt::Debug for Users {
-    /// Without the keys.
+    /// Omits the keys, so that they do not get into logs.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_set().entries(self.0.keys()).finish()
     }
 }
 
 impl Users {
-    /// Parses the text of a file with lines `user: key`. Empty lines and those that begin with `#` are
-    /// ignored.
+    /// Parses the text of a file with lines of the form `user: key`. Empty lines, and lines that begin with
+    /// `#`, are ignored.
     pub fn parse(text: &str) -> Result<Users, InvalidUserLine> {
         let mut users = BTreeMap::new();
         for (index, line) in text.lines().enumerate() {
--- a/crates/wingfold-metrics/src/collectd/value.rs
+++ b/crates/wingfold-metrics/src/collectd/value.rs
@@ -1,4 +1,4 @@
-//! Values with their types, as the contents of a part.
+//! Encodes and decodes values with their types, which are the contents of a part.
 
 use super::part::split_u16;
 use super::PacketRejection;
@@ -13,11 +13,11 @@
 pub enum TypedValue {
     /// A running total that may wrap.
     Counter(u64),
-    /// A value at a time.
+    /// A value at one time.
     Gauge(f64),
-    /// A total that may also fall, of which the rate matters.
+    /// A total that may also decrease; receivers compute its rate.
     Derive(i64),
-    /// Events since the last reading.
+    /// The number of events since the last reading.
     Absolute(u64),
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether receivers accept it: a gauge must be finite.
+    /// Whether receivers accept the value: a gauge must be finite.
     pub(super) fn is_valid(&self) -> bool {
         match self {
             TypedValue::Gauge(value) => value.is_finite(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Only gauges are little-endian.
+    /// Gauges are little-endian; values of all other types are big-endian.
     fn to_bytes(self) -> [u8; NUMBER_BYTES] {
         match self {
             TypedValue::Counter(value) | TypedValue::Absolute(value) => value.to_be_bytes(),
@@ -59,7 +59,7 @@
     }
 }
 
-/// Values as the contents of a part: their count, all types, all numbers.
+/// Encodes values as the contents of a part: the number of values, then all types, then all numbers.
 pub(super) fn write_values(values: &[TypedValue]) -> Vec<u8> {
     let mut contents = (values.len() as u16).to_be_bytes().to_vec();
     contents.extend(values.iter().map(TypedValue::type_code));
--- a/crates/wingfold-metrics/src/collectd/value_list.rs
+++ b/crates/wingfold-metrics/src/collectd/value_list.rs
@@ -1,4 +1,4 @@
-//! Value lists, and how samples become one.
+//! Value lists, and the conversion of samples into value lists.
 
 use super::TypedValue;
 use crate::interval::{Interval, Sample, Value};
@@ -16,20 +16,20 @@
 wingfold_spread\tcount:ABSOLUTE:0:U, p50:GAUGE:0:U, p90:GAUGE:0:U, p99:GAUGE:0:U, max:GAUGE:0:U
 ";
 
-/// Values with one name and time.
+/// Values that have the same name and the same time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ValueList {
     /// The machine, or the director.
     pub host: String,
-    /// What read the values.
+    /// The plugin that read the values.
     pub plugin: String,
-    /// Tells instances of the plugin apart.
+    /// Distinguishes instances of the plugin.
     pub plugin_instance: String,
     /// The type of the values: an entry of a types database.
     pub type_name: String,
-    /// Tells values of one type apart.
+    /// Distinguishes values of one type.
     pub type_instance: String,
-    /// In 2^-30 seconds of the Unix epoch.
+    /// The time since the Unix epoch, in 2^-30 seconds.
     pub time: u64,
     /// The length of an interval, in 2^-30 seconds.
     pub interval: u64,
@@ -38,7 +38,7 @@
 }
 
 impl ValueList {
-    /// A sample as a value list; `None` if one of its values is not finite.
+    /// Converts a sample into a value list. Returns `None` if one of the sample's values is not finite.
     pub fn from_sample(director: &str, interval: &Interval, sample: &Sample) -> Option<ValueList> {
         let values = typed_values(sample);
         if !values.iter().all(TypedValue::is_valid) {
@@ -83,7 +83,7 @@
     ((u128::from(micros) << 30) / 1_000_000) as u64
 }
 
-/// Converts a time in collectd's unit of 2^-30 seconds.
+/// Converts a time in collectd's unit of 2^-30 seconds into microseconds.
 pub fn timestamp(time: u64) -> Timestamp {
     Timestamp(((u128::from(time) * 1_000_000) >> 30) as u64)
 }
--- a/crates/wingfold-metrics/src/graphite.rs
+++ b/crates/wingfold-metrics/src/graphite.rs
@@ -1,5 +1,5 @@
-//! Encodings of Graphite: plain text lines, and pickled lists with a length prefix. After the public
-//! description of carbon's protocols ("Feeding In Your Data" of Graphite's documentation): `path value
+//! The encodings of Graphite: plain text lines, and pickled lists with a length prefix. They follow the
+//! public description of carbon's protocols ("Feeding In Your Data" of Graphite's documentation): `path value
 //! time\n` with tags as `;name=value` after the path, or a big-endian length of four bytes and a pickled list
 //! of `(path, (time, value))`.
 
@@ -11,9 +11,9 @@
 use std::sync::Arc;
 use wingfold_director::interface::Timestamp;
 
-/// Points of one pickled message: receivers reject messages of more than a megabyte.
+/// The largest number of points in a pickled message: receivers reject messages of more than a megabyte.
 const POINTS_PER_PICKLE: usize = 500;
-/// Bytes of one datagram: small enough not to be fragmented.
+/// The largest number of bytes in a datagram, small enough not to be fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
 const MICROS_PER_S: u64 = 1_000_000;
@@ -21,7 +21,7 @@
 /// How paths are written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Naming {
-    /// Parts that every path begins with, separated by dots; may be empty.
+    /// The parts, separated by dots, with which every path begins; may be empty.
     pub prefix: String,
     /// The director's name.
     pub director: String,
@@ -68,8 +68,8 @@
         path
     }
 
-    /// All points of an interval, the corrections of earlier ones first. Values that are not finite are left
-    /// out.
+    /// All points of an interval, beginning with the corrections of earlier intervals. Values that are not
+    /// finite are left out.
     pub fn points(&self, interval: &Interval) -> Vec<Point> {
         let mut points = Vec::new();
         for correction in &interval.corrections {
@@ -98,7 +98,7 @@
     value: f64,
 }
 
-/// The values of a sample: one of a counter or a gauge, five of a distribution.
+/// The values of a sample: a counter or a gauge has one value, a distribution has five.
 fn named_values(sample: &Sample) -> Vec<NamedValue> {
     match sample.value {
         Value::Count(count) => vec![NamedValue { name: "", value: count as f64 }],
--- a/crates/wingfold-metrics/src/meter.rs
+++ b/crates/wingfold-metrics/src/meter.rs
@@ -1,5 +1,6 @@
-//! Counts the events and the actions of the decision module and turns them into intervals. An interval ends
-//! at a whole multiple of its length; its cost grows with zones times hosts and classes, not with traffic.
+//! Counts the events and the actions of the decision module, and summarizes them in intervals. An interval
+//! ends at a whole multiple of its length. The cost of an interval grows with the number of zones times the
+//! number of hosts and classes, not with traffic.
 
 mod counts;
 mod export;
@@ -18,23 +19,24 @@
 };
 use wingfold_director::Director;
 
-/// Time between two updates of source states and admission levels.
+/// The time between two updates of source states and admission levels.
 const UPDATE_PERIOD: Micros = Micros(1_000_000);
-/// Reports that lag by no more than this are not counted as late.
+/// Reports are counted as late if the zone lags by more than this, in seconds.
 const LAG_TOLERANCE_S: f64 = 1.5;
-/// Delays are recorded in tenths of a millisecond.
+/// The resolution of recorded delays: tenths of a millisecond.
 const DELAY_RESOLUTION_US: u64 = 100;
-/// The largest value of a histogram: an hour in microseconds.
+/// The largest value that histograms record: one hour, for durations in microseconds. Histograms of delays,
+/// in tenths of a millisecond, have the same bound.
 const MAX_RECORDED: u64 = 3_600_000_000;
 
-/// A value that is counted outside of the meter.
+/// A value that is counted outside the meter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExternalValue {
     /// The metric.
     pub metric: Metric,
-    /// Values of its labels, in the order of the catalogue.
+    /// The values of the metric's labels, in the order of the catalogue.
     pub labels: Vec<Arc<str>>,
-    /// A running total or a gauge.
+    /// The running total or the gauge.
     pub value: u64,
 }
 
@@ -45,25 +47,25 @@
     labels: Vec<Arc<str>>,
 }
 
-/// All values of an interval that are counted outside of the meter.
+/// All values that are counted outside the meter, at the end of an interval.
 #[derive(Clone, Copy, Debug)]
 pub struct ExternalValues<'a> {
-    /// Delays from an action to its last written byte, in tenths of a millisecond.
+    /// Delays from an action until the last byte of the action is written, in tenths of a millisecond.
     pub write_delays: &'a Histogram<u64>,
-    /// Running totals: the interval has their increase.
+    /// Running totals. The interval contains their increase since the previous interval.
     pub totals: &'a [ExternalValue],
-    /// Gauges, sent as they are.
+    /// Gauges. The interval contains them unchanged.
     pub gauges: &'a [ExternalValue],
 }
 
 /// The work of one call of the decision module.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallCounts {
-    /// Duration of the call and of its actions, in microseconds.
+    /// The duration of the call, including carrying out its actions, in microseconds.
     pub duration_us: u64,
-    /// Messages sent to proxies.
+    /// Messages to proxies that resulted from the call.
     pub messages: usize,
-    /// Lines in them.
+    /// Lines in these messages.
     pub lines: usize,
     /// Lines in the send queue after the call.
     pub queued_lines: f64,
@@ -95,14 +97,14 @@
     zone_of_proxy: BTreeMap<ProxyId, usize>,
     /// Counts of the present interval.
     current: IntervalCounts,
-    /// Counts of the last intervals, the oldest first.
+    /// Counts of the last intervals, the oldest first, to which late reports are added.
     past: VecDeque<IntervalCounts>,
     module: ModuleCounts,
     failed_list_polls: u64,
     last_list_response_at: Timestamp,
     queued_lines: f64,
     max_queued_lines: f64,
-    /// In tenths of a millisecond.
+    /// Delays of acknowledgements, in tenths of a millisecond.
     acknowledgement_delays: Histogram<u64>,
     /// External running totals at the end of the last interval.
     previous_totals: BTreeMap<SeriesKey, u64>,
@@ -113,7 +115,7 @@
 }
 
 impl Meter {
-    /// A meter of a director that starts now, for intervals of `interval_length`.
+    /// A meter for a director that starts now, with intervals of `interval_length`.
     pub fn new(now: Timestamp, interval_length: Micros, director: &Director, classes: &[String]) -> Self {
         let settings = director.settings();
         let new_zone =
@@ -222,7 +224,7 @@
         self.zones.iter().position(|candidate| candidate.name == *zone)
     }
 
-    /// How late the reports of a zone are, in seconds; 0 if that is within their usual jitter.
+    /// How late the reports of a zone are, in seconds; 0 if the lag is within the tolerance.
     fn lateness_s(&self, zone: usize) -> f64 {
         let lag_s = self.zones[zone].lag.secs();
         if lag_s > LAG_TOLERANCE_S {
@@ -232,7 +234,8 @@
         }
     }
 
-    /// The counts of the interval that a report received now belongs to.
+    /// The counts of the interval to which a report belongs that is received now. A late report belongs to a
+    /// past interval, if that interval's counts are still kept.
     fn counts_for(&mut self, now: Timestamp, lateness_s: f64) -> &mut IntervalCounts {
         let measured_at = Timestamp(now.0.saturating_sub(Micros::from_secs(lateness_s).0));
         let length = self.interval_length;
@@ -247,12 +250,12 @@
         }
     }
 
-    /// Records a valid response of discovery, with or without changes.
+    /// Records a valid response of discovery, whether or not the endpoint list changed.
     pub fn record_list_response(&mut self, now: Timestamp) {
         self.last_list_response_at = now;
     }
 
-    /// Records messages of a zone's collector, whatever was in them.
+    /// Records messages from a zone's collector, whatever their contents.
     pub fn record_collector_activity(&mut self, now: Timestamp, zone: &ZoneId, messages: u64) {
         if messages == 0 {
             return;
@@ -262,7 +265,7 @@
         }
     }
 
-    /// Records a call of the decision module that has ended.
+    /// Records a completed call of the decision module.
     pub fn record_call(&mut self, call: CallCounts) {
         self.module.calls += 1;
         self.module.messages += call.messages as u64;
@@ -306,7 +309,8 @@
     }
 }
 
-/// Requests that the admission level in force rejected: proxies do not report them.
+/// The number of requests that the current admission level rejected. This is an estimate: proxies do not
+/// report rejections.
 fn estimated_rejections(mode: AdmissionMode, admission_level: f64, requests: AttemptCounts) -> f64 {
     let total = requests.total as f64;
     match mode {
--- a/crates/wingfold-metrics/src/meter/counts.rs
+++ b/crates/wingfold-metrics/src/meter/counts.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use wingfold_director::interface::{Micros, Timestamp};
 
-/// A class in a zone, both by position.
+/// The index of a zone, and of a class in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ServiceKey {
     pub(super) zone: usize,
@@ -16,11 +16,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct ServiceCounts {
     pub(super) offered: u64,
-    /// An estimate, see [`super::estimated_rejections`].
+    /// An estimate; see [`super::estimated_rejections`].
     pub(super) rejected: f64,
-    /// Admitted and not served.
+    /// Requests that were admitted but not served.
     pub(super) failed: u64,
-    /// Reported late in this interval, whichever interval they belong to.
+    /// Requests in late reports that arrived in this interval, whichever interval the requests belong to.
     pub(super) late: u64,
 }
 
@@ -29,7 +29,7 @@
 pub(super) struct AttemptTotals {
     pub(super) total: u64,
     pub(super) failed: u64,
-    /// Reported late in this interval, whichever interval they belong to.
+    /// Requests in late reports that arrived in this interval, whichever interval the requests belong to.
     pub(super) late: u64,
 }
 
@@ -38,9 +38,9 @@
 pub(super) struct IntervalCounts {
     pub(super) ends_at: Timestamp,
     pub(super) services: BTreeMap<ServiceKey, ServiceCounts>,
-    /// By the position of the zone.
+    /// By the index of the zone.
     pub(super) attempts: BTreeMap<usize, AttemptTotals>,
-    /// A late report has changed these counts since they were last sent.
+    /// Whether a late report has changed these counts since they were last exported.
     pub(super) is_corrected: bool,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Work of the decision module in the present interval.
+/// The work of the decision module in the present interval.
 #[derive(Debug)]
 pub(super) struct ModuleCounts {
     pub(super) calls: u64,
--- a/crates/wingfold-metrics/src/meter/export.rs
+++ b/crates/wingfold-metrics/src/meter/export.rs
@@ -1,5 +1,4 @@
-//! Turns the counts of an interval into samples. The order of the samples is the order in which they are
-//! sent.
+//! Converts the counts of an interval into samples, in the order in which the samples are sent.
 
 use super::counts::{IntervalCounts, ServiceCounts, ServiceKey};
 use super::samples::SampleList;
@@ -12,11 +11,11 @@
 use wingfold_director::interface::Timestamp;
 use wingfold_director::Director;
 
-/// Past intervals that late reports are still added to.
+/// The number of past intervals to which late reports are still added.
 const MAX_PAST_INTERVALS: usize = 3;
-/// Histograms of delays are in tenths of a millisecond, their metrics in milliseconds.
+/// Histograms of delays are in tenths of a millisecond; the metrics are in milliseconds.
 const DELAYS_PER_MS: f64 = 10.0;
-/// The histogram of call durations has the unit of its metric.
+/// The histogram of call durations and its metric are both in microseconds.
 const DURATIONS_PER_US: f64 = 1.0;
 
 impl Meter {
@@ -52,7 +51,7 @@
         })
     }
 
-    /// Keeps the counts of the interval that has ended, for late reports, and begins the next one.
+    /// Moves the counts of the ended interval to the past intervals, and begins the next interval.
     fn start_interval(&mut self, previous_ended_at: Timestamp) {
         self.interval_number += 1;
         self.interval_ends_at = Timestamp(previous_ended_at.0 + self.interval_length.0);
@@ -107,7 +106,8 @@
         }
     }
 
-    /// Adds the attempts of a zone. Without a report no zero is sent: the samples are left out.
+    /// Adds the attempts of a zone. If the zone does not report, the samples are left out: zeros would say
+    /// that no attempts were made.
     fn export_attempts(&self, index: usize, samples: &mut SampleList) {
         let zone = &self.zones[index];
         let attempts = self.current.attempts.get(&index).copied().unwrap_or_default();
@@ -131,7 +131,7 @@
         let key = ServiceKey { zone: zone_index, class };
         let service = self.current.services.get(&key).copied().unwrap_or_default();
         let is_reporting = usage.has_reported() && usage.state() == SourceState::Reporting;
-        // Usage of any class in this interval shows that this class had none.
+        // If any class of the zone reported usage in this interval, a class without usage had no requests.
         let zone_has_usage = zone.last_usage_at.is_some_and(|at| now.since(at) < self.interval_length.secs());
         if service != ServiceCounts::default() || is_reporting || zone_has_usage {
             export_service(&service, labels, samples);
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The counters of past intervals that late reports have changed since they were last sent.
+    /// The counters of past intervals that late reports have changed since the counters were last exported.
     fn take_corrections(&mut self) -> Vec<Correction> {
         let mut corrections = Vec::new();
         for counts in self.past.iter_mut().filter(|counts| counts.is_corrected) {
@@ -170,7 +170,8 @@
     }
 }
 
-/// Adds how many hosts of the zone are in each state, and its connected proxies.
+/// Adds the number of hosts in each state in the zone's tables, and the number of the zone's connected
+/// proxies.
 fn export_hosts(zone: &ZoneMeter, director: &Director, samples: &mut SampleList) {
     let hosts = director.host_counts(&zone.name);
     let mut push = |metric, count: usize| samples.push_gauge(metric, &[&zone.name.0], count as f64);
@@ -184,7 +185,7 @@
     push(Metric::ProxiesConnected, zone.connected_proxies.len());
 }
 
-/// Adds the zone's disconnections and the states of its sources.
+/// Adds the zone's disconnections, and the ages and states of the zone's sources of reports.
 fn export_sources(zone: &mut ZoneMeter, now: Timestamp, samples: &mut SampleList) {
     let label = &zone.name.0;
     samples.push_count(Metric::ProxiesDisconnected, &[label], std::mem::take(&mut zone.disconnections));
@@ -195,7 +196,7 @@
     samples.push_gauge(Metric::CollectorState, &[label], zone.collector.state().number());
 }
 
-/// Adds the counters of a class in a zone that late reports may correct.
+/// Adds the counters of a class in a zone. These are the counters that late reports may correct.
 fn export_service(service: &ServiceCounts, labels: [&Arc<str>; 2], samples: &mut SampleList) {
     let rejected = (service.rejected.round() as u64).min(service.offered);
     samples.push_count(Metric::RequestsOffered, &labels, service.offered);
--- a/crates/wingfold-metrics/src/meter/samples.rs
+++ b/crates/wingfold-metrics/src/meter/samples.rs
@@ -1,4 +1,4 @@
-//! A list of samples that is being built.
+//! A list to which samples are added during an export.
 
 use crate::catalogue::Metric;
 use crate::interval::{Distribution, Sample, Value};
@@ -23,7 +23,7 @@
         self.push(metric, labels, Value::Count(count));
     }
 
-    /// Adds a distribution unless it is empty.
+    /// Adds a distribution, unless it is `None` because no value was recorded.
     pub(super) fn push_distribution(
         &mut self,
         metric: Metric,
--- a/crates/wingfold-metrics/src/meter/zone.rs
+++ b/crates/wingfold-metrics/src/meter/zone.rs
@@ -1,4 +1,4 @@
-//! What is measured of one zone.
+//! The measurements of one zone.
 
 use super::{new_histogram, DELAY_RESOLUTION_US};
 use crate::lag::LagEstimator;
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use wingfold_director::interface::{AttemptCounts, Micros, ProxyId, Timestamp, ZoneId};
 
-/// Connected proxies are compared with their largest number in this time.
+/// The number of connected proxies is compared with its maximum over this time, in seconds.
 const CONNECTION_HISTORY_S: f64 = 60.0;
 
 /// The number of connected proxies at a time.
@@ -23,17 +23,17 @@
     pub(super) name: ZoneId,
     pub(super) load_reports: SourceMonitor,
     pub(super) collector: SourceMonitor,
-    /// Usage reports of each class, by position.
+    /// The monitors of usage reports, by class.
     pub(super) class_usage: Vec<SourceMonitor>,
     pub(super) lag: LagEstimator,
-    /// Of each class, by position.
+    /// The admission levels, by class.
     pub(super) admission_levels: Vec<f64>,
-    /// Connected proxies, with the requests per second they announced.
+    /// Connected proxies, with the requests per second that each announced when it connected.
     pub(super) connected_proxies: BTreeMap<ProxyId, f64>,
     connection_history: VecDeque<ConnectionSample>,
     /// When a proxy of the zone last reported usage of any class.
     pub(super) last_usage_at: Option<Timestamp>,
-    /// In the present interval.
+    /// Proxies that disconnected in the present interval.
     pub(super) disconnections: u64,
     /// Latencies of successful attempts, in tenths of a millisecond.
     pub(super) attempt_latencies: Histogram<u64>,
@@ -70,7 +70,7 @@
         self.attempt_latencies.saturating_record_n(latency, successes);
     }
 
-    /// Updates the states of all sources of the zone.
+    /// Updates the states of all sources of reports of the zone.
     pub(super) fn update_sources(&mut self, now: Timestamp, report_period: Micros, hosts_unreachable: bool) {
         let streams_broken = self.update_connection_history(now);
         let overdue_s = OVERDUE_PERIODS * report_period.secs();
@@ -90,7 +90,7 @@
         self.collector.update(now, expected_per_s, evidence(has_usage, false));
     }
 
-    /// Announced requests per second of all connected proxies; `None` if no proxy is connected.
+    /// The requests per second that all connected proxies announced; `None` if no proxy is connected.
     fn expected_reports_per_s(&self) -> Option<f64> {
         if self.connected_proxies.is_empty() {
             return None;
@@ -98,7 +98,8 @@
         Some(self.connected_proxies.values().sum())
     }
 
-    /// Records how many proxies are connected; returns whether the zone lost most of them a short while ago.
+    /// Records how many proxies are connected. Returns whether less than half of the recent maximum is
+    /// connected, or none if the maximum is 1.
     fn update_connection_history(&mut self, now: Timestamp) -> bool {
         let connected = self.connected_proxies.len();
         self.connection_history.push_back(ConnectionSample { at: now, proxies: connected });
--- a/crates/wingfold-metrics/src/sink/tests.rs
+++ b/crates/wingfold-metrics/src/sink/tests.rs
@@ -176,8 +176,9 @@
             for action in &out {
                 match action {
                     SinkAction::Disconnect => writing = None,
-                    SinkAction::Write { bytes, offset: from } => {
-                        prop_assert!(writing.is_none() && *from == 0, "one interval at a time, from offset 0");
+                    SinkAction::Write { bytes, offset } => {
+                        let starts_anew = writing.is_none() && *offset == 0;
+                        prop_assert!(starts_anew, "one interval at a time, from its start");
                         writing = Some((bytes.clone(), 0));
                     }
                     SinkAction::Connect => prop_assert!(writing.is_none()),
--- a/crates/wingfold-metrics/src/source_monitor.rs
+++ b/crates/wingfold-metrics/src/source_monitor.rs
@@ -1,18 +1,19 @@
-//! Detects whether a source of reports is silent, and tells an outage from a period with nothing to report:
-//! by the reports that are expected of the source, not by time alone.
+//! Detects whether a source of reports is silent, and distinguishes an outage from a period with nothing to
+//! report. This depends on the number of reports that were expected of the source, not on time alone.
 
 #[cfg(test)]
 mod tests;
 
 use wingfold_director::interface::{Micros, Timestamp};
 
-/// State of a source of reports, the least severe first.
+/// The state of a source of reports. The least severe state is first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SourceState {
     /// Reports arrive when they are due.
     #[default]
     Reporting,
-    /// No report arrives, and none is missing: next to nothing happened, or the source's peers still report.
+    /// No report arrives, which is no sign of an outage: hardly any reports were expected, or other sources
+    /// of the zone still report.
     Quiet,
     /// Reports are due and do not arrive.
     Silent,
@@ -21,7 +22,7 @@
 }
 
 impl SourceState {
-    /// The value of the state metrics.
+    /// The state's value in metrics.
     pub fn number(self) -> f64 {
         f64::from(self as u8)
     }
@@ -37,25 +38,27 @@
     }
 }
 
-/// A report is overdue after this many report periods: reports take one or two of them to arrive.
+/// A report is overdue after this many report periods: reports take one or two report periods to arrive.
 pub(crate) const OVERDUE_PERIODS: f64 = 3.5;
 /// The shortest report period that is monitored, in seconds.
 pub(crate) const MIN_PERIOD_S: f64 = 0.05;
-/// A gap in which this many reports were expected is no chance: that has a probability of about 1 in 20,000.
+/// A gap in which this many reports were expected is significant: it occurs by chance with a probability of
+/// about 1 in 20,000.
 pub(crate) const SIGNIFICANT_REPORTS: f64 = 10.0;
-/// Time constant of the usual report rate, in seconds.
+/// The time constant of the usual report rate, in seconds.
 pub(crate) const RATE_MEMORY_S: f64 = 20.0;
-/// Reports after which a silent source counts as reporting again: a single delayed datagram is no recovery.
+/// The number of reports after which a silent source counts as reporting again: a single delayed datagram is
+/// no recovery.
 const RECOVERY_REPORTS: u32 = 2;
 
-/// Evidence of what caused a silence.
+/// Evidence of the reason why no reports arrive.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutageEvidence {
     /// Other sources of the same zone still report.
     pub other_sources_active: bool,
-    /// Those that would report had nothing to report.
+    /// The proxies that report to this source had nothing to report.
     pub idle: bool,
-    /// Most of the zone's streams ended a short while ago and were not opened again.
+    /// Most of the zone's streams ended recently and were not opened again.
     pub streams_broken: bool,
     /// No attempt of another zone reaches the zone's hosts.
     pub hosts_unreachable: bool,
@@ -66,10 +69,10 @@
 pub struct SourceMonitor {
     period_s: f64,
     state: SourceState,
-    /// `None` if there was no report yet.
+    /// `None` before the first report.
     last_report_at: Option<Timestamp>,
     created_at: Timestamp,
-    /// Exponentially weighted.
+    /// An exponentially weighted mean.
     usual_rate_per_s: f64,
     rate_updated_at: Timestamp,
     /// Reports since the source was last overdue.
@@ -98,13 +101,14 @@
         self.reports_since_overdue += 1;
     }
 
-    /// The rate decays only when a report arrives, so that a silence does not become the usual rate.
+    /// Decays the usual rate. This is done only when a report arrives, so that the rate is kept during a
+    /// silence.
     fn decay_rate(&mut self, now: Timestamp) {
         self.usual_rate_per_s *= (-now.since(self.rate_updated_at) / RATE_MEMORY_S).exp();
         self.rate_updated_at = now;
     }
 
-    /// Seconds since the last report, or since the source is known if there was none.
+    /// Seconds since the last report, or since the monitor was created if there was no report.
     pub fn age_s(&self, now: Timestamp) -> f64 {
         now.since(self.last_report_at.unwrap_or(self.created_at))
     }
@@ -114,8 +118,8 @@
         self.last_report_at.is_some()
     }
 
-    /// Updates the state and returns it. `expected_per_s` is the rate to be expected of the connected
-    /// proxies, used until the first report; `None` if no proxy is connected.
+    /// Updates the state and returns it. `expected_per_s` is the rate that the connected proxies are expected
+    /// to report, which is used until the first report; `None` if no proxy is connected.
     pub fn update(
         &mut self,
         now: Timestamp,
@@ -171,7 +175,7 @@
         }
     }
 
-    /// Whether the gap is too long to be chance at the usual rate.
+    /// Whether the gap since the last report is too long to occur by chance at the usual rate.
     fn has_missed_reports(&self, age_s: f64, expected_per_s: Option<f64>) -> bool {
         let rate_per_s =
             if self.has_reported() { self.usual_rate_per_s } else { expected_per_s.unwrap_or(0.0) };
@@ -184,7 +188,8 @@
     }
 }
 
-/// Without connected proxies, one piece of evidence alone may also mean that they moved to another director.
+/// Whether the evidence shows a network partition. If no proxies are connected, broken streams alone may also
+/// mean that the proxies moved to another director, so both pieces of evidence are required.
 fn is_partition(proxies_connected: bool, evidence: OutageEvidence) -> bool {
     if proxies_connected {
         evidence.streams_broken || evidence.hosts_unreachable
--- a/crates/wingfold-metrics/src/source_monitor/tests.rs
+++ b/crates/wingfold-metrics/src/source_monitor/tests.rs
@@ -1,4 +1,4 @@
-//! States of a source, by its reports and the evidence.
+//! The state of a source, depending on its reports and on the evidence.
 
 use super::*;
 use proptest::prelude::*;
@@ -7,13 +7,13 @@
     Timestamp::from_secs(secs)
 }
 
-fn length(secs: f64) -> Micros {
+fn duration(secs: f64) -> Micros {
     Micros::from_secs(secs)
 }
 
-/// A source that reports `count` each second until a time.
+/// A monitor of a source that has reported `count` each second up to second `until`.
 fn reporting_source(count: f64, until: f64) -> SourceMonitor {
-    let mut monitor = SourceMonitor::new(at(0.0), length(1.0));
+    let mut monitor = SourceMonitor::new(at(0.0), duration(1.0));
     for second in 1..=until as u32 {
         monitor.record(at(f64::from(second)), count);
         assert_eq!(
@@ -25,58 +25,58 @@
 }
 
 #[test]
-fn a_busy_place_that_stops_is_silent_and_a_calm_one_is_quiet() {
+fn busy_source_becomes_silent_and_rare_source_quiet() {
     let mut busy = reporting_source(20.0, 60.0);
     assert_eq!(
         busy.update(at(63.0), Some(0.0), OutageEvidence::default()),
         SourceState::Reporting,
-        "not late yet"
+        "no report is overdue yet"
     );
     assert_eq!(busy.update(at(64.0), Some(0.0), OutageEvidence::default()), SourceState::Silent);
-    let mut calm = SourceMonitor::new(at(0.0), length(1.0));
+    let mut rare = SourceMonitor::new(at(0.0), duration(1.0));
     for second in (1..=60).step_by(15) {
-        calm.record(at(f64::from(second)), 1.0);
+        rare.record(at(f64::from(second)), 1.0);
     }
     assert_eq!(
-        calm.update(at(66.0), Some(0.0), OutageEvidence::default()),
+        rare.update(at(66.0), Some(0.0), OutageEvidence::default()),
         SourceState::Quiet,
-        "one in 15 s: chance explains it"
+        "with one report in 15 s, the gap may be chance"
     );
     assert_eq!(
-        calm.update(at(400.0), Some(0.0), OutageEvidence::default()),
+        rare.update(at(400.0), Some(0.0), OutageEvidence::default()),
         SourceState::Silent,
-        "for six minutes it does not"
+        "a gap of six minutes is not chance"
     );
-    assert!(calm.age_s(at(400.0)) > 300.0, "and its age rises");
+    assert!(rare.age_s(at(400.0)) > 300.0, "the age grows");
 }
 
 #[test]
-fn a_night_that_grows_quiet_is_no_cut() {
-    let mut monitor = SourceMonitor::new(at(0.0), length(1.0));
+fn slowly_declining_reports_are_never_silent() {
+    let mut monitor = SourceMonitor::new(at(0.0), duration(1.0));
     let mut now = 0.0;
-    // Ever less, down to one piece in twenty seconds.
+    // The reports decline to one report in 20 s.
     for gap in [1.0, 2.0, 4.0, 8.0, 15.0, 20.0] {
         for _ in 0..8 {
             now += gap;
             monitor.record(at(now), 1.0);
             let state = monitor.update(at(now + 0.9 * gap), Some(0.0), OutageEvidence::default());
-            assert!(state <= SourceState::Quiet, "a piece in {gap} s: {state:?}");
+            assert!(state <= SourceState::Quiet, "one report in {gap} s: {state:?}");
         }
     }
 }
 
 #[test]
-fn a_cut_is_told_from_a_dead_collector_and_stays_until_it_is_heard_again() {
-    let cut = OutageEvidence { streams_broken: true, ..OutageEvidence::default() };
+fn partition_needs_evidence_and_lasts_until_reports_return() {
+    let broken_streams = OutageEvidence { streams_broken: true, ..OutageEvidence::default() };
     let mut monitor = reporting_source(20.0, 60.0);
-    assert_eq!(monitor.update(at(64.0), Some(0.0), cut), SourceState::Partitioned);
-    // The signs pass (nobody tries the hosts any more), the cut does not.
+    assert_eq!(monitor.update(at(64.0), Some(0.0), broken_streams), SourceState::Partitioned);
+    // The evidence expires, since no attempts are made at the hosts any more; the partition lasts.
     assert_eq!(monitor.update(at(90.0), Some(0.0), OutageEvidence::default()), SourceState::Partitioned);
     monitor.record(at(91.0), 5.0);
     assert_eq!(
         monitor.update(at(91.1), Some(0.0), OutageEvidence::default()),
         SourceState::Partitioned,
-        "one late piece is no return"
+        "a single late report is no recovery"
     );
     monitor.record(at(92.0), 5.0);
     assert_eq!(monitor.update(at(92.1), Some(0.0), OutageEvidence::default()), SourceState::Reporting);
@@ -85,7 +85,7 @@
     assert_eq!(
         collector.update(at(64.0), Some(0.0), others),
         SourceState::Silent,
-        "its proxies speak: it is dead"
+        "the zone's proxies report, so only the collector fails"
     );
     let idle = OutageEvidence { other_sources_active: true, idle: true, ..OutageEvidence::default() };
     let mut idle_class = reporting_source(20.0, 60.0);
@@ -93,33 +93,33 @@
 }
 
 #[test]
-fn where_nothing_is_due_nothing_is_missed() {
+fn source_without_expected_reports_is_not_silent() {
     let mut monitor = reporting_source(20.0, 60.0);
-    let gone = OutageEvidence { streams_broken: true, ..OutageEvidence::default() };
+    let broken_streams = OutageEvidence { streams_broken: true, ..OutageEvidence::default() };
     assert_eq!(
-        monitor.update(at(100.0), None, gone),
+        monitor.update(at(100.0), None, broken_streams),
         SourceState::Quiet,
-        "its proxies went to another director"
+        "the proxies moved to another director"
     );
-    let cut = OutageEvidence { hosts_unreachable: true, ..gone };
+    let unreachable = OutageEvidence { hosts_unreachable: true, ..broken_streams };
     assert_eq!(
-        monitor.update(at(101.0), None, cut),
+        monitor.update(at(101.0), None, unreachable),
         SourceState::Partitioned,
-        "they went, and its hosts are out of reach"
+        "the proxies left, and the hosts are unreachable"
     );
-    let mut never = SourceMonitor::new(at(0.0), length(1.0));
+    let mut never = SourceMonitor::new(at(0.0), duration(1.0));
     assert_eq!(
         never.update(at(2.0), Some(20.0), OutageEvidence::default()),
         SourceState::Reporting,
-        "not due yet"
+        "no report is overdue yet"
     );
     assert_eq!(
         never.update(at(9.0), Some(20.0), OutageEvidence::default()),
         SourceState::Silent,
-        "due and never heard"
+        "reports were expected and none ever arrived"
     );
     assert!(!never.has_reported());
-    let mut idle = SourceMonitor::new(at(0.0), length(1.0));
+    let mut idle = SourceMonitor::new(at(0.0), duration(1.0));
     assert_eq!(
         idle.update(at(60.0), Some(0.01), OutageEvidence::default()),
         SourceState::Quiet,
@@ -129,21 +129,28 @@
 
 proptest! {
     #[test]
-    fn whatever_comes_states_follow_their_rules(steps in prop::collection::vec((0.01..20.0f64, 0.0..30.0f64, any::<[bool; 6]>()), 1..60)) {
-        let mut monitor = SourceMonitor::new(at(0.0), length(1.0));
+    fn states_follow_from_age_and_evidence(
+        steps in prop::collection::vec((0.01..20.0f64, 0.0..30.0f64, any::<[bool; 6]>()), 1..60),
+    ) {
+        let mut monitor = SourceMonitor::new(at(0.0), duration(1.0));
         let mut now = 0.0;
-        for (step, pieces, [hears, due, other_sources_active, idle, streams_broken, hosts_unreachable]) in steps {
+        for (step, count, flags) in steps {
+            let [reports, is_expected, other_sources_active, idle, streams_broken, hosts_unreachable] = flags;
             now += step;
-            if hears {
-                monitor.record(at(now), pieces);
+            if reports {
+                monitor.record(at(now), count);
             }
             let age = monitor.age_s(at(now));
-            let due = due.then_some(2.0);
-            let state = monitor.update(at(now), due, OutageEvidence { other_sources_active, idle, streams_broken, hosts_unreachable });
-            prop_assert!(age >= 0.0 && (age <= 3.5 || state != SourceState::Reporting), "late is never heard");
+            let expected_per_s = is_expected.then_some(2.0);
+            let evidence = OutageEvidence { other_sources_active, idle, streams_broken, hosts_unreachable };
+            let state = monitor.update(at(now), expected_per_s, evidence);
+            prop_assert!(
+                age >= 0.0 && (age <= 3.5 || state != SourceState::Reporting),
+                "an overdue source is not reporting"
+            );
             prop_assert!(!(other_sources_active && idle) || age <= 3.5 || state == SourceState::Quiet);
             if other_sources_active && age > 3.5 {
-                prop_assert!(state != SourceState::Partitioned, "what speaks is not cut off");
+                prop_assert!(state != SourceState::Partitioned, "other sources are active");
             }
         }
     }
--- a/crates/wingfold-metrics/tests/docs.rs
+++ b/crates/wingfold-metrics/tests/docs.rs
@@ -1,8 +1,8 @@
-//! The operators' page has the catalogue as it is.
+//! The operators' page contains the catalogue.
 
 #[test]
-fn the_page_has_every_figure_as_the_catalogue_says_it() {
+fn operators_page_ends_with_the_catalogue_table() {
     let page = include_str!("../../../docs/figures.md");
     let table = wingfold_metrics::catalogue::markdown();
-    assert!(page.ends_with(&table), "write it anew: wingfold metrics list --markdown");
+    assert!(page.ends_with(&table), "replace the table by the output of: wingfold metrics list --markdown");
 }
--- a/crates/wingfold-metrics/tests/large.rs
+++ b/crates/wingfold-metrics/tests/large.rs
@@ -1,4 +1,4 @@
-//! A large site: 511 hosts, six zones, three classes, 900 proxies in one interval.
+//! One interval of a large deployment: 511 hosts, six zones, three classes and 900 proxies.
 
 use hdrhistogram::Histogram;
 use std::time::Instant;
@@ -15,8 +15,8 @@
     Credentials { user: "u".into(), key: "k".into() }
 }
 
-fn site() -> (Director, Meter) {
-    let zones: Vec<ZoneId> = (0..6).map(|at| ZoneId(format!("hall {at}").into())).collect();
+fn deployment() -> (Director, Meter) {
+    let zones: Vec<ZoneId> = (0..6).map(|index| ZoneId(format!("zone {index}").into())).collect();
     let class = || Class {
         latency_objective: Micros(1_000_000),
         deadline: Micros(3_000_000),
@@ -40,21 +40,21 @@
         ..Settings::default()
     };
     let mut director = Director::new(settings, 1);
-    let entry = |at: usize| Endpoint {
-        host: HostId(format!("10.0.{}.{}:8443", at / 250, at % 250).into()),
+    let endpoint = |index: usize| Endpoint {
+        host: HostId(format!("10.0.{}.{}:8443", index / 250, index % 250).into()),
         machine_type: "box".into(),
-        zone: zones[at % 6].clone(),
+        zone: zones[index % 6].clone(),
         readiness: Readiness::Ready,
         weight: 1.0,
         started_at: None,
     };
     let mut events = vec![Event::EndpointList {
         kind: EndpointListKind::Complete,
-        endpoints: (0..511).map(entry).collect(),
+        endpoints: (0..511).map(endpoint).collect(),
     }];
-    events.extend((0..900).map(|at| Event::ProxyConnected {
-        proxy: ProxyId(at),
-        zone: zones[at as usize % 6].clone(),
+    events.extend((0..900).map(|id| Event::ProxyConnected {
+        proxy: ProxyId(id),
+        zone: zones[id as usize % 6].clone(),
         requests_per_s: 3.0,
     }));
     let now = Timestamp(1_000_000);
@@ -64,59 +64,63 @@
     (director, meter)
 }
 
+/// An interval with load reports and usage of all zones, and the seconds that it took to end the interval.
 fn interval() -> (Interval, f64) {
-    let (director, mut meter) = site();
-    let sums = AttemptCounts { total: 4, failed: 1, period: Micros(1_000_000) };
+    let (director, mut meter) = deployment();
+    let counts = AttemptCounts { total: 4, failed: 1, period: Micros(1_000_000) };
     for zone in director.settings().zones.clone() {
         for host in director.hosts() {
-            let heard = Event::LoadReport {
+            let report = Event::LoadReport {
                 zone: zone.clone(),
                 host: host.clone(),
-                attempts: sums,
+                attempts: counts,
                 mean_latency: Micros(90_000),
                 load: HostLoad::default(),
             };
-            meter.record_event(Timestamp(4_000_000), &heard);
+            meter.record_event(Timestamp(4_000_000), &report);
         }
     }
     for proxy in 0..900 {
         (0..3).for_each(|class| {
             meter.record_event(
                 Timestamp(4_000_000),
-                &Event::Usage { proxy: ProxyId(proxy), class: ClassId(class), requests: sums },
+                &Event::Usage { proxy: ProxyId(proxy), class: ClassId(class), requests: counts },
             )
         });
     }
     meter.update(Timestamp(10_000_000), &director);
-    let begun = Instant::now();
+    let started = Instant::now();
     let write_delays = Histogram::new(2).unwrap();
     let external = ExternalValues { write_delays: &write_delays, totals: &[], gauges: &[] };
     let interval = meter.end_interval(Timestamp(10_000_000), &director, external).unwrap();
-    (interval, begun.elapsed().as_secs_f64())
+    (interval, started.elapsed().as_secs_f64())
 }
 
 #[test]
-fn an_interval_of_a_large_site_is_whole_in_every_form() {
+fn interval_of_large_deployment_is_encoded_completely() {
     let (interval, _) = interval();
     let naming = Naming { prefix: "wingfold".into(), director: "n1".into(), tags: false };
     let points = naming.points(&interval);
-    let of = |name: &str| points.iter().filter(|point| point.path.starts_with(name)).count();
-    assert_eq!(of("wingfold.n1.service.asked."), 18);
-    assert_eq!(of("wingfold.n1.hosts.leading."), 6);
-    assert!(points.iter().all(|point| !point.path.contains(' ')), "halls have blanks in their names");
-    let asked = interval.samples.iter().filter(|sample| sample.metric == Metric::RequestsOffered);
-    assert_eq!(asked.count(), 18);
-    let lists: Vec<_> =
-        interval.samples.iter().filter_map(|one| ValueList::from_sample("n1", &interval, one)).collect();
-    let mut chance = <rand_chacha::ChaCha8Rng as rand::SeedableRng>::seed_from_u64(1);
-    let packets = encode_packets(&lists, DEFAULT_PACKET_BYTES, &PacketSecurity::None, &mut chance);
-    let read: usize = packets.iter().map(|packet| decode_packet(packet).unwrap().len()).sum();
-    assert_eq!(read, lists.len());
+    let points_below = |name: &str| points.iter().filter(|point| point.path.starts_with(name)).count();
+    assert_eq!(points_below("wingfold.n1.service.asked."), 18);
+    assert_eq!(points_below("wingfold.n1.hosts.leading."), 6);
+    assert!(points.iter().all(|point| !point.path.contains(' ')), "spaces in the names of zones are escaped");
+    let offered = interval.samples.iter().filter(|sample| sample.metric == Metric::RequestsOffered);
+    assert_eq!(offered.count(), 18);
+    let lists: Vec<_> = interval
+        .samples
+        .iter()
+        .filter_map(|sample| ValueList::from_sample("n1", &interval, sample))
+        .collect();
+    let mut rng = <rand_chacha::ChaCha8Rng as rand::SeedableRng>::seed_from_u64(1);
+    let packets = encode_packets(&lists, DEFAULT_PACKET_BYTES, &PacketSecurity::None, &mut rng);
+    let decoded: usize = packets.iter().map(|packet| decode_packet(packet).unwrap().len()).sum();
+    assert_eq!(decoded, lists.len());
     assert!(graphite::encode_pickles(&points).len() > points.len() * 20);
 }
 
 #[test]
-#[ignore = "a measurement: what an interval of a large site costs, and figures a second in each form"]
+#[ignore = "a measurement: the time to end a large interval, and points per second of each encoding"]
 fn measure() {
     let mut times: Vec<f64> = (0..9).map(|_| interval().1 * 1e6).collect();
     times.sort_by(f64::total_cmp);
@@ -124,12 +128,15 @@
     println!("an interval of {} samples: {:.0} us (median of 9)", interval.samples.len(), times[4]);
     let naming = Naming { prefix: "wingfold".into(), director: "n1".into(), tags: false };
     let rate = |name: &str, work: &dyn Fn() -> usize| {
-        let begun = Instant::now();
-        let mut done = 0;
-        while begun.elapsed().as_secs_f64() < 1.0 {
-            done += work();
+        let started = Instant::now();
+        let mut points = 0;
+        while started.elapsed().as_secs_f64() < 1.0 {
+            points += work();
         }
-        println!("{name}: {:.2} million figures a second", done as f64 / begun.elapsed().as_secs_f64() / 1e6);
+        println!(
+            "{name}: {:.2} million points per second",
+            points as f64 / started.elapsed().as_secs_f64() / 1e6
+        );
     };
     rate("lines", &|| {
         let points = naming.points(&interval);
@@ -150,10 +157,10 @@
             let lists: Vec<_> = interval
                 .samples
                 .iter()
-                .filter_map(|one| ValueList::from_sample("n1", &interval, one))
+                .filter_map(|sample| ValueList::from_sample("n1", &interval, sample))
                 .collect();
-            let mut chance = <rand_chacha::ChaCha8Rng as rand::SeedableRng>::seed_from_u64(1);
-            encode_packets(&lists, DEFAULT_PACKET_BYTES, &security, &mut chance);
+            let mut rng = <rand_chacha::ChaCha8Rng as rand::SeedableRng>::seed_from_u64(1);
+            encode_packets(&lists, DEFAULT_PACKET_BYTES, &security, &mut rng);
             lists.len()
         });
     }
