--- a/crates/wingfold-metrics/src/graphite.rs
+++ b/crates/wingfold-metrics/src/graphite.rs
@@ -18,7 +18,7 @@
 
 const MICROS_PER_S: u64 = 1_000_000;
 
-/// How paths are written.
+/// How the paths of points are formed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Naming {
     /// The parts, separated by dots, with which every path begins; may be empty.
--- a/crates/wingfold-metrics/src/meter.rs
+++ b/crates/wingfold-metrics/src/meter.rs
@@ -47,7 +47,7 @@
     labels: Vec<Arc<str>>,
 }
 
-/// All values that are counted outside the meter, at the end of an interval.
+/// All values of an interval that are counted outside the meter.
 #[derive(Clone, Copy, Debug)]
 pub struct ExternalValues<'a> {
     /// Delays from an action until the last byte of the action is written, in tenths of a millisecond.
--- a/crates/wingfold-metrics/src/meter/export.rs
+++ b/crates/wingfold-metrics/src/meter/export.rs
@@ -19,8 +19,8 @@
 const DURATIONS_PER_US: f64 = 1.0;
 
 impl Meter {
-    /// Ends the present interval if its time has come. Intervals that passed without a call in between are
-    /// skipped: nothing is known of them.
+    /// Ends the present interval if its time has come. If several intervals have passed since the last
+    /// call, all but the last are skipped: it is not known how the counts are distributed over them.
     pub fn end_interval(
         &mut self,
         now: Timestamp,
--- a/crates/wingfold-metrics/src/sink/tests.rs
+++ b/crates/wingfold-metrics/src/sink/tests.rs
@@ -114,6 +114,7 @@
 fn queue_and_connect_rate_stay_bounded_during_an_hour_of_failure() {
     let mut sink = Sink::new(SinkLimits { max_queued_bytes: 100_000, ..SinkLimits::default() }, 3);
     let (mut now, mut out, mut connects) = (0, Vec::new(), 0);
+    // During the first two minutes, and after them.
     let mut max_queued = [0, 0];
     for second in 0..3600u64 {
         now = second * SECOND;
--- a/crates/wingfold-metrics/src/source_monitor.rs
+++ b/crates/wingfold-metrics/src/source_monitor.rs
@@ -51,7 +51,7 @@
 /// no recovery.
 const RECOVERY_REPORTS: u32 = 2;
 
-/// Evidence of the reason why no reports arrive.
+/// Evidence of the reason why no reports arrive from a source.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutageEvidence {
     /// Other sources of the same zone still report.
@@ -188,8 +188,8 @@
     }
 }
 
-/// Whether the evidence shows a network partition. If no proxies are connected, broken streams alone may also
-/// mean that the proxies moved to another director, so both pieces of evidence are required.
+/// Whether the evidence shows a network partition. If no proxies are connected, both pieces of evidence
+/// are required: one of them alone may also mean that the proxies moved to another director.
 fn is_partition(proxies_connected: bool, evidence: OutageEvidence) -> bool {
     if proxies_connected {
         evidence.streams_broken || evidence.hosts_unreachable
--- a/crates/wingfold-settings/src/local/collectd.rs
+++ b/crates/wingfold-settings/src/local/collectd.rs
@@ -27,7 +27,7 @@
     pub max_packet_bytes: usize,
     /// How packets are secured.
     pub security: PacketSecurity,
-    /// Queue bound, timeouts and backoff.
+    /// Queue limit, timeouts and backoff.
     pub limits: SinkLimits,
 }
 
--- a/crates/wingfold-settings/src/local/graphite.rs
+++ b/crates/wingfold-settings/src/local/graphite.rs
@@ -45,7 +45,7 @@
     pub tags: bool,
     /// The beginning of every metric's path: parts separated by dots.
     pub prefix: String,
-    /// Queue bound, timeouts and backoff of each address.
+    /// Queue limit, timeouts and backoff of each address.
     pub limits: SinkLimits,
     /// How long a receiver that failed must be healthy before metrics are assigned to it again.
     pub settle_time: Duration,
--- a/crates/wingfold-settings/tests/names.rs
+++ b/crates/wingfold-settings/tests/names.rs
@@ -139,14 +139,14 @@
     let platform_settings: PlatformSettings = wingfold_settings::parse_json(&settings.to_string()).unwrap();
     let classes = platform_settings.report_names().classes.len();
     let mut director = Director::new(platform_settings.director_settings(), 9);
-    let mut events_source =
+    let mut event_source =
         EventSource { zones, classes, hosts: Vec::from_iter(0..HOSTS), random: Random(seed) };
     let mut tables = ProxyTables::new(classes);
     let mut simulation = Simulation::default();
     for call in 0..CALLS_PER_SECOND * SECONDS {
         let now = Timestamp(1_000_000 + 250_000 * call as u64);
         let mut events: Vec<Event> = tables.acknowledgements.drain(..).collect();
-        events_source.add_events(call, now, &mut tables, &mut events);
+        event_source.add_events(call, now, &mut tables, &mut events);
         let mut actions = Vec::new();
         director.handle(now, &events, &mut actions);
         actions.iter().for_each(|action| tables.apply(action));
