--- a/crates/wingfold-director/tests/common/mod.rs
+++ b/crates/wingfold-director/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A harness around one director: it records the actions and reports load as simulated hosts would cause it.
+//! A harness around one director: it records the director's actions and reports the load of simulated hosts.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -6,12 +6,12 @@
 use wingfold_director::interface::*;
 use wingfold_director::Director;
 
-/// A duration in seconds.
+/// A duration of `secs` seconds.
 pub fn seconds(secs: f64) -> Micros {
     Micros::from_secs(secs)
 }
 
-/// The point in time so many seconds after the start of the clock.
+/// The time `secs` seconds after the start of the clock.
 pub fn at_seconds(secs: f64) -> Timestamp {
     Timestamp::from_secs(secs)
 }
@@ -24,6 +24,7 @@
     ZoneId(Arc::from(name))
 }
 
+/// A class whose deadline is three times its latency objective, and which any host may serve.
 pub fn class(repeat_safety: RepeatSafety, latency_objective_s: f64, priority_weight: f64) -> Class {
     Class {
         latency_objective: seconds(latency_objective_s),
@@ -36,7 +37,8 @@
     }
 }
 
-/// Two zones, two classes, a fast send queue, a pushed endpoint list, admission levels as shares.
+/// Settings with two zones, two classes, a fast send queue, a pushed endpoint list, and admission levels that
+/// are shares of the requests.
 pub fn settings() -> Settings {
     Settings {
         directors: 1,
@@ -63,41 +65,47 @@
     }
 }
 
-pub fn endpoint(name: &str, zone_name: &str, readiness: Readiness, started: Option<f64>) -> Endpoint {
+/// An endpoint with a listed weight of 1; `started_s` is the time of the host's start in seconds.
+pub fn endpoint(name: &str, zone_name: &str, readiness: Readiness, started_s: Option<f64>) -> Endpoint {
     Endpoint {
         host: host(name),
         machine_type: "box".into(),
         zone: zone(zone_name),
         readiness,
         weight: 1.0,
-        started_at: started.map(at_seconds),
+        started_at: started_s.map(at_seconds),
     }
 }
 
-/// Hosts `h0`, `h1`, ... in the two zones alternately, all ready and warm.
+/// Endpoints of the hosts `h0`, `h1`, ..., alternately in zones east and west, all ready and warmed up.
 pub fn ready_endpoints(count: usize) -> Vec<Endpoint> {
-    let zone_name = |at: usize| if at.is_multiple_of(2) { "east" } else { "west" };
+    let zone_name = |n: usize| if n.is_multiple_of(2) { "east" } else { "west" };
     (0..count).map(|n| endpoint(&format!("h{n}"), zone_name(n), Readiness::Ready, None)).collect()
 }
 
-/// How a simulated host answers: its mean latency, and the share of its attempts that fail.
+/// How a simulated host responds: its mean latency, and the ratio of the attempts that fail.
 #[derive(Clone, Copy)]
 pub struct HostBehaviour {
     pub latency_ms: f64,
     pub loss_ratio: f64,
 }
 
-/// One director, its clock, and the tables that proxies would hold by its actions.
+/// One director, its clock, and the tables and assignments that result from its actions.
 pub struct Harness {
+    /// The current time in seconds.
     pub now: f64,
     pub director: Director,
+    /// The entries of each table: hosts and their weights.
     pub tables: BTreeMap<TableId, BTreeMap<HostId, f64>>,
+    /// The admission level and the retry policy by table and class mask.
     pub admission: BTreeMap<(TableId, u64), (f64, Retry)>,
+    /// Every assignment of a table to a proxy, in the order of the actions.
     pub assignments: Vec<(ProxyId, TableId, ClassMask)>,
+    /// Every action, with the time of its call in seconds.
     pub actions: Vec<(f64, Action)>,
-    /// Barriers that all assigned proxies acknowledge with the next events.
+    /// Barriers that all assigned proxies acknowledge in the next call.
     pub barriers: Vec<u64>,
-    /// Barriers are not acknowledged.
+    /// Whether proxies never acknowledge barriers.
     pub drops_acknowledgements: bool,
 }
 
@@ -115,30 +123,33 @@
         }
     }
 
-    /// A director with `count` hosts and one assigned proxy in each zone.
+    /// A director with `count` hosts, and one assigned proxy in each zone: proxy 0 in east, proxy 1 in west.
     pub fn with_proxies(settings: Settings, count: usize) -> Self {
         let mut harness = Harness::new(settings);
-        harness.send(&[Event::EndpointList {
+        harness.handle(&[Event::EndpointList {
             kind: EndpointListKind::Cached,
             endpoints: ready_endpoints(count),
         }]);
-        harness.send(&[
+        harness.handle(&[
             Event::ProxyConnected { proxy: ProxyId(0), zone: zone("east"), requests_per_s: 50.0 },
             Event::ProxyConnected { proxy: ProxyId(1), zone: zone("west"), requests_per_s: 50.0 },
         ]);
         harness
     }
 
-    /// Handles events at the current time and returns the actions.
-    pub fn send(&mut self, events: &[Event]) -> Vec<Action> {
+    /// Calls the director with due acknowledgements and these events at the current time; returns its actions.
+    pub fn handle(&mut self, events: &[Event]) -> Vec<Action> {
         let mut out = Vec::new();
         let barriers = std::mem::take(&mut self.barriers);
-        let answers = barriers
+        let acknowledgements = barriers
             .iter()
             .flat_map(|barrier| self.assignments.iter().map(|assignment| (assignment.0, *barrier)));
-        let answers =
-            answers.map(|(proxy, barrier)| Event::Acknowledged { proxy, barrier, elapsed: seconds(0.25) });
-        let events: Vec<Event> = answers.chain(events.iter().cloned()).collect();
+        let acknowledgements = acknowledgements.map(|(proxy, barrier)| Event::Acknowledged {
+            proxy,
+            barrier,
+            elapsed: seconds(0.25),
+        });
+        let events: Vec<Event> = acknowledgements.chain(events.iter().cloned()).collect();
         self.director.handle(at_seconds(self.now), &events, &mut out);
         for action in &out {
             match action {
@@ -152,11 +163,11 @@
                 Action::ClearTable(table) => {
                     self.tables.remove(table);
                 }
-                Action::SetAdmission { table: Some(table), classes: mask, level, retry } => {
-                    self.admission.insert((*table, mask.0), (*level, *retry));
+                Action::SetAdmission { table: Some(table), classes, level, retry } => {
+                    self.admission.insert((*table, classes.0), (*level, *retry));
                 }
-                Action::AssignTable { proxy, table, classes: mask } => {
-                    self.assignments.push((*proxy, *table, *mask))
+                Action::AssignTable { proxy, table, classes } => {
+                    self.assignments.push((*proxy, *table, *classes))
                 }
                 _ => {}
             }
@@ -165,16 +176,17 @@
         out
     }
 
-    /// Advances the clock in steps of a quarter second, without reports.
+    /// Advances the clock by `secs` seconds in steps of a quarter second, without any reports.
     pub fn advance(&mut self, secs: f64) {
         let end = self.now + secs;
         while self.now + 1e-9 < end {
             self.now += 0.25;
-            self.send(&[Event::TimerFired(0)]);
+            self.handle(&[Event::TimerFired(0)]);
         }
     }
 
-    /// Advances the clock; each second both zones report `attempts` attempts at each host in their tables.
+    /// Advances the clock by `secs` seconds. Each second both zones report `attempts` attempts at each host in
+    /// their tables; `behaviour` maps the names of a zone and a host to the behaviour of the host.
     pub fn run_with_reports(
         &mut self,
         secs: f64,
@@ -190,44 +202,48 @@
                     let host_behaviour = behaviour(zone_name, &id.0);
                     let failed = (attempts as f64 * host_behaviour.loss_ratio).round() as u64;
                     let counts = AttemptCounts { total: attempts, failed, period: seconds(1.0) };
-                    let mean = if failed == attempts { 0.0 } else { host_behaviour.latency_ms / 1e3 };
+                    let mean_latency_s =
+                        if failed == attempts { 0.0 } else { host_behaviour.latency_ms / 1e3 };
                     events.push(Event::LoadReport {
                         zone: zone(zone_name),
                         host: id,
                         attempts: counts,
-                        mean_latency: seconds(mean),
+                        mean_latency: seconds(mean_latency_s),
                         load: HostLoad::default(),
                     });
                 }
             }
-            self.send(&events);
+            self.handle(&events);
         }
     }
 
-    /// The table that the proxy of a zone is assigned to for the first class.
+    /// The table that was last assigned to the proxy of a zone for the first class.
     pub fn table_of_zone(&self, zone_name: &str) -> TableId {
         let proxy = ProxyId(u32::from(zone_name == "west"));
-        let is_of_zone =
-            |b: &&(ProxyId, TableId, ClassMask)| b.0 == proxy && (b.2 .0 == 0 || b.2 .0 & 1 == 1);
-        self.assignments.iter().rev().find(is_of_zone).expect("the proxy is assigned").1
+        let is_for_first_class = |(assigned, _, classes): &&(ProxyId, TableId, ClassMask)| {
+            *assigned == proxy && (classes.0 == 0 || classes.0 & 1 == 1)
+        };
+        self.assignments.iter().rev().find(is_for_first_class).expect("the zone's proxy has no table").1
     }
 
+    /// The entries of the table that [`Harness::table_of_zone`] returns.
     pub fn entries(&self, zone_name: &str) -> BTreeMap<HostId, f64> {
         self.tables.get(&self.table_of_zone(zone_name)).cloned().unwrap_or_default()
     }
 
+    /// The weight of a host in the zone's table; 0 if the host has no entry there.
     pub fn weight(&self, zone_name: &str, name: &str) -> f64 {
         self.entries(zone_name).get(&host(name)).copied().unwrap_or(0.0)
     }
 }
 
-/// A load report without failures.
-pub fn load_report(zone_name: &str, id: HostId, total: u64, secs: f64, load: HostLoad) -> Event {
+/// A load report of `total` attempts within a second, none of which failed.
+pub fn load_report(zone_name: &str, id: HostId, total: u64, mean_latency_s: f64, load: HostLoad) -> Event {
     Event::LoadReport {
         zone: zone(zone_name),
         host: id,
         attempts: AttemptCounts { total, failed: 0, period: seconds(1.0) },
-        mean_latency: seconds(secs),
+        mean_latency: seconds(mean_latency_s),
         load,
     }
 }
--- a/crates/wingfold-director/tests/ranking.rs
+++ b/crates/wingfold-director/tests/ranking.rs
@@ -88,11 +88,11 @@
     // There is one report of a slow attempt, and none of that host in the rounds after it.
     let mut harness = Harness::with_proxies(settings(), 6);
     harness.run_with_reports(4.0, 10, |_, _| HEALTHY);
-    harness.send(&[load_report("east", host("h2"), 2, 2.0, HostLoad::default())]);
+    harness.handle(&[load_report("east", host("h2"), 2, 2.0, HostLoad::default())]);
     for _ in 0..12 {
         harness.advance(1.0);
         let other = |id: &str| load_report("east", host(id), 1, 0.1, HostLoad::default());
-        harness.send(&[other("h0"), other("h1")]);
+        harness.handle(&[other("h0"), other("h1")]);
     }
     assert_eq!(harness.weight("east", "h2"), 1.0);
 }
@@ -145,7 +145,7 @@
             class: ClassId(0),
             requests: AttemptCounts { total, failed: 0, period: seconds(1.0) },
         };
-        harness.send(&[usage(0, east), usage(1, west)]);
+        harness.handle(&[usage(0, east), usage(1, west)]);
         harness.run_with_reports(1.0, 10, |_, _| HEALTHY);
     }
     (
@@ -178,11 +178,11 @@
     let mut settings = settings();
     (settings.cross_zone_price, settings.local_first, settings.directors) = (0.05, true, 2);
     let mut harness = Harness::new(settings);
-    harness.send(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(8) }]);
-    harness.send(&[Event::ProxyConnected { proxy: ProxyId(0), zone: zone("east"), requests_per_s: 50.0 }]);
+    harness.handle(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(8) }]);
+    harness.handle(&[Event::ProxyConnected { proxy: ProxyId(0), zone: zone("east"), requests_per_s: 50.0 }]);
     for _ in 0..6 {
         let counts = AttemptCounts { total: 50, failed: 0, period: seconds(1.0) };
-        harness.send(&[Event::Usage { proxy: ProxyId(0), class: ClassId(0), requests: counts }]);
+        harness.handle(&[Event::Usage { proxy: ProxyId(0), class: ClassId(0), requests: counts }]);
         harness.advance(1.0);
     }
     assert!((harness.weight("east", "h1") - 0.25).abs() < 1e-9, "{}", harness.weight("east", "h1"));
@@ -198,13 +198,13 @@
         .into_iter()
         .enumerate()
         .map(|(n, e)| Endpoint { machine_type: kind(n).into(), ..e });
-    harness.send(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: fleet.collect() }]);
+    harness.handle(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: fleet.collect() }]);
     let joins = |(n, zone_name)| Event::ProxyConnected {
         proxy: ProxyId(n),
         zone: zone(zone_name),
         requests_per_s: 50.0,
     };
-    harness.send(&[(0, "east"), (1, "west")].map(joins));
+    harness.handle(&[(0, "east"), (1, "west")].map(joins));
     for _ in 0..secs {
         harness.advance(1.0);
         let line = |n: usize, zone_name: &str| {
@@ -220,7 +220,7 @@
         };
         let events: Vec<Event> =
             (0..16).flat_map(|n| ["east", "west"].map(|zone_name| line(n, zone_name))).collect();
-        harness.send(&events);
+        harness.handle(&events);
     }
     let mean = |which: usize| {
         let hosts = (0..16).filter(|n| n / 2 % 2 == which);
@@ -240,7 +240,7 @@
     assert!(quick == 1.0 && (slow - 0.6).abs() < 0.1, "it stays there: {quick} and {slow}");
     // A new host of that machine type starts with the known speed.
     let new = Endpoint { machine_type: "slow".into(), ..endpoint("n1", "east", Readiness::Ready, Some(0.0)) };
-    harness.send(&[Event::EndpointList { kind: EndpointListKind::Changes, endpoints: vec![new] }]);
+    harness.handle(&[Event::EndpointList { kind: EndpointListKind::Changes, endpoints: vec![new] }]);
     harness.advance(40.0);
     assert!((harness.weight("east", "n1") - 0.6).abs() < 0.1, "{}", harness.weight("east", "n1"));
 }
--- a/crates/wingfold-director/tests/safety.rs
+++ b/crates/wingfold-director/tests/safety.rs
@@ -11,7 +11,7 @@
 fn a_draining_host_leaves_every_table_at_once() {
     let mut harness = Harness::with_proxies(settings(), 6);
     harness.advance(1.0);
-    let out = harness.send(&[changes(vec![endpoint("h2", "east", Readiness::Draining, None)])]);
+    let out = harness.handle(&[changes(vec![endpoint("h2", "east", Readiness::Draining, None)])]);
     let gone = out.iter().filter(
         |a| matches!(a, Action::SetEntry { host: id, weight: w, .. } if *id == host("h2") && *w == 0.0),
     );
@@ -22,7 +22,8 @@
 fn a_host_missing_from_a_complete_list_leaves() {
     let mut harness = Harness::with_proxies(settings(), 6);
     harness.advance(1.0);
-    harness.send(&[Event::EndpointList { kind: EndpointListKind::Complete, endpoints: ready_endpoints(5) }]);
+    harness
+        .handle(&[Event::EndpointList { kind: EndpointListKind::Complete, endpoints: ready_endpoints(5) }]);
     assert_eq!(harness.weight("east", "h5"), 0.0);
     assert_eq!(harness.entries("west").len(), 5);
 }
@@ -67,7 +68,7 @@
         let entries = harness.entries("east").into_keys().filter(|id| *id != host("h2"));
         let events: Vec<Event> =
             entries.map(|id| load_report("east", id, 5, 0.1, HostLoad::default())).collect();
-        harness.send(&events);
+        harness.handle(&events);
     }
     assert_eq!(harness.weight("east", "h2"), 0.0);
 }
@@ -90,7 +91,7 @@
         harness.advance(0.25);
         let id = host(&format!("h{}", turn % 8));
         let counts = AttemptCounts { total: 30, failed: 0, period: seconds(2.0) };
-        harness.send(&[Event::LoadReport {
+        harness.handle(&[Event::LoadReport {
             zone: zone("east"),
             host: id,
             attempts: counts,
@@ -219,7 +220,7 @@
     harness.run_with_reports(3.0, 10, |_, id| if id == "h0" { FAILING } else { HEALTHY });
     assert_eq!(harness.weight("east", "h0"), 0.0);
     let gone = (1..4).map(|n| endpoint(&format!("h{n}"), "east", Readiness::Removed, None)).collect();
-    harness.send(&[changes(gone)]);
+    harness.handle(&[changes(gone)]);
     assert!(harness.weight("east", "h0") > 0.0, "the last host stays, whatever its statistics are");
     harness.run_with_reports(20.0, 10, |_, _| FAILING);
     assert!(harness.weight("east", "h0") > 0.0);
@@ -229,7 +230,7 @@
 fn slow_start_limits_the_weight_of_a_started_host() {
     let mut harness = Harness::with_proxies(settings(), 8);
     harness.run_with_reports(4.0, 10, |_, _| HEALTHY);
-    harness.send(&[changes(vec![endpoint("h2", "east", Readiness::Ready, Some(harness.now - 1.0))])]);
+    harness.handle(&[changes(vec![endpoint("h2", "east", Readiness::Ready, Some(harness.now - 1.0))])]);
     let settings = settings();
     let started = harness.now - 1.0;
     while harness.now - started < 16.0 {
@@ -250,7 +251,7 @@
     let mut endpoints: Vec<Endpoint> =
         (3..10).map(|n| endpoint(&format!("h{n}"), "east", Readiness::Removed, None)).collect();
     endpoints.push(endpoint("h2", "east", Readiness::Ready, Some(harness.now)));
-    harness.send(&[changes(endpoints)]);
+    harness.handle(&[changes(endpoints)]);
     let entries = harness.entries("east");
     let share = entries[&host("h2")] / entries.values().sum::<f64>();
     // Ten hosts at a load of 0.75: its share of that, against the capacity it certainly has times the overload factor.
@@ -262,7 +263,7 @@
     // Regression: proxies that avoid most hosts after consecutive failures sent everything to the new host.
     let mut harness = Harness::with_proxies(settings(), 10);
     harness.run_with_reports(6.0, 10, |_, _| HostBehaviour { latency_ms: 900.0, loss_ratio: 0.6 });
-    harness.send(&[changes(vec![endpoint("h2", "east", Readiness::Ready, Some(harness.now - 0.5))])]);
+    harness.handle(&[changes(vec![endpoint("h2", "east", Readiness::Ready, Some(harness.now - 0.5))])]);
     assert_eq!(harness.weight("east", "h2"), 0.0);
     harness.run_with_reports(20.0, 10, |_, _| HEALTHY);
     assert!(harness.weight("east", "h2") > 0.0);
@@ -280,7 +281,7 @@
     harness.run_with_reports(40.0, 10, worse);
     assert!(harness.entries("east").values().sum::<f64>() < 4.0, "{:?}", harness.entries("east"));
     harness.run_with_reports(6.0, 10, |_, _| HostBehaviour { latency_ms: 900.0, loss_ratio: 0.6 });
-    harness.send(&[changes(vec![endpoint("h2", "east", Readiness::Ready, Some(harness.now - 0.5))])]);
+    harness.handle(&[changes(vec![endpoint("h2", "east", Readiness::Ready, Some(harness.now - 0.5))])]);
     assert_eq!(harness.weight("east", "h2"), 0.0);
 }
 
@@ -289,7 +290,7 @@
     // Regression: a slow host got its full weight during an overload when its slow start seemed to be complete.
     let mut harness = Harness::with_proxies(settings(), 10);
     harness.run_with_reports(20.0, 10, |_, _| HostBehaviour { latency_ms: 900.0, loss_ratio: 0.6 });
-    harness.send(&[changes(vec![endpoint("h2", "east", Readiness::Ready, Some(harness.now - 14.0))])]);
+    harness.handle(&[changes(vec![endpoint("h2", "east", Readiness::Ready, Some(harness.now - 14.0))])]);
     assert_eq!(harness.weight("east", "h2"), 0.0, "14 s of 16 have passed");
     harness.run_with_reports(4.0, 10, |_, _| HostBehaviour { latency_ms: 900.0, loss_ratio: 0.6 });
     assert!(harness.weight("east", "h2") > 0.0, "the warm-up is over");
@@ -318,7 +319,7 @@
     for _ in 0..12 {
         harness.advance(1.0);
         let events = reports(&harness, None, 1.0);
-        harness.send(&events);
+        harness.handle(&events);
     }
     let table = harness.table_of_zone("east");
     assert!(harness.admission[&(table, 1)].0 < 1.0, "saturated: load of the class of least priority is shed");
@@ -326,7 +327,7 @@
     for _ in 0..30 {
         harness.advance(1.0);
         let events = reports(&harness, Some("h0"), 0.1);
-        harness.send(&events);
+        harness.handle(&events);
     }
     assert_eq!(harness.admission[&(table, 1)].0, 1.0);
 }
@@ -360,7 +361,7 @@
     let names: Vec<String> = harness.tables[&assignment.1].keys().map(|id| id.0.to_string()).collect();
     assert_eq!(names, ["h1", "h3", "h5"]);
     let gone = [1, 3].map(|n| endpoint(&format!("h{n}"), "west", Readiness::Draining, None)).to_vec();
-    harness.send(&[changes(gone)]);
+    harness.handle(&[changes(gone)]);
     harness.run_with_reports(10.0, 10, |_, id| if id == "h5" { FAILING } else { HEALTHY });
     assert!(harness.tables[&assignment.1].contains_key(&host("h5")), "the last available host stays");
     assert!(!harness.entries("east").contains_key(&host("h5")), "where others are available it leaves");
@@ -371,8 +372,8 @@
     let mut harness = Harness::with_proxies(settings(), 6);
     harness.run_with_reports(20.0, 10, |_, _| HEALTHY);
     assert_eq!(harness.assignments.len(), 2);
-    harness.send(&[Event::ProxyDisconnected(ProxyId(0))]);
-    harness.send(&[Event::ProxyConnected { proxy: ProxyId(0), zone: zone("east"), requests_per_s: 50.0 }]);
+    harness.handle(&[Event::ProxyDisconnected(ProxyId(0))]);
+    harness.handle(&[Event::ProxyConnected { proxy: ProxyId(0), zone: zone("east"), requests_per_s: 50.0 }]);
     harness.advance(0.25);
     assert_eq!(harness.assignments.len(), 3);
 }
@@ -383,13 +384,13 @@
     (settings.send_rate_lines_per_s, settings.max_queued_lines) = (100.0, 300.0);
     let mut harness = Harness::new(settings.clone());
     harness.drops_acknowledgements = true;
-    harness.send(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(20) }]);
+    harness.handle(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(20) }]);
     let join = |n: u32| Event::ProxyConnected {
         proxy: ProxyId(n),
         zone: zone(if n.is_multiple_of(2) { "east" } else { "west" }),
         requests_per_s: 1.0,
     };
-    harness.send(&(0..40).map(join).collect::<Vec<_>>());
+    harness.handle(&(0..40).map(join).collect::<Vec<_>>());
     let (mut queued, mut last) = (0.0f64, 0.0);
     for _ in 0..400 {
         harness.advance(0.25);
@@ -418,7 +419,7 @@
     for round in 0..80 {
         let n = round % 11;
         let started = Some(harness.now);
-        harness.send(&[changes(vec![endpoint(&format!("h{n}"), "east", Readiness::Ready, started)])]);
+        harness.handle(&[changes(vec![endpoint(&format!("h{n}"), "east", Readiness::Ready, started)])]);
         harness.run_with_reports(1.0, 10, |_, id| if id == "h11" { FAILING } else { HEALTHY });
     }
     let table = harness.table_of_zone("east");
@@ -441,7 +442,7 @@
     let mut settings = settings();
     settings.endpoint_list_on_request = true;
     let mut harness = Harness::new(settings);
-    harness.send(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(4) }]);
+    harness.handle(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(4) }]);
     let asked = |harness: &Harness| -> Vec<f64> {
         harness.actions.iter().filter(|(_, a)| *a == Action::WatchEndpoints(true)).map(|(t, _)| *t).collect()
     };
@@ -450,7 +451,7 @@
         let before = asked(&harness).len();
         harness.advance(0.25);
         if asked(&harness).len() > before || harness.now <= 0.25 {
-            harness.send(&[Event::EndpointListFailed]);
+            harness.handle(&[Event::EndpointListFailed]);
         }
     }
     let times = asked(&harness);
@@ -465,14 +466,15 @@
     let mut remembered = ready_endpoints(6);
     remembered[0].started_at = Some(at_seconds(95.0));
     harness.now = 100.0;
-    let out = harness.send(&[
+    let out = harness.handle(&[
         Event::EndpointList { kind: EndpointListKind::Cached, endpoints: remembered },
         Event::ProxyConnected { proxy: ProxyId(0), zone: zone("east"), requests_per_s: 50.0 },
     ]);
     assert!(out.contains(&Action::FetchEndpoints), "it may be old");
     assert!(harness.weight("east", "h0") < 1.0, "a host that started recently is warming up");
     assert_eq!(harness.weight("east", "h1"), 1.0, "others start at their listed weight");
-    harness.send(&[Event::EndpointList { kind: EndpointListKind::Complete, endpoints: ready_endpoints(5) }]);
+    harness
+        .handle(&[Event::EndpointList { kind: EndpointListKind::Complete, endpoints: ready_endpoints(5) }]);
     assert_eq!(harness.weight("east", "h5"), 0.0);
 }
 
@@ -501,7 +503,7 @@
     harness.advance(1.0);
     let counts = AttemptCounts { total: 3, failed: 9, period: seconds(0.0) };
     let before = harness.tables.clone();
-    harness.send(&[
+    harness.handle(&[
         Event::LoadReport {
             zone: zone("nowhere"),
             host: host("h0"),
@@ -538,11 +540,11 @@
     let mut settings = settings();
     settings.shards = 64;
     let mut harness = Harness::new(settings);
-    harness.send(&[
+    harness.handle(&[
         Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(4) },
         Event::Shard,
     ]);
-    harness.send(&[
+    harness.handle(&[
         Event::ProxyConnected { proxy: ProxyId(0), zone: zone("east"), requests_per_s: 5.0 },
         Event::Shard,
     ]);
@@ -564,7 +566,7 @@
             let entries = harness.entries(zone_name).into_keys();
             events.extend(entries.map(|id| load_report(zone_name, id, 10, 0.1, load)));
         }
-        harness.send(&events);
+        harness.handle(&events);
     }
 }
 
@@ -594,7 +596,7 @@
     report_utilization(&mut harness, 0.65, 10);
     assert_eq!(lowest_admission_level(&harness), 1.0, "load within capacity is admitted");
     let half = (0..4).map(|n| endpoint(&format!("h{n}"), "east", Readiness::Draining, None)).collect();
-    harness.send(&[changes(half)]);
+    harness.handle(&[changes(half)]);
     report_utilization(&mut harness, 0.65, 2);
     let level = lowest_admission_level(&harness);
     assert!(level < 0.45, "half of the capacity is left, and the class of least priority admits {level}");
@@ -603,9 +605,9 @@
 #[test]
 fn loss_of_the_first_reported_hosts_does_not_count_for_all() {
     let mut harness = Harness::new(settings());
-    harness.send(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(30) }]);
+    harness.handle(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(30) }]);
     let join = |n| Event::ProxyConnected { proxy: ProxyId(n), zone: zone("east"), requests_per_s: 50.0 };
-    harness.send(&[join(0), join(1)]);
+    harness.handle(&[join(0), join(1)]);
     // Just after a start the first load reports are those of failing hosts.
     for _ in 0..8 {
         harness.advance(0.5);
@@ -617,7 +619,7 @@
             mean_latency: seconds(0.1),
             load: HostLoad::default(),
         };
-        harness.send(&[load_report(0), load_report(2)]);
+        harness.handle(&[load_report(0), load_report(2)]);
     }
     let logs = harness.actions.iter().filter_map(|(_, action)| match action {
         Action::Notice(notice @ Notice::SubsetSizeChanged { .. }) => Some(notice),
@@ -634,8 +636,10 @@
         (settings.directors, settings.health_checks_allowed, settings.load_report_source) =
             (directors, true, LoadReportSource::WithHealthChecks);
         let mut harness = Harness::new(settings);
-        harness
-            .send(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(400) }]);
+        harness.handle(&[Event::EndpointList {
+            kind: EndpointListKind::Cached,
+            endpoints: ready_endpoints(400),
+        }]);
         (0..80).for_each(|_| harness.advance(0.25));
         let probes = harness.actions.iter().filter(|(_, action)| matches!(action, Action::CheckHealth(_)));
         probes.count() as f64 / 20.0
@@ -652,8 +656,10 @@
         let mut settings = settings();
         (settings.directors, settings.endpoint_list_on_request) = (directors, true);
         let mut harness = Harness::new(settings);
-        harness
-            .send(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(10) }]);
+        harness.handle(&[Event::EndpointList {
+            kind: EndpointListKind::Cached,
+            endpoints: ready_endpoints(10),
+        }]);
         let calls = |harness: &Harness| {
             harness.actions.iter().filter(|a| a.1 == Action::WatchEndpoints(true)).count()
         };
@@ -661,7 +667,7 @@
         for _ in 0..800 {
             if calls(&harness) > failed {
                 failed += 1;
-                harness.send(&[Event::EndpointListFailed]);
+                harness.handle(&[Event::EndpointListFailed]);
             }
             harness.advance(0.25);
         }
--- a/crates/wingfold-director/tests/scale.rs
+++ b/crates/wingfold-director/tests/scale.rs
@@ -15,9 +15,9 @@
     let settings = Settings { connection_idle_timeout: seconds(15.0), proxies, ..settings() };
     let mut harness = Harness::new(settings);
     harness
-        .send(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(hosts) }]);
+        .handle(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(hosts) }]);
     for id in 0..proxies {
-        harness.send(&[Event::ProxyConnected {
+        harness.handle(&[Event::ProxyConnected {
             proxy: ProxyId(id),
             zone: zone("east"),
             requests_per_s: 2.0,
@@ -31,7 +31,7 @@
 fn with_advisory_removal_an_answering_host_stays_and_a_failing_one_leaves() {
     let mut harness = Harness::with_proxies(Settings { removal_is_advisory: true, ..settings() }, 8);
     harness.run_with_reports(6.0, 10, |_, _| HEALTHY);
-    harness.send(&[
+    harness.handle(&[
         changed_endpoint("h0", Readiness::Removed, None),
         changed_endpoint("h2", Readiness::Removed, None),
     ]);
@@ -40,7 +40,7 @@
     assert_eq!(harness.weight("east", "h2"), 0.0, "the list and its silence agree");
     harness.advance(20.0);
     assert_eq!(harness.weight("east", "h2"), 0.0, "removed hosts get no probation");
-    harness.send(&[changed_endpoint("h0", Readiness::Draining, None)]);
+    harness.handle(&[changed_endpoint("h0", Readiness::Draining, None)]);
     assert_eq!(harness.weight("east", "h0"), 0.0, "draining always removes it");
 }
 
@@ -48,7 +48,8 @@
 fn a_list_that_drops_most_hosts_by_mistake_changes_no_table() {
     let mut harness = Harness::with_proxies(Settings { removal_is_advisory: true, ..settings() }, 8);
     harness.run_with_reports(6.0, 10, |_, _| HEALTHY);
-    harness.send(&[Event::EndpointList { kind: EndpointListKind::Complete, endpoints: ready_endpoints(2) }]);
+    harness
+        .handle(&[Event::EndpointList { kind: EndpointListKind::Complete, endpoints: ready_endpoints(2) }]);
     harness.run_with_reports(6.0, 10, |_, _| HEALTHY);
     assert_eq!(harness.entries("east").len(), 8);
 }
@@ -57,7 +58,7 @@
 fn a_new_host_is_in_probation_until_it_answers() {
     let mut harness = Harness::with_proxies(settings(), 8);
     harness.run_with_reports(6.0, 10, |_, _| HEALTHY);
-    harness.send(&[
+    harness.handle(&[
         changed_endpoint("n1", Readiness::Ready, None),
         changed_endpoint("n2", Readiness::Ready, None),
     ]);
@@ -103,10 +104,12 @@
             ..settings()
         };
         let mut harness = Harness::new(settings);
-        harness
-            .send(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(100) }]);
+        harness.handle(&[Event::EndpointList {
+            kind: EndpointListKind::Cached,
+            endpoints: ready_endpoints(100),
+        }]);
         (0..100).for_each(|id| {
-            drop(harness.send(&[Event::ProxyConnected {
+            drop(harness.handle(&[Event::ProxyConnected {
                 proxy: ProxyId(id),
                 zone: zone("east"),
                 requests_per_s: 2.0,
@@ -130,9 +133,9 @@
 fn proxies_of_much_traffic_use_all_hosts_at_listed_weight() {
     let mut harness =
         Harness::new(Settings { connection_idle_timeout: seconds(15.0), proxies: 24, ..settings() });
-    harness.send(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(40) }]);
+    harness.handle(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(40) }]);
     (0..24).for_each(|id| {
-        drop(harness.send(&[Event::ProxyConnected {
+        drop(harness.handle(&[Event::ProxyConnected {
             proxy: ProxyId(id),
             zone: zone("east"),
             requests_per_s: 20.0,
@@ -150,16 +153,18 @@
         (settings.max_queued_lines, settings.send_rate_lines_per_s) = (f64::from(queue_max), 400.0);
         settings.classes[0].allowed_zones = vec![zone("east")];
         let mut harness = Harness::new(settings);
-        harness
-            .send(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(60) }]);
+        harness.handle(&[Event::EndpointList {
+            kind: EndpointListKind::Cached,
+            endpoints: ready_endpoints(60),
+        }]);
         for id in 0..13 {
-            harness.send(&[Event::ProxyConnected {
+            harness.handle(&[Event::ProxyConnected {
                 proxy: ProxyId(id),
                 zone: zone("east"),
                 requests_per_s: 1.0,
             }]);
             let drains = changed_endpoint(&format!("h{id}"), Readiness::Draining, None);
-            harness.send(&[if id % 12 == 0 && id > 0 { drains } else { Event::TimerFired(0) }]);
+            harness.handle(&[if id % 12 == 0 && id > 0 { drains } else { Event::TimerFired(0) }]);
             harness.advance(if id < 11 { 0.5 } else { 8.0 });
         }
         for id in 0..13 {
@@ -177,9 +182,10 @@
         Settings { connection_idle_timeout: seconds(15.0), proxies: 200, directors: 4, ..settings() };
     (settings.max_queued_lines, settings.send_rate_lines_per_s) = (8000.0, 6000.0);
     let mut harness = Harness::new(settings);
-    harness.send(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(200) }]);
+    harness
+        .handle(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(200) }]);
     for id in 0..30 {
-        harness.send(&[Event::ProxyConnected {
+        harness.handle(&[Event::ProxyConnected {
             proxy: ProxyId(id),
             zone: zone("east"),
             requests_per_s: 2.0,
@@ -187,7 +193,7 @@
     }
     harness.advance(30.0);
     for id in 30..160 {
-        harness.send(&[Event::ProxyConnected {
+        harness.handle(&[Event::ProxyConnected {
             proxy: ProxyId(id),
             zone: zone("east"),
             requests_per_s: 2.0,
@@ -207,9 +213,9 @@
     let settings = Settings { connection_idle_timeout: seconds(15.0), proxies: 30, ..settings() };
     let mut harness =
         Harness::new(Settings { max_queued_lines: 1200.0, send_rate_lines_per_s: 1000.0, ..settings });
-    harness.send(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(60) }]);
+    harness.handle(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: ready_endpoints(60) }]);
     (0..30).for_each(|id| {
-        drop(harness.send(&[Event::ProxyConnected {
+        drop(harness.handle(&[Event::ProxyConnected {
             proxy: ProxyId(id),
             zone: zone("east"),
             requests_per_s: 4.0,
@@ -233,7 +239,7 @@
             mean_latency: seconds(0.1),
             load: HostLoad::default(),
         };
-        harness.send(&entries.map(load_report).collect::<Vec<_>>());
+        harness.handle(&entries.map(load_report).collect::<Vec<_>>());
     }
 }
 
@@ -292,13 +298,13 @@
     for wave in [0..6, 6..12] {
         let now = harness.now;
         let new = |n| endpoint(&format!("n{n}"), zone_of(n), Readiness::Ready, Some(now));
-        harness.send(&[Event::EndpointList {
+        harness.handle(&[Event::EndpointList {
             kind: EndpointListKind::Changes,
             endpoints: wave.clone().map(new).collect(),
         }]);
         harness.run_with_reports(2.0, 10, |_, id| does(id));
         let old = |n| endpoint(&format!("h{n}"), zone_of(n), Readiness::Draining, None);
-        harness.send(&[Event::EndpointList {
+        harness.handle(&[Event::EndpointList {
             kind: EndpointListKind::Changes,
             endpoints: wave.clone().map(old).collect(),
         }]);
--- a/crates/wingfold-director/tests/settings_validation.rs
+++ b/crates/wingfold-director/tests/settings_validation.rs
@@ -1,12 +1,14 @@
-//! Settings that no director can work with are rejected with an error that names the place and the bound.
+//! Settings that no director can work with are rejected, with an error that names the setting, its value and
+//! the bound.
 mod common;
 use common::*;
 use wingfold_director::interface::*;
 
-fn rejection(change: impl Fn(&mut Settings)) -> String {
+/// The validation error of the settings after `change`.
+fn validation_error(change: impl Fn(&mut Settings)) -> String {
     let mut changed = settings();
     change(&mut changed);
-    changed.validate().expect_err("it is out of bounds").to_string()
+    changed.validate().expect_err("validation accepts settings that are out of bounds").to_string()
 }
 
 #[test]
@@ -21,33 +23,34 @@
 
 #[test]
 fn an_error_names_the_setting_its_value_and_the_bound() {
-    let error = rejection(|settings| settings.zones.push(zone("east")));
+    let error = validation_error(|settings| settings.zones.push(zone("east")));
     assert_eq!(error, "zone \"east\" is listed twice");
-    let error = rejection(|settings| {
+    let error = validation_error(|settings| {
         settings.zones = (0..4097).map(|index| zone(&format!("zone-{index}"))).collect();
     });
     assert_eq!(error, "4097 zones are more than the 4096 that a director can hold");
-    let error = rejection(|settings| settings.classes = vec![settings.classes[0].clone(); 65]);
+    let error = validation_error(|settings| settings.classes = vec![settings.classes[0].clone(); 65]);
     assert_eq!(error, "65 classes are more than the 64 that a director can hold");
-    let error = rejection(|settings| settings.proxies = 100_001);
+    let error = validation_error(|settings| settings.proxies = 100_001);
     assert_eq!(error, "100001 proxies are more than the 100000 that a director can hold");
-    let error = rejection(|settings| {
+    let error = validation_error(|settings| {
         settings.proxies = 50_000;
         settings.classes = vec![settings.classes[0].clone(); 21];
     });
     assert_eq!(
         error,
-        "50000 proxies with 21 classes may need 1050000 tables, more than the 1000000 that a director can hold"
+        "50000 proxies with 21 classes may need 1050000 tables, \
+         more than the 1000000 that a director can hold"
     );
-    let error = rejection(|settings| settings.report_period = Micros(u64::MAX));
+    let error = validation_error(|settings| settings.report_period = Micros(u64::MAX));
     assert_eq!(
         error,
         "the setting report_period is 18446744073709551615 us, at most 4611686018427387903 us are expected"
     );
-    let error = rejection(|settings| settings.classes[1].deadline = Micros(u64::MAX));
+    let error = validation_error(|settings| settings.classes[1].deadline = Micros(u64::MAX));
     assert!(error.starts_with("the setting classes[1].deadline is"), "{error}");
-    let error = rejection(|settings| settings.overload_factor = f64::NAN);
+    let error = validation_error(|settings| settings.overload_factor = f64::NAN);
     assert_eq!(error, "the setting overload_factor is NaN, a finite number is expected");
-    let error = rejection(|settings| settings.classes[0].priority_weight = f64::INFINITY);
+    let error = validation_error(|settings| settings.classes[0].priority_weight = f64::INFINITY);
     assert_eq!(error, "the setting classes[0].priority_weight is inf, a finite number is expected");
 }
--- a/crates/wingfold-director/tests/stored_names.rs
+++ b/crates/wingfold-director/tests/stored_names.rs
@@ -1,12 +1,13 @@
-//! What is stored is read by later builds: a checkpoint and the digest of settings hold the names that the records had
-//! when they were first written, whatever the code calls them now.
+//! Later builds read what earlier builds have stored: checkpoints and the digest of the settings contain the
+//! names that fields and values had when they were first stored, whatever the code calls them now.
 mod common;
 use common::*;
 use wingfold_director::interface::*;
 use wingfold_director::Director;
 
-/// A checkpoint under [`stored_settings`], written before the records got their present names. It holds hosts in every
-/// state, a removed host, unacknowledged barriers, admission history and a subset assignment.
+/// A checkpoint with [`stored_settings`], which was written before fields and values got their present names in
+/// the code. The checkpoint holds hosts in every health state, a removed host, unacknowledged barriers, an
+/// admission history and a subset assignment.
 const CHECKPOINT: &[u8] = include_bytes!("data/checkpoint-0.1.bin");
 
 /// Settings in which every kind of value differs from its default.
@@ -25,26 +26,27 @@
     settings.max_messages_per_proxy = 12;
     settings.classes[0].allowed_zones = vec![zone("east"), zone("west")];
     settings.classes[1].own_zone_only = true;
-    let keyed = class(RepeatSafety::Deduplicated, 0.6, 9.0);
-    settings.classes.push(Class { allowed_machine_types: vec!["box".into()], ..keyed });
+    let deduplicated = class(RepeatSafety::Deduplicated, 0.6, 9.0);
+    settings.classes.push(Class { allowed_machine_types: vec!["box".into()], ..deduplicated });
     settings
 }
 
 #[test]
-fn a_checkpoint_of_an_earlier_build_is_restored_and_written_again_byte_by_byte() {
-    let director = Director::restore_for(CHECKPOINT, &stored_settings()).expect("an earlier build wrote it");
+fn an_old_checkpoint_is_restored_and_rewritten_byte_by_byte() {
+    let director = Director::restore_for(CHECKPOINT, &stored_settings())
+        .expect("a checkpoint of an earlier build cannot be restored");
     assert_eq!(director.digest(), 0x0a25_f269_027e_5eb6);
     assert_eq!(director.checkpoint(), CHECKPOINT);
 }
 
 #[test]
-fn the_digest_of_settings_keeps_its_value() {
+fn settings_digests_do_not_change() {
     assert_eq!(stored_settings().digest(), 0xf83f_90c8_ed51_d502);
     assert_eq!(settings().digest(), 0x0196_a05c_446c_6284);
-    let others = Settings {
+    let other_modes = Settings {
         admission_mode: AdmissionMode::Ignored,
         load_report_source: LoadReportSource::Never,
         ..settings()
     };
-    assert_eq!(others.digest(), 0x372c_4e17_3b8a_aeeb);
+    assert_eq!(other_modes.digest(), 0x372c_4e17_3b8a_aeeb);
 }
