--- a/crates/wingfold-director/tests/site/mod.rs
+++ b/crates/wingfold-director/tests/site/mod.rs
@@ -1,12 +1,13 @@
-//! A random site around a director: hosts that drain, warm up, stop answering, fail or slow down, unreachable zones,
-//! proxies that connect and disconnect, endpoint lists that fail or are complete, load and usage, lost acknowledgements,
-//! a clock that stands, ticks and jumps. All of it follows from one seed.
+//! A randomly changing site around a director. Hosts drain, warm up, stop answering, fail or slow down; zones
+//! become unreachable; proxies connect and disconnect; endpoint lists fail or are complete; load and usage
+//! are reported; acknowledgements get lost; the clock stands still, advances or jumps. The seed determines
+//! all of it.
 #![allow(dead_code)]
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use wingfold_director::interface::*;
 
-/// How a host answers.
+/// How a host answers; a silent host appears in no load report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Condition {
     Healthy,
@@ -22,16 +23,20 @@
     condition: Condition,
 }
 
-/// The site, its clock and its random number generator.
+/// The site, its clock in microseconds, and its random number generator.
 pub struct Site {
     pub settings: Settings,
     pub now: u64,
     rng_state: u64,
     hosts: BTreeMap<u32, SiteHost>,
     next_host: u32,
+    /// The zone of each connected proxy.
     connected: BTreeMap<u32, ZoneId>,
+    /// Barriers that proxies have not acknowledged yet.
     barriers: Vec<u64>,
+    /// The zone that can neither reach other zones nor be reached from them.
     cut_off_zone: Option<ZoneId>,
+    /// Mean utilization of the hosts that report one.
     utilization: f64,
 }
 
@@ -43,12 +48,13 @@
     Micros::from_secs(secs)
 }
 
-/// Settings of several deployments: all admission modes; one group of classes and three; complete tables and subsets;
-/// endpoint lists that are pushed and polled; health checks; slow send queues.
+/// The settings of deployment `kind`. Together, the deployments cover all admission modes, one or three class
+/// groups, complete tables and subsets, pushed and polled endpoint lists, health checks, and slow send
+/// queues.
 pub fn deployment(kind: u32) -> Settings {
-    let class = |aim: f64, priority_weight: f64| Class {
-        latency_objective: seconds(aim),
-        deadline: seconds(3.0 * aim),
+    let class = |latency_objective_s: f64, priority_weight: f64| Class {
+        latency_objective: seconds(latency_objective_s),
+        deadline: seconds(3.0 * latency_objective_s),
         priority_weight,
         repeat_safety: RepeatSafety::Idempotent,
         own_zone_only: false,
@@ -113,20 +119,23 @@
         }
     }
 
+    /// A random number from 0 up to, but not including, 1.
     fn random_ratio(&mut self) -> f64 {
         self.rng_state =
             self.rng_state.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(0x1405_7B7E_F767_814F);
         (self.rng_state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn random_below(&mut self, most: usize) -> usize {
-        (self.random_ratio() * most as f64) as usize
+    /// A random number below `bound`.
+    fn random_below(&mut self, bound: usize) -> usize {
+        (self.random_ratio() * bound as f64) as usize
     }
 
-    fn add_host(&mut self, started: Option<Timestamp>) -> u32 {
+    /// Adds a host to a random zone; returns its number.
+    fn add_host(&mut self, started_at: Option<Timestamp>) -> u32 {
         let (number, zone) = (self.next_host, self.random_below(self.settings.zones.len()));
         self.next_host += 1;
-        // Numbers are mixed so that the names of new hosts sort between those of old ones.
+        // Numbers are scrambled so that the names of new hosts sort between the names of older hosts.
         let name = format!("s-{:04x}", number.wrapping_mul(40_503) & 0xffff);
         let endpoint = Endpoint {
             host: HostId(Arc::from(name)),
@@ -134,13 +143,13 @@
             zone: zone_id(zone),
             readiness: Readiness::Ready,
             weight: [1.0, 2.0, 3.0][self.random_below(3)],
-            started_at: started,
+            started_at,
         };
         self.hosts.insert(number, SiteHost { endpoint, condition: Condition::Healthy });
         number
     }
 
-    /// The events of the first call.
+    /// The events of the first call: the cached endpoint list, and all proxies connect.
     pub fn first_events(&mut self, hosts: usize, proxies: u32) -> Vec<Event> {
         for _ in 0..hosts {
             self.add_host(None);
@@ -157,27 +166,28 @@
         self.hosts.values().map(|host| host.endpoint.clone()).collect()
     }
 
+    /// Proxy `id` connects from a random zone.
     fn connect(&mut self, id: u32) -> Event {
         let zone = zone_id(self.random_below(self.settings.zones.len()));
         self.connected.insert(id, zone.clone());
-        let rate = 0.5 + 20.0 * self.random_ratio().powi(3);
-        Event::ProxyConnected { proxy: ProxyId(id), zone, requests_per_s: rate }
+        let requests_per_s = 0.5 + 20.0 * self.random_ratio().powi(3);
+        Event::ProxyConnected { proxy: ProxyId(id), zone, requests_per_s }
     }
 
-    /// Advances the clock by a random step.
+    /// Advances the clock by a random step; returns the new time.
     pub fn advance_clock(&mut self) -> u64 {
-        let advance_clock = match self.random_below(40) {
+        let step = match self.random_below(40) {
             0 => 0,
             1..=3 => 1 + self.random_below(3) as u64,
             4..=9 => self.random_below(250_000) as u64,
             10 => 3_000_000 + self.random_below(70_000_000) as u64,
             _ => 250_000,
         };
-        self.now += advance_clock;
+        self.now += step;
         self.now
     }
 
-    /// The events of the next call.
+    /// Random events for the next call.
     pub fn events(&mut self) -> Vec<Event> {
         let mut events = vec![Event::TimerFired(0)];
         if self.random_ratio() < 0.25 {
@@ -197,7 +207,8 @@
             events.push(event);
         }
         if self.random_ratio() < 0.02 {
-            // Many proxies connect at once: slow send queues then defer changes of low priority.
+            // Many proxies connect at once; where the send queue is slow, the director then defers
+            // low-priority changes.
             let first = self.random_below(20) as u32;
             events.extend((first..first + 12).map(|id| self.connect(id)));
         }
@@ -205,22 +216,22 @@
             events.push([Event::EndpointListFailed, Event::DiscoveryMoved][self.random_below(2)].clone());
         }
         if self.random_ratio() < 0.6 {
-            self.reports(&mut events);
+            self.add_reports(&mut events);
         }
-        self.acknowledgements(&mut events);
+        self.add_acknowledgements(&mut events);
         events
     }
 
-    /// Advances the clock by a quarter second; the events are acknowledgements only.
-    pub fn acknowledgements_only(&mut self) -> (u64, Vec<Event>) {
+    /// Advances the clock by a quarter second; returns the time, and acknowledgements as the only events.
+    pub fn advance_with_acknowledgements(&mut self) -> (u64, Vec<Event>) {
         self.now += 250_000;
         let mut events = Vec::new();
-        self.acknowledgements(&mut events);
+        self.add_acknowledgements(&mut events);
         (self.now, events)
     }
 
-    /// The endpoint list changes the weight of every host while many proxies connect.
-    pub fn crowd_and_new_weights(&mut self, proxies: std::ops::Range<u32>) -> Vec<Event> {
+    /// The listed weight of every host doubles, and `proxies` connect in the same call.
+    pub fn connect_proxies_and_double_weights(&mut self, proxies: std::ops::Range<u32>) -> Vec<Event> {
         self.hosts.values_mut().for_each(|host| host.endpoint.weight *= 2.0);
         let mut events =
             vec![Event::EndpointList { kind: EndpointListKind::Changes, endpoints: self.endpoints() }];
@@ -228,23 +239,24 @@
         events
     }
 
-    /// A host restarts and then leaves, both within one call; another host that was draining is ready again.
-    pub fn start_and_leave(&mut self, draw: usize) -> Vec<Event> {
+    /// A host restarts and then drains or is removed, both within one call. Another host, which may have been
+    /// draining or removed, restarts and is ready. `draw` selects the hosts.
+    pub fn restart_and_remove(&mut self, draw: usize) -> Vec<Event> {
         let (now, numbers): (_, Vec<u32>) = (Timestamp(self.now), self.hosts.keys().copied().collect());
-        let mut change = |number: &u32, readiness: Readiness, started: Option<Timestamp>| {
-            let endpoint = &mut self.hosts.get_mut(number).expect("it was listed").endpoint;
-            (endpoint.readiness, endpoint.started_at) = (readiness, started.or(endpoint.started_at));
+        let mut change = |number: &u32, readiness: Readiness, started_at: Option<Timestamp>| {
+            let endpoint = &mut self.hosts.get_mut(number).expect("the site has no such host").endpoint;
+            (endpoint.readiness, endpoint.started_at) = (readiness, started_at.or(endpoint.started_at));
             Event::EndpointList { kind: EndpointListKind::Changes, endpoints: vec![endpoint.clone()] }
         };
-        let (leaves, returns) = (&numbers[draw % numbers.len()], &numbers[(draw / 2) % numbers.len()]);
+        let (leaving, returning) = (&numbers[draw % numbers.len()], &numbers[(draw / 2) % numbers.len()]);
         vec![
-            change(leaves, Readiness::Ready, Some(now)),
-            change(leaves, [Readiness::Draining, Readiness::Removed][draw % 2], None),
-            change(returns, Readiness::Ready, Some(now)),
+            change(leaving, Readiness::Ready, Some(now)),
+            change(leaving, [Readiness::Draining, Readiness::Removed][draw % 2], None),
+            change(returning, Readiness::Ready, Some(now)),
         ]
     }
 
-    /// Changes the condition of hosts, the unreachable zone, or the load.
+    /// Changes the unreachable zone, the utilization, or the condition of some or all hosts.
     fn change_conditions(&mut self) {
         let zones = self.settings.zones.len();
         match self.random_below(10) {
@@ -257,12 +269,12 @@
                 }
             }
             _ => {
-                let share = self.random_ratio().powi(2);
-                let all = [Condition::Slow, Condition::Lossy, Condition::Failing, Condition::Silent];
-                let condition = all[self.random_below(4)];
+                let ratio = self.random_ratio().powi(2);
+                let faulty = [Condition::Slow, Condition::Lossy, Condition::Failing, Condition::Silent];
+                let condition = faulty[self.random_below(4)];
                 let numbers: Vec<u32> = self.hosts.keys().copied().collect();
                 for number in numbers {
-                    if self.random_ratio() < share {
+                    if self.random_ratio() < ratio {
                         self.hosts.entry(number).and_modify(|host| host.condition = condition);
                     }
                 }
@@ -270,7 +282,8 @@
         }
     }
 
-    /// An endpoint list: hosts that drain, are removed, restart or are new; or the complete list.
+    /// Changes some hosts: they drain, are removed, restart, get another weight, or are new. Returns the
+    /// changed endpoints or the complete list.
     fn endpoint_list(&mut self) -> Event {
         let numbers: Vec<u32> = self.hosts.keys().copied().collect();
         let mut changed = Vec::new();
@@ -293,8 +306,8 @@
             }
         }
         for _ in 0..self.random_below(4) {
-            let started = (self.random_ratio() < 0.8).then_some(Timestamp(self.now));
-            let number = self.add_host(started);
+            let started_at = (self.random_ratio() < 0.8).then_some(Timestamp(self.now));
+            let number = self.add_host(started_at);
             changed.push(self.hosts[&number].endpoint.clone());
         }
         if self.random_ratio() < 0.2 {
@@ -303,62 +316,63 @@
         Event::EndpointList { kind: EndpointListKind::Changes, endpoints: changed }
     }
 
-    /// Load reports of some hosts by zone, and usage of some proxies.
-    fn reports(&mut self, events: &mut Vec<Event>) {
+    /// Adds load reports of some zones on some hosts, and usage of some proxies.
+    fn add_reports(&mut self, events: &mut Vec<Event>) {
         let hosts: Vec<SiteHost> = self.hosts.values().cloned().collect();
-        let part = self.random_ratio();
+        let reported_ratio = self.random_ratio();
         for zone in self.settings.zones.clone() {
-            // Each zone reports independently.
+            // Whether a zone reports does not depend on the other zones.
             if self.random_ratio() < 0.5 || !self.connected.values().any(|connected| *connected == zone) {
                 continue;
             }
             for host in &hosts {
-                if self.random_ratio() > part || host.condition == Condition::Silent {
+                if self.random_ratio() > reported_ratio || host.condition == Condition::Silent {
                     continue;
                 }
-                let crosses = host.endpoint.zone != zone;
-                let is_cut =
-                    crosses && [&zone, &host.endpoint.zone].map(Some).contains(&self.cut_off_zone.as_ref());
-                events.push(self.load_report(&zone, host, is_cut));
+                let crosses_zones = host.endpoint.zone != zone;
+                let is_unreachable = crosses_zones
+                    && [&zone, &host.endpoint.zone].map(Some).contains(&self.cut_off_zone.as_ref());
+                events.push(self.load_report(&zone, host, is_unreachable));
             }
         }
         let proxies: Vec<u32> = self.connected.keys().copied().collect();
         for id in proxies {
             if self.random_ratio() < 0.3 {
                 let class = ClassId(self.random_below(self.settings.classes.len()));
-                let load_report =
+                let requests =
                     AttemptCounts { total: self.random_below(30) as u64, failed: 0, period: seconds(1.0) };
-                events.push(Event::Usage { proxy: ProxyId(id), class, requests: load_report });
+                events.push(Event::Usage { proxy: ProxyId(id), class, requests });
             }
         }
     }
 
-    fn load_report(&mut self, zone: &ZoneId, host: &SiteHost, is_cut: bool) -> Event {
+    /// A load report of a zone on a host in its present condition.
+    fn load_report(&mut self, zone: &ZoneId, host: &SiteHost, is_unreachable: bool) -> Event {
         let total = 1 + self.random_below(12) as u64;
         let failed = match host.condition {
-            _ if is_cut => total,
+            _ if is_unreachable => total,
             Condition::Failing => total,
             Condition::Lossy => total / 3,
             _ => 0,
         };
-        // Slow hosts answer after every latency objective.
-        let usual_ms = if host.condition == Condition::Slow { 1_200.0 } else { 90.0 };
-        let mean = seconds((usual_ms + 60.0 * self.random_ratio()) / 1e3);
+        // Slow hosts answer later than every latency objective.
+        let min_latency_ms = if host.condition == Condition::Slow { 1_200.0 } else { 90.0 };
+        let mean_latency = seconds((min_latency_ms + 60.0 * self.random_ratio()) / 1e3);
         let utilization =
             (self.random_ratio() < 0.5).then(|| self.utilization * (0.8 + 0.4 * self.random_ratio()));
         let load = HostLoad { utilization, ..HostLoad::default() };
-        let load_report = AttemptCounts { total, failed, period: seconds(1.0) };
+        let attempts = AttemptCounts { total, failed, period: seconds(1.0) };
         Event::LoadReport {
             zone: zone.clone(),
             host: host.endpoint.host.clone(),
-            attempts: load_report,
-            mean_latency: mean,
+            attempts,
+            mean_latency,
             load,
         }
     }
 
-    /// Acknowledgements of barriers, some of which get lost.
-    fn acknowledgements(&mut self, events: &mut Vec<Event>) {
+    /// Adds acknowledgements of the recorded barriers; some acknowledgements get lost.
+    fn add_acknowledgements(&mut self, events: &mut Vec<Event>) {
         let barriers = std::mem::take(&mut self.barriers);
         for barrier in barriers {
             let proxies: Vec<u32> = self.connected.keys().copied().collect();
@@ -374,7 +388,7 @@
         }
     }
 
-    /// Records the barriers among the director's actions.
+    /// Records the barriers among the director's actions, for acknowledgement in the next call.
     pub fn record_actions(&mut self, actions: &[Action]) {
         let numbers = actions.iter().filter_map(|action| match action {
             Action::Barrier { number, .. } => Some(*number),
