--- a/crates/wingfold-director/tests/ranking.rs
+++ b/crates/wingfold-director/tests/ranking.rs
@@ -1,13 +1,16 @@
-//! Best Exit Selection: score, confirmation, margin, cooldown, halving of weights.
+//! Best Exit Selection (score, confirmation, margin, cooldown, halving of weights), locality weights and
+//! relative speeds of machine types.
 mod common;
 use common::*;
 use wingfold_director::interface::*;
 
-fn slow_host(name: &str, ms: f64) -> impl Fn(&str, &str) -> HostBehaviour + '_ {
-    move |_, id| if id == name { HostBehaviour { latency_ms: ms, loss_ratio: 0.0 } } else { HEALTHY }
+/// Behaviour by which host `name` has a mean latency of `latency_ms` and all other hosts are healthy.
+fn slow_host(name: &str, latency_ms: f64) -> impl Fn(&str, &str) -> HostBehaviour + '_ {
+    move |_, id| if id == name { HostBehaviour { latency_ms, loss_ratio: 0.0 } } else { HEALTHY }
 }
 
-/// Seconds from now until a weight differs from `from`.
+/// Seconds from now until the weight of a host in zone east differs from `from`; infinity if that takes over
+/// 60 s.
 fn seconds_until_weight_changes(
     harness: &mut Harness,
     name: &str,
@@ -35,29 +38,32 @@
 }
 
 #[test]
-fn a_slow_hosts_weight_is_halved_after_three_rounds_and_down_to_a_quarter() {
+fn a_slow_hosts_weight_is_halved_twice_after_confirmation() {
     let mut harness = Harness::with_proxies(settings(), 6);
     let first = seconds_until_weight_changes(&mut harness, "h2", 1.0, slow_host("h2", 600.0));
     assert_eq!(harness.weight("east", "h2"), 0.5);
-    assert!((6.0..=9.0).contains(&first), "three rounds of 2 s, not {first}");
+    assert!(
+        (6.0..=9.0).contains(&first),
+        "the weight must change after three rounds of 2 s, not after {first} s"
+    );
     let second = seconds_until_weight_changes(&mut harness, "h2", 0.5, slow_host("h2", 600.0));
     assert_eq!(harness.weight("east", "h2"), 0.25);
-    assert!(second >= 8.0, "the cooldown must pass, not {second}");
+    assert!(second >= 8.0, "the weight must not change again within the cooldown, but did after {second} s");
     harness.run_with_reports(30.0, 10, slow_host("h2", 600.0));
     assert_eq!(harness.weight("east", "h2"), 0.25);
     assert_eq!(harness.weight("east", "h0"), 1.0);
 }
 
 #[test]
-fn the_weight_of_a_recovered_host_doubles_after_three_rounds_each() {
+fn a_recovered_hosts_weight_doubles_twice_after_confirmation() {
     let mut harness = Harness::with_proxies(settings(), 6);
     harness.run_with_reports(30.0, 10, slow_host("h2", 600.0));
     assert_eq!(harness.weight("east", "h2"), 0.25);
     let first = seconds_until_weight_changes(&mut harness, "h2", 0.25, |_, _| HEALTHY);
-    assert!(first >= 6.0, "three rounds, not {first}");
+    assert!(first >= 6.0, "the weight must change after three rounds, not after {first} s");
     assert_eq!(harness.weight("east", "h2"), 0.5);
     let second = seconds_until_weight_changes(&mut harness, "h2", 0.5, |_, _| HEALTHY);
-    assert!(second >= 8.0, "the cooldown must pass, not {second}");
+    assert!(second >= 8.0, "the weight must not change again within the cooldown, but did after {second} s");
     assert_eq!(harness.weight("east", "h2"), 1.0);
 }
 
@@ -70,7 +76,8 @@
 
 #[test]
 fn one_percent_of_loss_scores_a_hundred_ms() {
-    // A loss of 10 % scores 1000 ms: far behind, although its latency is the lowest of all.
+    // 10 % of loss add 1000 ms to the score of host h2, which is then far behind the leading group although
+    // the host's latency is the lowest of all.
     let mut harness = Harness::with_proxies(settings(), 6);
     let lossy = |_: &str, id: &str| {
         if id == "h2" {
@@ -85,20 +92,20 @@
 
 #[test]
 fn a_stale_report_does_not_confirm_a_change() {
-    // There is one report of a slow attempt, and none of that host in the rounds after it.
+    // One report shows host h2 as slow, and the rounds after that report have no further report on the host.
     let mut harness = Harness::with_proxies(settings(), 6);
     harness.run_with_reports(4.0, 10, |_, _| HEALTHY);
     harness.handle(&[load_report("east", host("h2"), 2, 2.0, HostLoad::default())]);
     for _ in 0..12 {
         harness.advance(1.0);
-        let other = |id: &str| load_report("east", host(id), 1, 0.1, HostLoad::default());
-        harness.handle(&[other("h0"), other("h1")]);
+        let report = |id: &str| load_report("east", host(id), 1, 0.1, HostLoad::default());
+        harness.handle(&[report("h0"), report("h1")]);
     }
     assert_eq!(harness.weight("east", "h2"), 1.0);
 }
 
 #[test]
-fn when_all_hosts_fail_the_tables_stay() {
+fn when_all_hosts_fail_no_table_changes() {
     let mut harness = Harness::with_proxies(settings(), 6);
     harness.run_with_reports(4.0, 10, |_, _| HEALTHY);
     let before = harness.entries("east");
@@ -108,7 +115,8 @@
 
 #[test]
 fn loss_of_all_hosts_lowers_no_weight() {
-    // Regression: an overload looked like many slow hosts, and fewer hosts were left for the same load.
+    // Regression: in an overload many hosts counted as slow and lost weight, so that fewer hosts were left
+    // for the same load.
     let mut harness = Harness::with_proxies(settings(), 6);
     let behaviour = |_: &str, id: &str| HostBehaviour {
         latency_ms: 300.0,
@@ -133,9 +141,9 @@
     assert_eq!(harness.weight("west", "h2"), 1.0);
 }
 
-/// Reports the usage of each zone's proxy for some rounds. Returns the weight of a remote host relative to a local one, in
-/// each zone.
-fn remote_weight_ratios(hosts: usize, east: u64, west: u64, price: f64) -> (f64, f64) {
+/// The weight of a remote host as a ratio of the weight of a local host, in zone east and in zone west.
+/// Before that, the proxies of the two zones report these requests per second for six seconds.
+fn remote_weight_ratios(hosts: usize, east_requests: u64, west_requests: u64, price: f64) -> (f64, f64) {
     let mut settings = settings();
     settings.cross_zone_price = price;
     let mut harness = Harness::with_proxies(settings, hosts);
@@ -145,7 +153,7 @@
             class: ClassId(0),
             requests: AttemptCounts { total, failed: 0, period: seconds(1.0) },
         };
-        harness.handle(&[usage(0, east), usage(1, west)]);
+        harness.handle(&[usage(0, east_requests), usage(1, west_requests)]);
         harness.run_with_reports(1.0, 10, |_, _| HEALTHY);
     }
     (
@@ -155,26 +163,31 @@
 }
 
 #[test]
-fn with_a_cross_zone_price_remote_weights_fall_with_the_size_of_a_zone() {
-    let (small, other) = remote_weight_ratios(8, 50, 50, 0.05);
-    assert!((small - 0.25).abs() < 1e-9 && small == other, "four hosts a zone: {small}, {other}");
+fn with_a_cross_zone_price_larger_zones_use_remote_hosts_less() {
+    let (small, small_west) = remote_weight_ratios(8, 50, 50, 0.05);
+    assert!(
+        (small - 0.25).abs() < 1e-9 && small == small_west,
+        "ratios with four hosts in each zone: {small}, {small_west}"
+    );
     let (large, _) = remote_weight_ratios(72, 50, 50, 0.05);
-    assert!((large - 0.125).abs() < 1e-9, "36 hosts a zone: {large}");
+    assert!((large - 0.125).abs() < 1e-9, "ratio with 36 hosts in each zone: {large}");
     assert_eq!(remote_weight_ratios(8, 50, 50, 0.0), (1.0, 1.0));
 }
 
 #[test]
-fn a_busy_zone_uses_more_of_other_zones() {
-    // Regression: few proxies had most of the traffic and overloaded their own zone while other hosts were idle.
+fn a_busy_zone_uses_remote_hosts_more() {
+    // Regression: the few proxies of one zone had most of the traffic and overloaded the hosts of their zone,
+    // while hosts of other zones were idle.
     let (even, _) = remote_weight_ratios(8, 50, 50, 0.05);
     let (busy, idle) = remote_weight_ratios(8, 196, 4, 0.05);
-    assert!(busy > even, "the busy zone uses other zones: {busy}");
-    assert_eq!(idle, even, "the idle one need not");
+    assert!(busy > even, "a busy zone must use remote hosts more: ratio {busy}");
+    assert_eq!(idle, even, "an idle zone must not use remote hosts more");
 }
 
 #[test]
 fn a_director_of_one_zone_assumes_load_in_proportion_to_capacity() {
-    // Regression: a director that serves one zone took all load to be that zone's and spread it over all zones.
+    // Regression: a director that serves one zone assumed that all load came from that zone, and spread that
+    // load over all zones.
     let mut settings = settings();
     (settings.cross_zone_price, settings.local_first, settings.directors) = (0.05, true, 2);
     let mut harness = Harness::new(settings);
@@ -188,26 +201,27 @@
     assert!((harness.weight("east", "h1") - 0.25).abs() < 1e-9, "{}", harness.weight("east", "h1"));
 }
 
-/// Sixteen hosts with equal listed weights and two machine types in turn. Each second they report the utilization that the
-/// closure gives for a host and its weight. Returns the mean weight of both machine types at the end.
+/// The mean weight of the hosts of each of two machine types after `secs` seconds. Sixteen hosts have equal
+/// listed weights and alternate between the types in pairs; each second they report the utilization that the
+/// closure returns for the number and the weight of a host.
 fn mean_weights_by_machine_type(secs: u32, utilization: impl Fn(usize, f64) -> f64) -> ([f64; 2], Harness) {
     let mut harness =
         Harness::new(Settings { load_report_source: LoadReportSource::WithAttemptCounts, ..settings() });
-    let kind = |n: usize| ["quick", "slow"][n / 2 % 2];
-    let fleet = ready_endpoints(16)
+    let machine_type = |n: usize| ["quick", "slow"][n / 2 % 2];
+    let endpoints = ready_endpoints(16)
         .into_iter()
         .enumerate()
-        .map(|(n, e)| Endpoint { machine_type: kind(n).into(), ..e });
-    harness.handle(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: fleet.collect() }]);
-    let joins = |(n, zone_name)| Event::ProxyConnected {
+        .map(|(n, e)| Endpoint { machine_type: machine_type(n).into(), ..e });
+    harness.handle(&[Event::EndpointList { kind: EndpointListKind::Cached, endpoints: endpoints.collect() }]);
+    let connect = |(n, zone_name)| Event::ProxyConnected {
         proxy: ProxyId(n),
         zone: zone(zone_name),
         requests_per_s: 50.0,
     };
-    harness.handle(&[(0, "east"), (1, "west")].map(joins));
+    harness.handle(&[(0, "east"), (1, "west")].map(connect));
     for _ in 0..secs {
         harness.advance(1.0);
-        let line = |n: usize, zone_name: &str| {
+        let report = |n: usize, zone_name: &str| {
             let (id, weight) = (host(&format!("h{n}")), harness.weight(zone_name, &format!("h{n}")));
             let utilization = utilization(n, weight);
             load_report(
@@ -219,26 +233,27 @@
             )
         };
         let events: Vec<Event> =
-            (0..16).flat_map(|n| ["east", "west"].map(|zone_name| line(n, zone_name))).collect();
+            (0..16).flat_map(|n| ["east", "west"].map(|zone_name| report(n, zone_name))).collect();
         harness.handle(&events);
     }
-    let mean = |which: usize| {
-        let hosts = (0..16).filter(|n| n / 2 % 2 == which);
+    let mean_weight = |type_index: usize| {
+        let hosts = (0..16).filter(|n| n / 2 % 2 == type_index);
         hosts.map(|n| harness.weight("east", &format!("h{n}"))).sum::<f64>() / 8.0
     };
-    ([mean(0), mean(1)], harness)
+    ([mean_weight(0), mean_weight(1)], harness)
 }
 
 #[test]
-fn a_machine_type_that_is_slow_for_its_listed_weight_gets_less() {
-    // Regression: the list gives the number of cores and not their speed. Half of the hosts were saturated while the other
-    // half was idle, and the ranking corrected one host after the other.
+fn a_machine_type_slow_for_its_listed_weight_gets_less_weight() {
+    // Regression: listed weights follow the number of cores and not their speed. The half of the hosts with
+    // slow cores was saturated while the other half was idle, and the ranking corrected only one host after
+    // the other.
     let speed = |n: usize| [1.0, 0.6][n / 2 % 2];
     let ([quick, slow], mut harness) = mean_weights_by_machine_type(6, |n, weight| 0.5 * weight / speed(n));
-    assert!(quick == 1.0 && (slow - 0.6).abs() < 0.05, "after six seconds {quick} and {slow}");
+    assert!(quick == 1.0 && (slow - 0.6).abs() < 0.05, "mean weights after 6 s: {quick} and {slow}");
     let ([quick, slow], _) = mean_weights_by_machine_type(60, |n, weight| 0.5 * weight / speed(n));
-    assert!(quick == 1.0 && (slow - 0.6).abs() < 0.1, "it stays there: {quick} and {slow}");
-    // A new host of that machine type starts with the known speed.
+    assert!(quick == 1.0 && (slow - 0.6).abs() < 0.1, "mean weights after 60 s: {quick} and {slow}");
+    // The relative speed of the machine type also applies to a new host.
     let new = Endpoint { machine_type: "slow".into(), ..endpoint("n1", "east", Readiness::Ready, Some(0.0)) };
     harness.handle(&[Event::EndpointList { kind: EndpointListKind::Changes, endpoints: vec![new] }]);
     harness.advance(40.0);
@@ -246,23 +261,23 @@
 }
 
 #[test]
-fn few_busy_hosts_or_a_saturated_fleet_do_not_change_relative_speeds() {
-    let strained = |n: usize, _| if [2, 3, 6].contains(&n) { 1.0 } else { 0.5 };
+fn relative_speeds_ignore_few_busy_and_all_saturated_hosts() {
+    let few_busy = |n: usize, _| if [2, 3, 6].contains(&n) { 1.0 } else { 0.5 };
     assert_eq!(
-        mean_weights_by_machine_type(30, strained).0,
+        mean_weights_by_machine_type(30, few_busy).0,
         [1.0, 1.0],
-        "three of eight of a machine type: left to the ranking"
+        "three busy hosts of the eight of a machine type are left to the ranking"
     );
-    let full = |n: usize, _| [0.9, 1.0][n / 2 % 2];
+    let saturated = |n: usize, _| [0.9, 1.0][n / 2 % 2];
     assert_eq!(
-        mean_weights_by_machine_type(30, full).0,
+        mean_weights_by_machine_type(30, saturated).0,
         [1.0, 1.0],
-        "saturated cores say nothing about speeds"
+        "utilization of saturated cores does not show their speed"
     );
     let idle = |n: usize, _| [0.05, 0.1][n / 2 % 2];
     assert_eq!(
         mean_weights_by_machine_type(30, idle).0,
         [1.0, 1.0],
-        "idle ones measure health checks and noise"
+        "utilization of idle hosts shows only health checks and noise"
     );
 }
