--- a/crates/wingfold-director/benches/ladder/fleet.rs
+++ b/crates/wingfold-director/benches/ladder/fleet.rs
@@ -8,23 +8,25 @@
     Timestamp, ZoneId,
 };
 
-/// Calls of a director per second of virtual time.
+/// Number of calls of the director per second of virtual time.
 pub const CALLS_PER_S: u32 = 4;
-/// Attempts in one load report.
+/// Number of attempts in one load report.
 const ATTEMPTS_PER_REPORT: u64 = 5;
-
-/// Racks, or switches, that the hosts of a zone share.
+/// Number of racks, or switches, over which the hosts of a zone are distributed.
 const RACKS_PER_ZONE: usize = 3;
 
 /// The hosts and proxies around one director.
 pub struct Fleet {
     size: Size,
     hosts: Vec<Endpoint>,
+    /// Number of hosts that have ever existed, for the names of new hosts.
     hosts_created: u32,
+    /// Indices of the hosts that fail at present.
     failing: BTreeSet<usize>,
+    /// The hosts that have failed last, in this phase.
     failed_hosts: BTreeSet<HostId>,
-    /// Hosts that half of the load reports are about, as proxies retry failing hosts.
-    focus: Vec<usize>,
+    /// Indices of the hosts that get half of the load reports, since proxies often retry failing hosts.
+    often_reported: Vec<usize>,
     reports_sent: usize,
     usage_sent: u32,
 }
@@ -38,7 +40,7 @@
             hosts_created: 0,
             failing: BTreeSet::new(),
             failed_hosts: BTreeSet::new(),
-            focus: Vec::new(),
+            often_reported: Vec::new(),
             reports_sent: 0,
             usage_sent: 0,
         };
@@ -49,7 +51,7 @@
         fleet
     }
 
-    /// How many hosts there are.
+    /// The number of hosts.
     pub fn len(&self) -> usize {
         self.hosts.len()
     }
@@ -59,7 +61,7 @@
         Event::EndpointList { kind: EndpointListKind::Cached, endpoints: self.hosts.clone() }
     }
 
-    /// Every proxy connects.
+    /// The events by which all proxies connect.
     pub fn connections(&self) -> Vec<Event> {
         let connect = |proxy| Event::ProxyConnected {
             proxy: ProxyId(proxy),
@@ -78,42 +80,46 @@
         events
     }
 
-    /// Replaces a host: the old machine drains and a new one starts.
+    /// Replaces a host: the old host drains and a new one starts. Returns the list entries of the old and the
+    /// new host.
     pub fn replace(&mut self, index: usize, now: Timestamp) -> Vec<Endpoint> {
         let old = Endpoint { readiness: Readiness::Draining, ..self.hosts[index].clone() };
         self.hosts[index] = self.new_host(index as u32, Some(now));
         vec![old, self.hosts[index].clone()]
     }
 
-    /// Changes the listed weight of a host.
+    /// Changes the listed weight of a host; returns the list entry.
     pub fn reconfigure(&mut self, index: usize) -> Vec<Endpoint> {
         let entry = &mut self.hosts[index];
         entry.weight = if entry.weight > 1.0 { 1.0 } else { 2.0 };
         vec![entry.clone()]
     }
 
-    /// Every host of the first `zones` zones fails, and half of the load reports are about them.
+    /// All hosts of the first `zones` zones fail, and get half of the load reports.
     pub fn fail_zones(&mut self, zones: u32) {
-        self.fail_and_focus(self.hosts_of(zones));
+        self.fail_and_report_often(self.hosts_in_first_zones(zones));
     }
 
-    /// A third of the first zone's hosts fails, and half of the load reports are about them.
+    /// The hosts of one rack in the first zone fail, and get half of the load reports.
     pub fn fail_rack(&mut self) {
-        self.fail_and_focus(self.hosts_of(1).into_iter().step_by(RACKS_PER_ZONE).collect());
+        self.fail_and_report_often(
+            self.hosts_in_first_zones(1).into_iter().step_by(RACKS_PER_ZONE).collect(),
+        );
     }
 
-    fn hosts_of(&self, zones: u32) -> Vec<usize> {
-        let names: Vec<ZoneId> = (0..zones).map(sizes::zone).collect();
-        let hosts = self.hosts.iter().enumerate().filter(|(_, entry)| names.contains(&entry.zone));
+    /// Indices of the hosts in the first `zones` zones.
+    fn hosts_in_first_zones(&self, zones: u32) -> Vec<usize> {
+        let first_zones: Vec<ZoneId> = (0..zones).map(sizes::zone).collect();
+        let hosts = self.hosts.iter().enumerate().filter(|(_, entry)| first_zones.contains(&entry.zone));
         hosts.map(|(index, _)| index).collect()
     }
 
-    fn fail_and_focus(&mut self, indices: Vec<usize>) {
+    fn fail_and_report_often(&mut self, indices: Vec<usize>) {
         self.fail(indices.iter().copied().collect());
-        self.focus = indices;
+        self.often_reported = indices;
     }
 
-    /// One host fails; it is reported as often as any other.
+    /// One host fails, and gets as many load reports as any other.
     pub fn fail_host(&mut self, index: usize) {
         self.fail(BTreeSet::from([index]));
     }
@@ -123,41 +129,44 @@
         self.failing = indices;
     }
 
-    /// The hosts that failed last.
+    /// The hosts that have failed last, in this phase.
     pub fn failed_hosts(&self) -> &BTreeSet<HostId> {
         &self.failed_hosts
     }
 
-    /// Clears the failed hosts at the end of a phase.
+    /// Forgets the failed hosts, at the end of a phase.
     pub fn clear_failed_hosts(&mut self) {
         self.failed_hosts.clear();
     }
 
     /// The failing hosts answer again, without a restart.
     pub fn recover(&mut self) {
-        self.focus.clear();
+        self.often_reported.clear();
         self.failing.clear();
     }
 
     /// The list entries that remove the failing hosts.
-    pub fn remove_failed(&self) -> Vec<Endpoint> {
-        let gone = |index: &usize| Endpoint { readiness: Readiness::Removed, ..self.hosts[*index].clone() };
-        self.failing.iter().map(gone).collect()
+    pub fn removals_of_failing_hosts(&self) -> Vec<Endpoint> {
+        let removed =
+            |index: &usize| Endpoint { readiness: Readiness::Removed, ..self.hosts[*index].clone() };
+        self.failing.iter().map(removed).collect()
     }
 
-    /// The failing hosts restart now; returns their list entries.
-    pub fn restart_failed(&mut self, now: Timestamp) -> Vec<Endpoint> {
-        self.focus.clear();
-        let back = std::mem::take(&mut self.failing);
-        back.into_iter().map(|index| self.restarted(index, now)).collect()
+    /// The failing hosts restart at time `now`; returns their list entries.
+    pub fn restart_failing_hosts(&mut self, now: Timestamp) -> Vec<Endpoint> {
+        self.often_reported.clear();
+        let restarting = std::mem::take(&mut self.failing);
+        restarting.into_iter().map(|index| self.restart(index, now)).collect()
     }
 
-    fn restarted(&mut self, index: usize, now: Timestamp) -> Endpoint {
+    /// Restarts a host at time `now`; returns its list entry.
+    fn restart(&mut self, index: usize, now: Timestamp) -> Endpoint {
         self.hosts[index].started_at = Some(now);
         self.hosts[index].clone()
     }
 
-    fn new_host(&mut self, index: u32, started: Option<Timestamp>) -> Endpoint {
+    /// The list entry of a new host, whose zone and machine type follow from its index.
+    fn new_host(&mut self, index: u32, started_at: Option<Timestamp>) -> Endpoint {
         let name = format!("s-{:08x}", self.hosts_created.wrapping_mul(0x9E37_79B1));
         self.hosts_created += 1;
         Endpoint {
@@ -166,7 +175,7 @@
             zone: sizes::zone(index % self.size.zones),
             readiness: Readiness::Ready,
             weight: 1.0,
-            started_at: started,
+            started_at,
         }
     }
 
@@ -174,36 +183,38 @@
         sizes::zone(if self.size.zone_local { 0 } else { proxy % self.size.zones })
     }
 
-    /// A report on the next pair of a zone with proxies and a host, in turn.
+    /// The next load report. The zones with proxies report in turn, and each of them reports on all hosts in
+    /// turn.
     fn next_load_report(&mut self) -> Event {
         let turn = self.reports_sent;
         self.reports_sent += 1;
         let zones = if self.size.zone_local { 1 } else { self.size.zones.min(self.size.proxies) as usize };
         let (zone, round) = (turn % zones, turn / zones);
-        let is_focused = !self.focus.is_empty() && round.is_multiple_of(2);
-        let index = match is_focused {
-            true => self.focus[round / 2 % self.focus.len()],
+        let is_on_often_reported_host = !self.often_reported.is_empty() && round.is_multiple_of(2);
+        let index = match is_on_often_reported_host {
+            true => self.often_reported[round / 2 % self.often_reported.len()],
             false => (round + zone * self.hosts.len() / zones) % self.hosts.len(),
         };
         self.load_report(sizes::zone(zone as u32), index)
     }
 
     fn load_report(&self, zone: ZoneId, index: usize) -> Event {
-        let failing = self.failing.contains(&index);
-        let failed = if failing { ATTEMPTS_PER_REPORT } else { 0 };
-        let mean = if failing { 0.0 } else { 0.1 };
+        let is_failing = self.failing.contains(&index);
+        let failed = if is_failing { ATTEMPTS_PER_REPORT } else { 0 };
+        let mean_latency_s = if is_failing { 0.0 } else { 0.1 };
         let load = HostLoad { in_flight: Some(7.0), utilization: Some(0.4), ..HostLoad::default() };
-        let load = if failing || self.size.health_checks { HostLoad::default() } else { load };
+        let load = if is_failing || self.size.health_checks { HostLoad::default() } else { load };
         let counts = AttemptCounts { total: ATTEMPTS_PER_REPORT, failed, period: Micros::from_secs(1.0) };
         Event::LoadReport {
             zone,
             host: self.hosts[index].host.clone(),
             attempts: counts,
-            mean_latency: Micros::from_secs(mean),
+            mean_latency: Micros::from_secs(mean_latency_s),
             load,
         }
     }
 
+    /// The next usage report. Proxies report in turn, each on its classes in turn.
     fn next_usage(&mut self) -> Event {
         let turn = self.usage_sent;
         self.usage_sent += 1;
--- a/crates/wingfold-director/benches/ladder/main.rs
+++ b/crates/wingfold-director/benches/ladder/main.rs
@@ -1,13 +1,16 @@
-//! What one director costs as the fleet grows: processor time, the most expensive call, memory, and bytes by peer.
+//! Measures what one director costs as the fleet grows: processor time, the most expensive call, memory, and
+//! the bytes exchanged with each kind of peer.
 //!
-//! Run with `cargo bench -p wingfold-director --bench ladder`. Time is virtual and events come from a fixed fleet, so
-//! only processor time differs from run to run. Options after `--`:
+//! Run with `cargo bench -p wingfold-director --bench ladder`. Time is virtual and events come from a fixed
+//! fleet, so only processor time differs from run to run. A ladder is a series of measurements at growing
+//! sizes. Options after `--`:
 //!
-//! - `--quick`: fewer seconds in each phase
-//! - `--steps 16,8,4`: only these steps of the ladder, as denominators of the target
+//! - `--quick`: shorter phases
+//! - `--steps 16,8,4`: only these steps of the ladder in which all dimensions grow; step 16 is a sixteenth of
+//!   the target
 //! - `--parts ladder,dimensions,variants,records`: only these parts
-//! - `--region-cut SECONDS`: length of the phase with a cut region; half of it the region is cut off
-//! - `--json FILE`: everything as JSON as well
+//! - `--region-cut SECONDS`: length of the phase in which a region is cut off, for half of the phase
+//! - `--json FILE`: also writes all results to a file as JSON
 
 mod fit;
 mod fleet;
@@ -22,20 +25,21 @@
 use scenario::{run, Lengths, Outcome};
 use sizes::{Size, STEPS, TARGET};
 
-/// A part of the measurement.
+/// A part of the measurements.
 #[derive(Clone, Copy, PartialEq)]
 enum Part {
-    /// Everything grows together.
+    /// A ladder in which all dimensions grow together.
     Ladder,
-    /// One dimension grows.
+    /// One ladder for each dimension, in which only that dimension grows.
     Dimensions,
-    /// The target under other readings.
+    /// Variants of the target.
     Variants,
-    /// Bytes of one record of each kind.
+    /// The size in memory of one record of each kind.
     Records,
 }
 
 impl Part {
+    /// All parts, with their names on the command line.
     const ALL: [(Part, &'static str); 4] = [
         (Part::Ladder, "ladder"),
         (Part::Dimensions, "dimensions"),
@@ -44,7 +48,7 @@
     ];
 }
 
-/// What the command line asks for.
+/// The options of the command line.
 struct Options {
     quick: bool,
     parts: Vec<Part>,
@@ -54,7 +58,7 @@
 }
 
 impl Options {
-    /// Reads the command line; `cargo bench` adds `--bench`.
+    /// Parses the arguments of the command line, to which `cargo bench` adds `--bench`.
     fn parse(mut arguments: impl Iterator<Item = String>) -> Result<Options, String> {
         let mut options = Options {
             quick: false,
@@ -78,12 +82,14 @@
         Ok(options)
     }
 
+    /// Lengths of the phases where all of them are measure.
     fn lengths(&self) -> Lengths {
         let lengths = if self.quick { Lengths::QUICK } else { Lengths::FULL };
         Lengths { region_cut: self.region_cut.unwrap_or(lengths.region_cut), ..lengths }
     }
 
-    fn steady(&self) -> Lengths {
+    /// Lengths of the phases where only the start and the steady state are measure.
+    fn steady_lengths(&self) -> Lengths {
         if self.quick {
             Lengths::STEADY_QUICK
         } else {
@@ -93,18 +99,20 @@
 }
 
 fn parse_seconds(text: &str) -> Result<u32, String> {
-    text.parse().map_err(|_| format!("no number of seconds: {text}"))
+    text.parse().map_err(|_| format!("not a number of seconds: {text}"))
 }
 
 fn parse_steps(text: &str) -> Result<Vec<u32>, String> {
-    let step = |part: &str| part.parse().ok().filter(|step| *step > 0).ok_or(format!("no step: {part}"));
+    let step = |part: &str| {
+        part.parse().ok().filter(|step| *step > 0).ok_or(format!("not a positive denominator: {part}"))
+    };
     text.split(',').map(step).collect()
 }
 
 fn parse_parts(text: &str) -> Result<Vec<Part>, String> {
     let part = |name: &str| {
         let found = Part::ALL.iter().find(|(_, known)| *known == name);
-        found.map(|(part, _)| *part).ok_or_else(|| format!("no part: {name}"))
+        found.map(|(part, _)| *part).ok_or_else(|| format!("unknown part: {name}"))
     };
     text.split(',').map(part).collect()
 }
@@ -115,10 +123,10 @@
     let (mut variants, mut records) = (Vec::new(), None);
     for part in &options.parts {
         match part {
-            Part::Ladder => ladders.push(everything(&options)),
-            Part::Dimensions => ladders.extend(single_dimensions(&options)),
+            Part::Ladder => ladders.push(ladder_of_all_dimensions(&options)),
+            Part::Dimensions => ladders.extend(ladders_of_single_dimensions(&options)),
             Part::Variants => variants = target_variants(&options),
-            Part::Records => records = Some(memory::by_record(Size::step(4))),
+            Part::Records => records = Some(memory::bytes_by_record(Size::step(4))),
         }
     }
     let report = Report { lengths: options.lengths(), ladders, variants, records };
@@ -130,23 +138,24 @@
     Ok(())
 }
 
-/// Everything grows together.
-fn everything(options: &Options) -> Ladder {
+/// The ladder in which all dimensions grow together.
+fn ladder_of_all_dimensions(options: &Options) -> Ladder {
     let step = |denominator: &u32| {
         let label = if *denominator == 1 { "whole".to_string() } else { format!("1/{denominator}") };
-        (1.0 / f64::from(*denominator), measured(&label, Size::step(*denominator), options.lengths()))
+        (1.0 / f64::from(*denominator), measure(&label, Size::step(*denominator), options.lengths()))
     };
     Ladder::new("everything together", options.steps.iter().map(step).collect())
 }
 
-/// One dimension grows while the others stay at a quarter of the target.
-fn single_dimensions(options: &Options) -> Vec<Ladder> {
+/// One ladder for each dimension. Only that dimension grows; the others stay at a quarter of the target,
+/// except for the rate of load reports, which is that of the target.
+fn ladders_of_single_dimensions(options: &Options) -> Vec<Ladder> {
     let base = Size { reports_per_s: TARGET.reports_per_s, ..Size::step(4) };
     let ladder = |dimension: &'static str, values: &[u32], set: fn(&mut Size, u32)| {
         let outcome = |value: &u32| {
             let mut size = base;
             set(&mut size, *value);
-            (f64::from(*value), measured(&format!("{dimension} {value}"), size, options.steady()))
+            (f64::from(*value), measure(&format!("{dimension} {value}"), size, options.steady_lengths()))
         };
         Ladder::new(dimension, values.iter().map(outcome).collect())
     };
@@ -162,12 +171,12 @@
     ]
 }
 
-/// The target under other readings of it.
+/// Measurements of variants of the target.
 fn target_variants(options: &Options) -> Vec<Outcome> {
-    let variant = |label: &str, size: Size| measured(label, size, options.steady());
+    let variant = |label: &str, size: Size| measure(label, size, options.steady_lengths());
     vec![
         variant("7 proxies", Size { proxies: 7, ..TARGET }),
-        // A tenth of the directors, so that the proxies of the whole tier stay as many.
+        // With a tenth of the directors, the number of proxies in the whole tier stays the same.
         variant("480 proxies", Size { proxies: 480, directors: TARGET.directors / 10, ..TARGET }),
         variant("48 proxies of one zone", Size { zone_local: true, ..TARGET }),
         variant("crossing zones priced", Size { has_cross_zone_price: true, ..TARGET }),
@@ -176,7 +185,8 @@
     ]
 }
 
-fn measured(label: &str, size: Size, lengths: Lengths) -> Outcome {
+/// Runs a director of this size through its phases, and reports the progress on standard error.
+fn measure(label: &str, size: Size, lengths: Lengths) -> Outcome {
     eprintln!("measuring {label}: {} proxies, {} hosts, {} zones", size.proxies, size.hosts, size.zones);
     run(label, size, lengths)
 }
--- a/crates/wingfold-director/benches/ladder/measure.rs
+++ b/crates/wingfold-director/benches/ladder/measure.rs
@@ -1,4 +1,4 @@
-//! Processor time of this thread, allocated memory, and the phases that a director is driven through.
+//! Drives a director through phases, and measures the processor time of this thread and the allocated memory.
 
 use crate::fleet::{Fleet, CALLS_PER_S};
 use crate::sizes::Size;
@@ -9,15 +9,15 @@
 use wingfold_director::interface::{Action, Event, Micros, ProxyId, Timestamp};
 use wingfold_director::Director;
 
-/// Counts what is allocated at present.
+/// Counts the bytes that are allocated at present.
 #[global_allocator]
 static ALLOCATOR: PeakAlloc = PeakAlloc;
 
-/// Seed of every director that is measured.
+/// Seed of each measured director.
 const SEED: u64 = 7;
-/// Time from an order until a proxy has applied it.
+/// Seconds from a call until a proxy has applied the message of the call.
 const APPLIED_AFTER_S: f64 = 0.3;
-/// Virtual time at which a director starts: late enough for hosts to be warm.
+/// Virtual time at which a director starts: late enough for hosts to be warmed up.
 const START: Timestamp = Timestamp(1_000_000_000);
 
 /// Bytes allocated at present.
@@ -31,24 +31,26 @@
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-/// What a phase cost.
+/// The cost of a phase.
 #[derive(Clone, Debug, Serialize)]
 pub struct Phase {
-    /// Its name.
+    /// The name of the phase.
     pub name: &'static str,
-    /// Its length in virtual time.
+    /// The length of the phase, in seconds of virtual time.
     pub virtual_s: f64,
-    /// Processor time of the director.
+    /// Processor time of the director, in seconds.
     pub cpu_s: f64,
-    /// Processor time of the most expensive call.
+    /// Processor time of the most expensive call, in milliseconds.
     #[serde(rename = "worst_turn_ms")]
     pub worst_call_ms: f64,
-    /// Events handled, and actions ordered.
+    /// Number of events that the director handled.
     pub events: usize,
+    /// Number of actions that the director requested.
     pub actions: usize,
-    /// Messages and bytes that follow.
+    /// The messages that carry these events and actions.
     pub traffic: Traffic,
-    /// Weight of the hosts that fail in this phase after each call, in all tables together, as a share of what it was.
+    /// The weight in all tables of the hosts that fail in this phase, after each call, as a ratio of their
+    /// weight before the first call of the phase.
     pub failed_weight: Vec<f64>,
 }
 
@@ -66,26 +68,27 @@
         }
     }
 
-    /// Seconds until the failed hosts hold no more than a share of their weight.
-    pub fn failed_below(&self, share: f64) -> Option<f64> {
-        let call = self.failed_weight.iter().position(|weight| *weight <= share)?;
+    /// Seconds until the failed hosts have at most this ratio of their weight.
+    pub fn seconds_until_failed_below(&self, ratio: f64) -> Option<f64> {
+        let call = self.failed_weight.iter().position(|weight| *weight <= ratio)?;
         Some((call + 1) as f64 / f64::from(CALLS_PER_S))
     }
 
-    /// Seconds until the hosts that had failed hold a share of their weight again, after they held least.
-    pub fn recovered_to(&self, share: f64) -> Option<f64> {
+    /// Seconds until the failed hosts, after the call at which they had the least weight, have at least this
+    /// ratio of their weight again.
+    pub fn seconds_until_recovered_to(&self, ratio: f64) -> Option<f64> {
         let least = self.failed_weight.iter().copied().fold(f64::INFINITY, f64::min);
-        let lowest = self.failed_weight.iter().position(|weight| *weight <= least)?;
-        let call = self.failed_weight.iter().skip(lowest).position(|weight| *weight >= share)?;
-        Some((lowest + call + 1) as f64 / f64::from(CALLS_PER_S))
+        let lowest_call = self.failed_weight.iter().position(|weight| *weight <= least)?;
+        let call = self.failed_weight.iter().skip(lowest_call).position(|weight| *weight >= ratio)?;
+        Some((lowest_call + call + 1) as f64 / f64::from(CALLS_PER_S))
     }
 
-    /// Share of a core.
-    pub fn core(&self) -> f64 {
+    /// Share of a core that the director used, as a ratio.
+    pub fn core_ratio(&self) -> f64 {
         self.cpu_s / self.virtual_s
     }
 
-    /// Bytes received and sent in a second of virtual time.
+    /// Bytes received and bytes sent per second of virtual time.
     pub fn bytes_per_s(&self) -> (f64, f64) {
         let per_s = |bytes: usize| bytes as f64 / self.virtual_s;
         (per_s(self.traffic.bytes_in()), per_s(self.traffic.bytes_out()))
@@ -97,15 +100,13 @@
 pub enum Reports {
     /// Load reports, usage and acknowledgements arrive.
     Arrive,
-    /// Only timers and acknowledgements do.
+    /// Only timers and acknowledgements arrive.
     None,
 }
 
-/// One director, its fleet, and the time that both live in.
+/// One director, its fleet, and the virtual time of both.
 pub struct Driver {
-    /// The director.
     pub director: Director,
-    /// The fleet.
     pub fleet: Fleet,
     now: Timestamp,
     proxy_tables: ProxyTables,
@@ -126,8 +127,9 @@
         }
     }
 
-    /// Plays `seconds` of virtual time; `script` gives the events besides the reports before each call.
-    pub fn play(
+    /// Runs a phase of `seconds` seconds of virtual time. Before each call, `script` returns the events of
+    /// the call other than timers, acknowledgements and reports.
+    pub fn run_phase(
         &mut self,
         name: &'static str,
         seconds: u32,
@@ -135,7 +137,7 @@
         mut script: impl FnMut(&mut Fleet, u32, Timestamp) -> Vec<Event>,
     ) -> Phase {
         let mut phase = Phase::new(name);
-        let mut weight_before = None;
+        let mut initial_weight = None;
         for call in 0..seconds * CALLS_PER_S {
             let mut events = std::mem::take(&mut self.acknowledgements);
             events.push(Event::TimerFired(0));
@@ -144,16 +146,17 @@
                 events.extend(self.fleet.reports());
             }
             let failed = self.fleet.failed_hosts();
-            let before = *weight_before.get_or_insert_with(|| self.proxy_tables.weight_of(failed));
+            let initial = *initial_weight.get_or_insert_with(|| self.proxy_tables.total_weight(failed));
             self.call(&events, &mut phase);
-            if before > 0.0 {
-                phase.failed_weight.push(self.proxy_tables.weight_of(self.fleet.failed_hosts()) / before);
+            if initial > 0.0 {
+                phase.failed_weight.push(self.proxy_tables.total_weight(self.fleet.failed_hosts()) / initial);
             }
         }
         self.fleet.clear_failed_hosts();
         phase
     }
 
+    /// Calls the director and adds the cost of the call to the phase.
     fn call(&mut self, events: &[Event], phase: &mut Phase) {
         self.actions.clear();
         let started_s = thread_cpu_s();
--- a/crates/wingfold-director/benches/ladder/output.rs
+++ b/crates/wingfold-director/benches/ladder/output.rs
@@ -1,4 +1,4 @@
-//! The results as tables for reading, and as JSON.
+//! The results, printed as tables and written as JSON.
 
 use crate::fit::{power_law, Fit};
 use crate::memory::RecordBytes;
@@ -6,25 +6,25 @@
 use serde::Serialize;
 use wingfold_director::inspect::RecordCounts;
 
-/// A ladder: sizes that differ in one dimension, or in all of them together.
+/// A ladder: measurements at sizes that differ in one dimension, or in all dimensions together.
 #[derive(Debug, Serialize)]
 pub struct Ladder {
-    /// What grows.
+    /// The dimension that grows.
     pub dimension: &'static str,
-    /// Each size as a number, and what it cost.
+    /// Each size as a number, and the cost of a director of that size.
     pub outcomes: Vec<(f64, Outcome)>,
-    /// The law of each figure.
+    /// The power law of each figure.
     pub fits: Vec<NamedFit>,
 }
 
-/// The law of one figure.
+/// The power law of one figure.
 #[derive(Debug, Serialize)]
 pub struct NamedFit {
     pub figure: &'static str,
     pub fit: Fit,
 }
 
-/// All that was measured.
+/// The results of all parts.
 #[derive(Debug, Serialize)]
 pub struct Report {
     pub lengths: Lengths,
@@ -33,26 +33,26 @@
     pub records: Option<RecordBytes>,
 }
 
-/// A figure of an outcome; nothing where its phase was not played.
+/// Computes a figure of an outcome; `None` if the phase of the figure was left out.
 type Figure = fn(&Outcome) -> Option<f64>;
 
-/// Every figure that has a law.
+/// The figures that power laws are fitted to, with their names in the results.
 const FIGURES: [(&str, Figure); 22] = [
-    ("start, share of a core", |outcome| Some(outcome.phase("start")?.core())),
+    ("start, share of a core", |outcome| Some(outcome.phase("start")?.core_ratio())),
     ("start, worst turn ms", |outcome| Some(outcome.phase("start")?.worst_call_ms)),
-    ("reports, share of a core", |outcome| Some(outcome.phase("reports")?.core())),
+    ("reports, share of a core", |outcome| Some(outcome.phase("reports")?.core_ratio())),
     ("reports, worst turn ms", |outcome| Some(outcome.phase("reports")?.worst_call_ms)),
-    ("rest, share of a core", |outcome| Some(outcome.phase("rest")?.core())),
+    ("rest, share of a core", |outcome| Some(outcome.phase("rest")?.core_ratio())),
     ("rest, worst turn ms", |outcome| Some(outcome.phase("rest")?.worst_call_ms)),
-    ("one machine replaced, cpu ms", |outcome| Some(outcome.cost_of_one("replaced")? * 1e3)),
+    ("one machine replaced, cpu ms", |outcome| Some(outcome.cpu_s_per_change("replaced")? * 1e3)),
     ("replaced, worst turn ms", |outcome| Some(outcome.phase("replaced")?.worst_call_ms)),
-    ("one configuration change, cpu ms", |outcome| Some(outcome.cost_of_one("configured")? * 1e3)),
-    ("a day's churn, share of a core", Outcome::churn_core),
-    ("zone lost, share of a core", |outcome| Some(outcome.phase("zone lost")?.core())),
+    ("one configuration change, cpu ms", |outcome| Some(outcome.cpu_s_per_change("configured")? * 1e3)),
+    ("a day's churn, share of a core", Outcome::churn_core_ratio),
+    ("zone lost, share of a core", |outcome| Some(outcome.phase("zone lost")?.core_ratio())),
     ("zone lost, worst turn ms", |outcome| Some(outcome.phase("zone lost")?.worst_call_ms)),
-    ("region cut, share of a core", |outcome| Some(outcome.phase("region cut")?.core())),
+    ("region cut, share of a core", |outcome| Some(outcome.phase("region cut")?.core_ratio())),
     ("region cut, worst turn ms", |outcome| Some(outcome.phase("region cut")?.worst_call_ms)),
-    ("release, share of a core", |outcome| Some(outcome.phase("release")?.core())),
+    ("release, share of a core", |outcome| Some(outcome.phase("release")?.core_ratio())),
     ("release, worst turn ms", |outcome| Some(outcome.phase("release")?.worst_call_ms)),
     ("memory after the start, bytes", |outcome| Some(outcome.allocated_after_start as f64)),
     ("checkpoint, bytes", |outcome| Some(outcome.checkpoint_bytes as f64)),
@@ -63,7 +63,7 @@
 ];
 
 impl Ladder {
-    /// A ladder with the laws of its figures.
+    /// A ladder of these outcomes, with the power laws of its figures.
     pub fn new(dimension: &'static str, outcomes: Vec<(f64, Outcome)>) -> Self {
         let fits = FIGURES.iter().filter_map(|(figure, value)| {
             let points = outcomes.iter().filter_map(|(size, outcome)| Some((*size, value(outcome)?)));
@@ -89,13 +89,13 @@
 }
 
 impl Report {
-    /// Prints everything as tables.
+    /// Prints all results as tables.
     pub fn print(&self) {
         self.ladders.iter().for_each(Ladder::print);
         println!("\n## Variants\n");
         print_outcomes(&mut self.variants.iter());
         print_traffic(self);
-        print_failed(self);
+        print_failed_weight(self);
         if let Some(records) = self.records {
             println!("\n## Bytes of a record\n\n| host | path | line | proxy |\n| --- | --- | --- | --- |");
             let RecordBytes { host, zone_host_stats, table_entry, proxy, .. } = records;
@@ -103,13 +103,15 @@
         }
     }
 
+    /// The outcomes of all ladders and variants.
     fn outcomes(&self) -> impl Iterator<Item = &Outcome> {
         let ladders = self.ladders.iter().flat_map(|ladder| &ladder.outcomes);
         ladders.map(|(_, outcome)| outcome).chain(&self.variants)
     }
 }
 
-/// One row for each outcome: shares of a core in percent, and worst turns in milliseconds.
+/// Prints one row for each outcome: shares of a core in percent, and the most expensive calls in
+/// milliseconds.
 fn print_outcomes(outcomes: &mut dyn Iterator<Item = &Outcome>) {
     const PHASES: [&str; 10] = [
         "start",
@@ -132,12 +134,16 @@
         print!("| {} | {} x {} x {} ", outcome.label, size.proxies, size.hosts, size.zones);
         for name in PHASES {
             match outcome.phase(name) {
-                Some(phase) => print!("| {:.2} / {:.1} ", phase.core() * 100.0, phase.worst_call_ms),
+                Some(phase) => print!("| {:.2} / {:.1} ", phase.core_ratio() * 100.0, phase.worst_call_ms),
                 None => print!("| - "),
             }
         }
-        let each = |name| outcome.cost_of_one(name).map(|seconds| seconds * 1e3);
-        let cells = [each("replaced"), each("configured"), outcome.churn_core().map(|core| core * 100.0)];
+        let ms_per_change = |name| outcome.cpu_s_per_change(name).map(|seconds| seconds * 1e3);
+        let cells = [
+            ms_per_change("replaced"),
+            ms_per_change("configured"),
+            outcome.churn_core_ratio().map(|core| core * 100.0),
+        ];
         for cell in cells {
             print!("| {} ", cell.map_or("-".into(), |value| format!("{value:.2}")));
         }
@@ -149,13 +155,13 @@
     }
 }
 
-/// The counts in one cell: hosts, statistics of hosts, table entries, proxies, times of messages.
+/// The counts as one cell: hosts, statistics of hosts, table entries, proxies, send times.
 fn record_counts(counts: &RecordCounts) -> String {
     let RecordCounts { hosts, zone_host_stats, table_entries, proxies, send_times } = counts;
     format!("[{hosts}, {zone_host_stats}, {table_entries}, {proxies}, {send_times}]")
 }
 
-/// Bytes a second by peer, for each phase of each outcome.
+/// Prints bytes per second by kind of peer, for each phase of each outcome.
 fn print_traffic(report: &Report) {
     println!("\n## Bytes a second by peer\n");
     println!("| size | phase | sums | usage | answers | entries | orders | order lines | probes |");
@@ -180,23 +186,28 @@
     }
 }
 
-/// How fast failed hosts lose their weight in the tables, and what they hold at least.
-fn print_failed(report: &Report) {
+/// Prints how fast failed hosts lose their weight in the tables, the least weight that they have, and how
+/// fast they get their weight back.
+fn print_failed_weight(report: &Report) {
     println!("\n## Weight of failed hosts in all tables\n");
-    println!("| size | phase | at most half after s | at most a tenth after s | none after s | least | nine tenths again after s |");
+    println!(
+        "| size | phase | at most half after s | at most a tenth after s | none after s | least \
+         | nine tenths again after s |"
+    );
     println!("|{}", " --- |".repeat(7));
     for outcome in report.outcomes() {
         for phase in outcome.phases.iter().filter(|phase| !phase.failed_weight.is_empty()) {
-            let after = |share| phase.failed_below(share).map_or("never".into(), |s| format!("{s:.2}"));
+            let seconds_until =
+                |ratio| phase.seconds_until_failed_below(ratio).map_or("never".into(), |s| format!("{s:.2}"));
             let least = phase.failed_weight.iter().copied().fold(f64::INFINITY, f64::min) + 0.0;
             println!(
                 "| {} | {} | {} | {} | {} | {least:.2} | {} |",
                 outcome.label,
                 phase.name,
-                after(0.5),
-                after(0.1),
-                after(0.0),
-                phase.recovered_to(0.9).map_or("never".into(), |s| format!("{s:.2}")),
+                seconds_until(0.5),
+                seconds_until(0.1),
+                seconds_until(0.0),
+                phase.seconds_until_recovered_to(0.9).map_or("never".into(), |s| format!("{s:.2}")),
             );
         }
     }
--- a/crates/wingfold-director/benches/ladder/sizes.rs
+++ b/crates/wingfold-director/benches/ladder/sizes.rs
@@ -1,10 +1,10 @@
-//! The sizes that are measured, and the settings of a director at each of them.
+//! The sizes at which a director is measured, and the director's settings at each size.
 
 use serde::Serialize;
 use std::sync::Arc;
 use wingfold_director::interface::{Class, LoadReportSource, Micros, RepeatSafety, Settings, ZoneId};
 
-/// The target: hosts, zones, directors, and the proxies of one director.
+/// The target size, of which the steps of the ladder are fractions.
 pub const TARGET: Size = Size {
     proxies: 48,
     hosts: 2700,
@@ -19,55 +19,58 @@
 };
 /// Requests per second at one proxy: 72,000 over 480 directors of 48 proxies.
 pub const REQUESTS_PER_PROXY: f64 = 72_000.0 / (480.0 * 48.0);
-/// Machines replaced, and configuration changes, in a day at the target.
-pub const REPLACED_A_DAY: f64 = 330.0;
-pub const CONFIGURED_A_DAY: f64 = 630.0;
-/// The steps of the ladder, as denominators: a step of 16 is a sixteenth of the target.
+/// Machines replaced per day at the target.
+pub const REPLACED_PER_DAY: f64 = 330.0;
+/// Configuration changes per day at the target.
+pub const CONFIGURED_PER_DAY: f64 = 630.0;
+/// The steps of the ladder as denominators: step 16 is a sixteenth of the target.
 pub const STEPS: [u32; 5] = [16, 8, 4, 2, 1];
-/// Price of a request that crosses zones, as a ratio of its value, where it has one.
+/// Price of sending a request to a host of another zone, as a ratio of the value of the request, in the sizes
+/// with such a price.
 pub const CROSS_ZONE_PRICE: f64 = 0.1;
-/// Time from a host's start until it has its full capacity.
+/// Time from a host's start until the host has its full capacity.
 pub const WARM_UP: Micros = Micros(16_000_000);
 
-/// What one director is measured against.
+/// The size of the fleet around one director.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Size {
     /// Proxies that connect to the director.
     pub proxies: u32,
-    /// Hosts on the list.
+    /// Hosts on the endpoint list.
     pub hosts: u32,
-    /// Zones, of hosts and of proxies.
+    /// Zones that hosts and proxies run in.
     pub zones: u32,
-    /// Directors of the tier.
+    /// Directors in all.
     pub directors: u32,
-    /// Classes of requests.
+    /// Request classes.
     pub classes: u32,
-    /// Groups of classes that may use different hosts; each has its own tables.
+    /// Groups of classes that may use the same hosts; each group has its own tables.
     #[serde(rename = "groups")]
     pub class_groups: u32,
-    /// Load reports that the director gets in a second.
+    /// Load reports per second that the director receives.
     #[serde(rename = "sums_per_s")]
     pub reports_per_s: u32,
-    /// All proxies of the director are in one zone.
+    /// Whether all proxies of the director are in one zone.
     pub zone_local: bool,
-    /// Hosts report their load with health checks only.
+    /// Whether hosts report their load with health checks only.
     #[serde(rename = "probes")]
     pub health_checks: bool,
-    /// Requests that cross zones have a price, so that hosts of other zones have less weight.
+    /// Whether requests that cross zones have a price, so that hosts of other zones get less weight.
     #[serde(rename = "crossing_priced")]
     pub has_cross_zone_price: bool,
 }
 
 impl Size {
-    /// The target with everything divided by `denominator`, and no count below one.
+    /// The target divided by `denominator`, with no number below one. The numbers of classes and of class
+    /// groups stay.
     pub fn step(denominator: u32) -> Size {
-        let part = |count: u32| (f64::from(count) / f64::from(denominator)).round().max(1.0) as u32;
+        let scaled = |count: u32| (f64::from(count) / f64::from(denominator)).round().max(1.0) as u32;
         Size {
-            proxies: part(TARGET.proxies),
-            hosts: part(TARGET.hosts),
-            zones: part(TARGET.zones),
-            directors: part(TARGET.directors),
-            reports_per_s: part(TARGET.reports_per_s),
+            proxies: scaled(TARGET.proxies),
+            hosts: scaled(TARGET.hosts),
+            zones: scaled(TARGET.zones),
+            directors: scaled(TARGET.directors),
+            reports_per_s: scaled(TARGET.reports_per_s),
             ..TARGET
         }
     }
@@ -109,10 +112,11 @@
         }
     }
 
-    /// Class `number`; classes of different groups may not use the same machine types.
+    /// Class `number`. With several groups, the classes of a group may use all machine types except the one
+    /// with the group's number.
     fn class(&self, number: u32) -> Class {
         let group = number % self.class_groups;
-        let kinds = (0..MACHINE_TYPES)
+        let machine_types = (0..MACHINE_TYPES)
             .filter(|other| self.class_groups > 1 && *other != group)
             .map(machine_type)
             .collect();
@@ -123,12 +127,12 @@
             repeat_safety: RepeatSafety::Idempotent,
             own_zone_only: false,
             allowed_zones: Vec::new(),
-            allowed_machine_types: kinds,
+            allowed_machine_types: machine_types,
         }
     }
 }
 
-/// Machine types in the fleet.
+/// Number of machine types in the fleet.
 pub const MACHINE_TYPES: u32 = 4;
 
 /// The name of a machine type.
--- a/crates/wingfold-director/benches/ladder/traffic.rs
+++ b/crates/wingfold-director/benches/ladder/traffic.rs
@@ -1,7 +1,8 @@
-//! Bytes that follow from a director's events and actions, as the protocol's JSON messages would carry them.
+//! Counts the bytes that the protocol's JSON messages need for a director's events and actions.
 //!
-//! Proxies, collectors and directors exchange a four-byte length and one JSON object. List entries and health checks
-//! are HTTP; of those only the bodies and the request of a health check are counted.
+//! Between proxies, collectors and directors, each message is a length of four bytes and one JSON object.
+//! Endpoint lists and health checks are sent over HTTP. Of endpoint lists only the bodies are counted; of
+//! health checks, the request and the response.
 
 use crate::sizes::class_name;
 use serde::Serialize;
@@ -10,22 +11,24 @@
 use std::ops::AddAssign;
 use wingfold_director::interface::{Action, Endpoint, Event, HostId, ProxyId, Readiness, TableId};
 
-/// Length in front of each message.
-const FRAME: usize = 4;
-/// The request of a health check, and its answer.
-const CHECK_REQUEST: usize = "GET /status/load HTTP/1.1\r\nhost: 10.1.0.18:8443\r\n\r\n".len();
-const CHECK_ANSWER: usize = "HTTP/1.1 200 OK\r\ncontent-length: 38\r\n\r\n".len() + 38;
+/// Bytes of the length in front of each message.
+const LENGTH_BYTES: usize = 4;
+/// Bytes of the request of a health check.
+const CHECK_REQUEST_BYTES: usize = "GET /status/load HTTP/1.1\r\nhost: 10.1.0.18:8443\r\n\r\n".len();
+/// Bytes of the response to a health check.
+const CHECK_RESPONSE_BYTES: usize = "HTTP/1.1 200 OK\r\ncontent-length: 38\r\n\r\n".len() + 38;
 
-/// Messages and bytes of one kind.
+/// Messages of one kind, and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Count {
-    /// Messages.
+    /// Number of messages.
     pub messages: usize,
-    /// Their bytes.
+    /// Number of bytes in all of these messages.
     pub bytes: usize,
 }
 
 impl Count {
+    /// Counts one message.
     fn add(&mut self, bytes: usize) {
         self.messages += 1;
         self.bytes += bytes;
@@ -39,7 +42,7 @@
     }
 }
 
-/// What was exchanged with each kind of peer.
+/// The messages exchanged with each kind of peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Traffic {
     /// Load reports from collectors.
@@ -56,21 +59,21 @@
     /// Updates to proxies.
     #[serde(rename = "orders")]
     pub updates: Count,
-    /// Lines in those updates.
+    /// Lines in the updates to proxies.
     #[serde(rename = "order_lines")]
     pub update_lines: usize,
-    /// Health checks of hosts, with their answers.
+    /// Health checks of hosts, with their responses.
     #[serde(rename = "probes")]
     pub health_checks: Count,
 }
 
 impl Traffic {
-    /// Bytes that come to the director.
+    /// Bytes that the director receives, without responses to health checks.
     pub fn bytes_in(&self) -> usize {
         self.load_reports.bytes + self.usage.bytes + self.acknowledgements.bytes + self.list_entries.bytes
     }
 
-    /// Bytes that the director sends, and health checks with their answers.
+    /// Bytes that the director sends, and the responses to health checks.
     pub fn bytes_out(&self) -> usize {
         self.updates.bytes + self.health_checks.bytes
     }
@@ -88,22 +91,23 @@
     }
 }
 
-/// The tables as ordered and the proxies that hold them.
+/// The contents of the tables as the director's actions set them, and the tables of each proxy.
 #[derive(Default)]
 pub struct ProxyTables {
     tables: BTreeMap<TableId, BTreeMap<HostId, f64>>,
     assigned: BTreeMap<ProxyId, BTreeSet<TableId>>,
 }
 
-/// What one answer of the director does to one table.
+/// The changes of one table in one call.
 #[derive(Default)]
 struct TableChange {
     entries: BTreeMap<HostId, f64>,
+    /// Number of admission levels that are set.
     levels: usize,
     cleared: bool,
 }
 
-/// One answer of the director, taken apart.
+/// The actions of one call that concern proxies, by kind.
 #[derive(Default)]
 struct Changes {
     tables: BTreeMap<TableId, TableChange>,
@@ -112,7 +116,8 @@
 }
 
 impl ProxyTables {
-    /// Counts the messages that carry the actions of one call. Returns its barrier and the proxies that got a message.
+    /// Applies the actions of one call, and counts the messages that carry them. Returns the barrier of the
+    /// call and the proxies that get a message.
     pub fn apply_actions(
         &mut self,
         actions: &[Action],
@@ -127,21 +132,22 @@
         }
         let mut recipients = Vec::new();
         for (proxy, tables) in &self.assigned {
-            if let Some((bytes, entries)) = self.message(*proxy, tables, &changes) {
+            if let Some((bytes, lines)) = self.message_size(*proxy, tables, &changes) {
                 traffic.updates.add(bytes);
-                traffic.update_lines += entries;
+                traffic.update_lines += lines;
                 recipients.push(*proxy);
             }
         }
         changes.barrier.map(|barrier| (barrier, recipients))
     }
 
-    /// The weight of some hosts in all tables.
-    pub fn weight_of(&self, hosts: &BTreeSet<HostId>) -> f64 {
-        let entries = self.tables.values().flat_map(|table| hosts.iter().filter_map(|host| table.get(host)));
-        entries.sum()
+    /// The sum of the weights of these hosts in all tables.
+    pub fn total_weight(&self, hosts: &BTreeSet<HostId>) -> f64 {
+        let weights = self.tables.values().flat_map(|table| hosts.iter().filter_map(|host| table.get(host)));
+        weights.sum()
     }
 
+    /// Applies one action to the tables, and records the action in `changes` and `traffic`.
     fn apply(&mut self, action: &Action, changes: &mut Changes, traffic: &mut Traffic) {
         match action {
             Action::SetEntry { table, host, weight } => {
@@ -165,83 +171,84 @@
                 changes.newly_assigned.insert((*proxy, *table));
             }
             Action::Barrier { number, .. } => changes.barrier = Some(*number),
-            Action::CheckHealth(_) => traffic.health_checks.add(CHECK_REQUEST + CHECK_ANSWER),
+            Action::CheckHealth(_) => traffic.health_checks.add(CHECK_REQUEST_BYTES + CHECK_RESPONSE_BYTES),
             _ => {}
         }
     }
 
-    /// Bytes and lines of one proxy's message; `None` if the changes do not concern it.
-    fn message(
+    /// Bytes and lines of the message to one proxy; `None` if the changes do not concern the proxy.
+    fn message_size(
         &self,
         proxy: ProxyId,
         tables: &BTreeSet<TableId>,
         changes: &Changes,
     ) -> Option<(usize, usize)> {
-        let (mut bytes, mut entries) = (0, 0);
+        let (mut bytes, mut lines) = (0, 0);
         for table in tables {
             let change = changes.tables.get(table);
-            let complete = changes.newly_assigned.contains(&(proxy, *table))
+            let is_complete = changes.newly_assigned.contains(&(proxy, *table))
                 || change.is_some_and(|change| change.cleared);
             let content =
-                if complete { self.tables.get(table) } else { change.map(|change| &change.entries) };
+                if is_complete { self.tables.get(table) } else { change.map(|change| &change.entries) };
             let Some(content) = content else { continue };
             let levels = change.map_or(0, |change| change.levels);
-            bytes += FRAME + update_bytes(complete, content, levels > 0, changes.barrier);
-            entries += content.len() + levels + usize::from(complete);
+            bytes += LENGTH_BYTES + update_bytes(is_complete, content, levels > 0, changes.barrier);
+            lines += content.len() + levels + usize::from(is_complete);
         }
-        (bytes > 0).then_some((bytes, entries))
+        (bytes > 0).then_some((bytes, lines))
     }
 }
 
-/// Bytes of the update of one table.
+/// Bytes of the message that carries the update of one table.
 fn update_bytes(
-    complete: bool,
+    is_complete: bool,
     entries: &BTreeMap<HostId, f64>,
     has_admission: bool,
     barrier: Option<u64>,
 ) -> usize {
-    let mut part = json!({"type": "CONFIG", "lines": []});
-    if complete {
-        part["whole"] = json!(true);
+    let mut message = json!({"type": "CONFIG", "lines": []});
+    if is_complete {
+        message["whole"] = json!(true);
     }
     if has_admission {
-        part["level"] = json!(0.95);
-        part["retry"] = json!(1);
+        message["level"] = json!(0.95);
+        message["retry"] = json!(1);
     }
     if let Some(barrier) = barrier {
-        part["ticket"] = json!(barrier);
+        message["ticket"] = json!(barrier);
     }
     let commas = entries.len().saturating_sub(1);
-    json_bytes(&part)
+    json_bytes(&message)
         + commas
         + entries.iter().map(|(host, weight)| json_bytes(&(&host.0, weight))).sum::<usize>()
 }
 
-/// Counts what events cost on the wire.
+/// Counts the messages that carry these events.
 pub fn count_events(events: &[Event], traffic: &mut Traffic) {
     for event in events {
         match event {
-            Event::LoadReport { zone, host, attempts, mean_latency: mean, load } => {
+            Event::LoadReport { zone, host, attempts, mean_latency, load } => {
                 let mut message = json!({
-                    "type": "LOAD", "site": zone.0, "target": host.0, "count": attempts.total, "fail": attempts.failed,
-                    "mean": mean.secs() * 1e3, "over": attempts.period.secs() * 1e3,
+                    "type": "LOAD", "site": zone.0, "target": host.0, "count": attempts.total,
+                    "fail": attempts.failed, "mean": mean_latency.secs() * 1e3,
+                    "over": attempts.period.secs() * 1e3,
                 });
                 if let (Some(in_flight), Some(utilization)) = (load.in_flight, load.utilization) {
                     message["util"] = json!({"inflight": in_flight, "util": utilization});
                 }
-                traffic.load_reports.add(FRAME + json_bytes(&message));
+                traffic.load_reports.add(LENGTH_BYTES + json_bytes(&message));
             }
             Event::Usage { proxy, class, requests } => {
                 let message = json!({
                     "type": "RATE", "id": proxy.0, "lane": class_name(class.0), "count": requests.total,
                     "fail": requests.failed, "over": requests.period.secs() * 1e3,
                 });
-                traffic.usage.add(FRAME + json_bytes(&message));
+                traffic.usage.add(LENGTH_BYTES + json_bytes(&message));
             }
             Event::Acknowledged { proxy, barrier, elapsed } => {
                 let message =
                     json!({"type": "ACK", "id": proxy.0, "seq": barrier, "ms": elapsed.secs() * 1e3});
-                traffic.acknowledgements.add(FRAME + json_bytes(&message));
+                traffic.acknowledgements.add(LENGTH_BYTES + json_bytes(&message));
             }
             Event::EndpointList { endpoints, .. } => {
                 endpoints.iter().for_each(|entry| traffic.list_entries.add(entry_bytes(entry)))
@@ -251,7 +258,7 @@
     }
 }
 
-/// Bytes of one entry of discovery's list.
+/// Bytes of one entry of discovery's endpoint list, with the comma that follows the entry.
 pub fn entry_bytes(entry: &Endpoint) -> usize {
     let state = match entry.readiness {
         Readiness::Ready => "active",
@@ -260,12 +267,13 @@
     };
     let started_ms = entry.started_at.map_or(0, |at| 1_700_000_000_000 + at.0 / 1000);
     let message = json!({
-        "id": entry.host.0, "addr": "10.1.0.18:8443", "zone": entry.zone.0, "kind": entry.machine_type, "cell": 3,
-        "state": state, "weight": entry.weight, "started_ms": started_ms,
+        "id": entry.host.0, "addr": "10.1.0.18:8443", "zone": entry.zone.0, "kind": entry.machine_type,
+        "cell": 3, "state": state, "weight": entry.weight, "started_ms": started_ms,
     });
     json_bytes(&message) + 1
 }
 
+/// Bytes of a value as JSON.
 fn json_bytes(value: &impl Serialize) -> usize {
-    serde_json::to_vec(value).expect("plain values can be written").len()
+    serde_json::to_vec(value).expect("encoding plain values to memory does not fail").len()
 }
--- a/crates/wingfold-director/tests/common/mod.rs
+++ b/crates/wingfold-director/tests/common/mod.rs
@@ -137,7 +137,8 @@
         harness
     }
 
-    /// Calls the director with due acknowledgements and these events at the current time; returns its actions.
+    /// Calls the director with due acknowledgements and these events at the current time; returns its
+    /// actions.
     pub fn handle(&mut self, events: &[Event]) -> Vec<Action> {
         let mut out = Vec::new();
         let barriers = std::mem::take(&mut self.barriers);
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Advances the clock by `secs` seconds. Each second both zones report `attempts` attempts at each host in
-    /// their tables; `behaviour` maps the names of a zone and a host to the behaviour of the host.
+    /// Advances the clock by `secs` seconds. Each second both zones report `attempts` attempts at each host
+    /// in their tables; `behaviour` maps the names of a zone and a host to the behaviour of the host.
     pub fn run_with_reports(
         &mut self,
         secs: f64,
--- a/crates/wingfold-director/tests/limits.rs
+++ b/crates/wingfold-director/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Rules for the source files of the policy, checked on their text: decisions must depend on nothing but events,
-//! so that the same events give the same actions in any process.
+//! Rules for the source files of the policy, checked on their text: decisions must depend on nothing but
+//! events, so that the same events give the same actions in any process.
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
--- a/crates/wingfold-director/tests/retention.rs
+++ b/crates/wingfold-director/tests/retention.rs
@@ -61,8 +61,8 @@
     let mut settings = settings();
     settings.removal_is_advisory = true;
     let mut harness = Harness::with_proxies(settings, 6);
-    // The complete list no longer contains host h5, which still answers: since removals are advisory, the host
-    // stays in the tables.
+    // The complete list no longer contains host h5, which still answers: since removals are advisory, the
+    // host stays in the tables.
     harness
         .handle(&[Event::EndpointList { kind: EndpointListKind::Complete, endpoints: ready_endpoints(5) }]);
     harness.run_with_reports(100.0, 10, |_, _| HEALTHY);
@@ -78,9 +78,9 @@
     assert_eq!(evicted, 1);
 }
 
-/// The weight of a remote host as a ratio of the weight of a local host, in zone east. Proxies 0 and 2 of east,
-/// which is busy, and proxy 1 of west report their usage for 8 seconds. For `secs` seconds after that, only
-/// `reporting_in_east` report, and proxy 1 if `west_reports`.
+/// The weight of a remote host as a ratio of the weight of a local host, in zone east. Proxies 0 and 2 of
+/// east, which is busy, and proxy 1 of west report their usage for 8 seconds. For `secs` seconds after that,
+/// only `reporting_in_east` report, and proxy 1 if `west_reports`.
 fn remote_weight_ratio(secs: u32, reporting_in_east: &[u32], west_reports: bool) -> f64 {
     let mut settings = settings();
     settings.cross_zone_price = 0.05;
--- a/crates/wingfold-director/tests/stored_names.rs
+++ b/crates/wingfold-director/tests/stored_names.rs
@@ -5,8 +5,8 @@
 use wingfold_director::interface::*;
 use wingfold_director::Director;
 
-/// A checkpoint with [`stored_settings`], which was written before fields and values got their present names in
-/// the code. The checkpoint holds hosts in every health state, a removed host, unacknowledged barriers, an
+/// A checkpoint with [`stored_settings`], which was written before fields and values got their present names
+/// in the code. The checkpoint holds hosts in every health state, a removed host, unacknowledged barriers, an
 /// admission history and a subset assignment.
 const CHECKPOINT: &[u8] = include_bytes!("data/checkpoint-0.1.bin");
 
--- a/crates/wingfold-director/tests/subsetting.rs
+++ b/crates/wingfold-director/tests/subsetting.rs
@@ -53,9 +53,9 @@
 
 #[test]
 fn proxies_of_a_failed_director_do_not_overload_a_few_hosts() {
-    // Regression: when proxies of a failed director connected a few at a time, subsets that were added between
-    // two assignments of arcs all used the start of the ring. The first three hosts there were overloaded, most
-    // proxies avoided them, and a new host next to them got their load.
+    // Regression: when proxies of a failed director connected a few at a time, subsets that were added
+    // between two assignments of arcs all used the start of the ring. The first three hosts there were
+    // overloaded, most proxies avoided them, and a new host next to them got their load.
     let mut harness = harness_with_proxies(60);
     let mut highest_loads = vec![highest_relative_load(&harness)];
     for step in 0..20 {
