--- a/crates/wingfold-director/benches/ladder/fleet.rs
+++ b/crates/wingfold-director/benches/ladder/fleet.rs
@@ -32,7 +32,7 @@
 }
 
 impl Fleet {
-    /// A fleet whose hosts are all warm.
+    /// A fleet whose hosts are all warmed up.
     pub fn new(size: Size) -> Self {
         let mut fleet = Fleet {
             size,
--- a/crates/wingfold-director/benches/ladder/main.rs
+++ b/crates/wingfold-director/benches/ladder/main.rs
@@ -32,7 +32,7 @@
     Ladder,
     /// One ladder for each dimension, in which only that dimension grows.
     Dimensions,
-    /// Variants of the target.
+    /// Variants of the target, such as other numbers of proxies or load reports.
     Variants,
     /// The size in memory of one record of each kind.
     Records,
@@ -82,13 +82,13 @@
         Ok(options)
     }
 
-    /// Lengths of the phases where all of them are measure.
+    /// Lengths of the phases where all of them are measured.
     fn lengths(&self) -> Lengths {
         let lengths = if self.quick { Lengths::QUICK } else { Lengths::FULL };
         Lengths { region_cut: self.region_cut.unwrap_or(lengths.region_cut), ..lengths }
     }
 
-    /// Lengths of the phases where only the start and the steady state are measure.
+    /// Lengths of the phases where only the start and the steady state are measured.
     fn steady_lengths(&self) -> Lengths {
         if self.quick {
             Lengths::STEADY_QUICK
@@ -142,7 +142,7 @@
 fn ladder_of_all_dimensions(options: &Options) -> Ladder {
     let step = |denominator: &u32| {
         let label = if *denominator == 1 { "whole".to_string() } else { format!("1/{denominator}") };
-        (1.0 / f64::from(*denominator), measure(&label, Size::step(*denominator), options.lengths()))
+        (1.0 / f64::from(*denominator), measure_size(&label, Size::step(*denominator), options.lengths()))
     };
     Ladder::new("everything together", options.steps.iter().map(step).collect())
 }
@@ -155,7 +155,7 @@
         let outcome = |value: &u32| {
             let mut size = base;
             set(&mut size, *value);
-            (f64::from(*value), measure(&format!("{dimension} {value}"), size, options.steady_lengths()))
+            (f64::from(*value), measure_size(&format!("{dimension} {value}"), size, options.steady_lengths()))
         };
         Ladder::new(dimension, values.iter().map(outcome).collect())
     };
@@ -171,9 +171,9 @@
     ]
 }
 
-/// Measurements of variants of the target.
+/// Measurements of the variants of the target.
 fn target_variants(options: &Options) -> Vec<Outcome> {
-    let variant = |label: &str, size: Size| measure(label, size, options.steady_lengths());
+    let variant = |label: &str, size: Size| measure_size(label, size, options.steady_lengths());
     vec![
         variant("7 proxies", Size { proxies: 7, ..TARGET }),
         // With a tenth of the directors, the number of proxies in the whole tier stays the same.
@@ -186,7 +186,7 @@
 }
 
 /// Runs a director of this size through its phases, and reports the progress on standard error.
-fn measure(label: &str, size: Size, lengths: Lengths) -> Outcome {
+fn measure_size(label: &str, size: Size, lengths: Lengths) -> Outcome {
     eprintln!("measuring {label}: {} proxies, {} hosts, {} zones", size.proxies, size.hosts, size.zones);
     run(label, size, lengths)
 }
--- a/crates/wingfold-director/benches/ladder/measure.rs
+++ b/crates/wingfold-director/benches/ladder/measure.rs
@@ -74,8 +74,8 @@
         Some((call + 1) as f64 / f64::from(CALLS_PER_S))
     }
 
-    /// Seconds until the failed hosts, after the call at which they had the least weight, have at least this
-    /// ratio of their weight again.
+    /// Seconds until the failed hosts have at least this ratio of their weight again, after the call in which
+    /// they had the least weight.
     pub fn seconds_until_recovered_to(&self, ratio: f64) -> Option<f64> {
         let least = self.failed_weight.iter().copied().fold(f64::INFINITY, f64::min);
         let lowest_call = self.failed_weight.iter().position(|weight| *weight <= least)?;
--- a/crates/wingfold-director/tests/checkpoint.rs
+++ b/crates/wingfold-director/tests/checkpoint.rs
@@ -14,18 +14,18 @@
 /// Offsets of the records' checksum in the head.
 const CHECKSUM_RANGE: std::ops::Range<usize> = 18..22;
 
-/// The settings of deployment `kind`. Together, the deployments cover all admission modes, one or three class
-/// groups, pushed and polled endpoint lists, subsets and complete tables.
-fn deployment(kind: u8) -> Settings {
+/// The settings of a deployment, by its number. Together, the deployments cover all admission modes, one or
+/// three class groups, pushed and polled endpoint lists, subsets and complete tables.
+fn deployment_settings(deployment: u8) -> Settings {
     let mut settings = settings();
-    settings.directors = 1 + u32::from(kind % 2);
+    settings.directors = 1 + u32::from(deployment % 2);
     settings.admission_mode =
-        [AdmissionMode::Share, AdmissionMode::Rate, AdmissionMode::Ignored][usize::from(kind % 3)];
-    settings.endpoint_list_on_request = kind.is_multiple_of(2);
-    settings.removal_is_advisory = kind % 3 == 1;
-    settings.cross_zone_price = if kind % 4 > 1 { 0.1 } else { 0.0 };
+        [AdmissionMode::Share, AdmissionMode::Rate, AdmissionMode::Ignored][usize::from(deployment % 3)];
+    settings.endpoint_list_on_request = deployment.is_multiple_of(2);
+    settings.removal_is_advisory = deployment % 3 == 1;
+    settings.cross_zone_price = if deployment % 4 > 1 { 0.1 } else { 0.0 };
     settings.proxies = 24;
-    if kind % 5 > 2 {
+    if deployment % 5 > 2 {
         settings.connection_idle_timeout = seconds(4.0);
         settings.classes[1].own_zone_only = true;
         settings.classes.push(Class {
@@ -137,14 +137,14 @@
 
     #[test]
     fn a_restored_director_requests_bit_for_bit_the_same_actions(
-        kind in 0..30u8, seed in any::<u64>(), calls in calls(), cut in any::<prop::sample::Index>(),
+        deployment in 0..30u8, seed in any::<u64>(), calls in calls(), cut in any::<prop::sample::Index>(),
     ) {
         let cut = cut.index(calls.len() + 1);
-        let mut director = Director::new(deployment(kind), seed);
+        let mut director = Director::new(deployment_settings(deployment), seed);
         let mut now = 0;
         make_calls(&mut director, &mut now, &calls[..cut]);
         let bytes = director.checkpoint();
-        let restored = Director::restore_for(&bytes, &deployment(kind));
+        let restored = Director::restore_for(&bytes, &deployment_settings(deployment));
         let mut restored = restored.expect("a director cannot restore its own checkpoint");
         prop_assert_eq!(
             restored.digest(), director.digest(),
@@ -163,7 +163,7 @@
     fn a_changed_checkpoint_never_causes_a_panic(
         calls in calls(), changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
     ) {
-        let mut director = Director::new(deployment(4), 1);
+        let mut director = Director::new(deployment_settings(4), 1);
         make_calls(&mut director, &mut 0, &calls);
         let mut bytes = director.checkpoint();
         let length = bytes.len();
--- a/crates/wingfold-director/tests/equivalence.rs
+++ b/crates/wingfold-director/tests/equivalence.rs
@@ -36,13 +36,13 @@
 
     #[test]
     fn cached_results_change_no_action_digest_or_checkpoint(
-        kind in 0..120u32,
+        deployment in 0..120u32,
         seed in any::<u64>(),
         hosts in 3..40usize,
         proxies in 1..24u32,
         calls in 20..260usize,
     ) {
-        let mut site = Site::new(kind, seed);
+        let mut site = Site::new(deployment, seed);
         let mut pair = Pair::new(&site.settings, seed);
         for call in 0..calls {
             let events = if call == 0 { site.first_events(hosts, proxies) } else { site.events() };
@@ -93,9 +93,9 @@
 
     #[test]
     fn cached_results_do_not_shift_actions_caused_by_time_alone(
-        kind in 0..120u32, seed in any::<u64>(), hosts in 4..24usize, calls in 20..90usize,
+        deployment in 0..120u32, seed in any::<u64>(), hosts in 4..24usize, calls in 20..90usize,
     ) {
-        let mut site = Site::new(kind, seed);
+        let mut site = Site::new(deployment, seed);
         let mut director = Director::new(site.settings.clone(), seed);
         for call in 0..calls {
             let events = if call == 0 { site.first_events(hosts, 6) } else { site.events() };
@@ -159,13 +159,13 @@
 fn changes_deferred_while_proxies_connect_do_not_count_as_sent() {
     // Regression: while many proxies connected, a table was recorded as up to date although its low-priority
     // changes had been deferred.
-    for kind in (0..60).step_by(2) {
-        let mut site = Site::new(kind, u64::from(kind));
+    for deployment in (0..60).step_by(2) {
+        let mut site = Site::new(deployment, u64::from(deployment));
         let mut pair = Pair::new(&site.settings, 7);
         let first = site.first_events(40, 8);
         let mut handle = |site: &mut Site, now: u64, events: Vec<Event>| {
             let (actions, expected) = pair.handle(now, &events);
-            assert_eq!(actions, expected, "actions of deployment {kind} at {now} us");
+            assert_eq!(actions, expected, "actions of deployment {deployment} at {now} us");
             site.record_actions(&actions);
         };
         let now = site.now;
@@ -184,13 +184,13 @@
 fn no_stale_records_if_a_host_restarts_and_leaves_in_one_call() {
     // Regression: when a host restarted and left within one call, cached records from before its restart were
     // kept.
-    for kind in 0..20 {
-        let mut site = Site::new(kind, 11);
+    for deployment in 0..20 {
+        let mut site = Site::new(deployment, 11);
         let mut pair = Pair::new(&site.settings, 7);
         let first = site.first_events(8, 6);
         let mut handle = |site: &mut Site, events: Vec<Event>| {
             let (actions, expected) = pair.handle(site.now, &events);
-            assert_eq!(actions, expected, "actions of deployment {kind} at {} us", site.now);
+            assert_eq!(actions, expected, "actions of deployment {deployment} at {} us", site.now);
             site.record_actions(&actions);
         };
         handle(&mut site, first);
--- a/crates/wingfold-director/tests/ranking.rs
+++ b/crates/wingfold-director/tests/ranking.rs
@@ -201,9 +201,9 @@
     assert!((harness.weight("east", "h1") - 0.25).abs() < 1e-9, "{}", harness.weight("east", "h1"));
 }
 
-/// The mean weight of the hosts of each of two machine types after `secs` seconds. Sixteen hosts have equal
-/// listed weights and alternate between the types in pairs; each second they report the utilization that the
-/// closure returns for the number and the weight of a host.
+/// The mean weight of the hosts of each of two machine types after `secs` seconds, and the harness. Sixteen
+/// hosts have equal listed weights and alternate between the types in pairs; each second they report the
+/// utilization that the closure returns for the number and the weight of a host.
 fn mean_weights_by_machine_type(secs: u32, utilization: impl Fn(usize, f64) -> f64) -> ([f64; 2], Harness) {
     let mut harness =
         Harness::new(Settings { load_report_source: LoadReportSource::WithAttemptCounts, ..settings() });
--- a/crates/wingfold-director/tests/send_queue.rs
+++ b/crates/wingfold-director/tests/send_queue.rs
@@ -139,7 +139,8 @@
         self.peak_lines = self.peak_lines.max(queued);
     }
 
-    /// Sends queued messages for a quarter second; returns the acknowledgements that arrive by its end.
+    /// Sends queued messages for a quarter second; returns the acknowledgements that have arrived
+    /// at the end of that time.
     fn send(&mut self, lines_per_s: f64) -> Vec<Event> {
         let (start, mut sendable_lines) = (self.now, 0.25 * lines_per_s);
         self.now += 0.25;
@@ -368,7 +369,7 @@
     }
     assert!(
         queued_at.len() >= 6,
-        "the proxy must get messages again once the limit allows; it got {}",
+        "only {} messages, although messages must continue once the limit allows them",
         queued_at.len()
     );
 }
--- a/crates/wingfold-director/tests/site/mod.rs
+++ b/crates/wingfold-director/tests/site/mod.rs
@@ -48,10 +48,10 @@
     Micros::from_secs(secs)
 }
 
-/// The settings of deployment `kind`. Together, the deployments cover all admission modes, one or three class
-/// groups, complete tables and subsets, pushed and polled endpoint lists, health checks, and slow send
-/// queues.
-pub fn deployment(kind: u32) -> Settings {
+/// The settings of a deployment, by its number. Together, the deployments cover all admission modes, one or
+/// three class groups, complete tables and subsets, pushed and polled endpoint lists, health checks, and slow
+/// send queues.
+pub fn deployment_settings(deployment: u32) -> Settings {
     let class = |latency_objective_s: f64, priority_weight: f64| Class {
         latency_objective: seconds(latency_objective_s),
         deadline: seconds(3.0 * latency_objective_s),
@@ -61,43 +61,43 @@
         allowed_zones: Vec::new(),
         allowed_machine_types: Vec::new(),
     };
-    let zones = 2 + kind as usize % 4;
+    let zones = 2 + deployment as usize % 4;
     let mut settings = Settings {
-        director_index: kind % 3,
-        directors: 1 + kind % 3,
+        director_index: deployment % 3,
+        directors: 1 + deployment % 3,
         zones: (0..zones).map(zone_id).collect(),
-        local_first: kind.is_multiple_of(5),
+        local_first: deployment.is_multiple_of(5),
         classes: vec![class(1.0, 1.0), class(0.6, 4.0)],
-        endpoint_list_on_request: kind.is_multiple_of(2),
+        endpoint_list_on_request: deployment.is_multiple_of(2),
         admission_mode: [AdmissionMode::Share, AdmissionMode::Rate, AdmissionMode::Ignored]
-            [kind as usize / 2 % 3],
+            [deployment as usize / 2 % 3],
         proxies: 30,
-        send_rate_lines_per_s: [300.0, 4000.0][kind as usize % 2],
+        send_rate_lines_per_s: [300.0, 4000.0][deployment as usize % 2],
         message_overhead_lines: 4.0,
-        max_queued_lines: [900.0, 8000.0][kind as usize % 2],
-        max_messages_per_proxy: [0, 12][kind as usize / 3 % 2],
+        max_queued_lines: [900.0, 8000.0][deployment as usize % 2],
+        max_messages_per_proxy: [0, 12][deployment as usize / 3 % 2],
         message_window: seconds(10.0),
         mean_push_delay: seconds(0.2),
         max_push_delay: seconds(0.6),
         max_time_without_entry: seconds(3.0),
-        report_period: seconds([0.5, 1.0, 2.0][kind as usize % 3]),
+        report_period: seconds([0.5, 1.0, 2.0][deployment as usize % 3]),
         max_report_lines_per_s: 400.0,
         proxy_ejection_threshold: 3,
-        health_checks_allowed: kind % 4 > 1,
+        health_checks_allowed: deployment % 4 > 1,
         load_report_source: [LoadReportSource::WithAttemptCounts, LoadReportSource::WithHealthChecks]
-            [kind as usize / 4 % 2],
-        cross_zone_price: [0.0, 0.1][kind as usize / 2 % 2],
+            [deployment as usize / 4 % 2],
+        cross_zone_price: [0.0, 0.1][deployment as usize / 2 % 2],
         initial_capacity_ratio: 0.2,
         warm_up: seconds(9.0),
         drain_grace: seconds(3.0),
         overload_factor: 3.0,
         overload_duration: seconds(2.0),
         poll_within: seconds(10.0),
-        removal_is_advisory: kind % 3 == 1,
-        connection_idle_timeout: seconds([0.0, 4.0, 15.0][kind as usize / 2 % 3]),
+        removal_is_advisory: deployment % 3 == 1,
+        connection_idle_timeout: seconds([0.0, 4.0, 15.0][deployment as usize / 2 % 3]),
         ..Settings::default()
     };
-    if kind % 5 > 2 {
+    if deployment % 5 > 2 {
         settings.classes[1].own_zone_only = true;
         settings.classes.push(Class { allowed_machine_types: vec!["small".into()], ..class(0.8, 2.0) });
     }
@@ -105,9 +105,9 @@
 }
 
 impl Site {
-    pub fn new(kind: u32, seed: u64) -> Site {
+    pub fn new(deployment: u32, seed: u64) -> Site {
         Site {
-            settings: deployment(kind),
+            settings: deployment_settings(deployment),
             now: 1_000_000_000,
             rng_state: seed | 1,
             hosts: BTreeMap::new(),
