--- a/crates/wingfold-director/tests/scale.rs
+++ b/crates/wingfold-director/tests/scale.rs
@@ -4,6 +4,9 @@
 use common::*;
 use wingfold_director::interface::*;
 
+/// Entries below this weight are standby entries.
+const STANDBY_WEIGHT_LIMIT: f64 = 0.1;
+
 /// An endpoint list event that changes one host of zone east.
 fn changed_endpoint(name: &str, readiness: Readiness, started_s: Option<f64>) -> Event {
     Event::EndpointList {
@@ -83,14 +86,14 @@
     for table in tables {
         let entries = &harness.tables[&table];
         let at_listed_weight: Vec<&HostId> =
-            entries.iter().filter(|(_, w)| **w >= 0.1).map(|(id, _)| id).collect();
+            entries.iter().filter(|(_, w)| **w >= STANDBY_WEIGHT_LIMIT).map(|(id, _)| id).collect();
         assert!(
             at_listed_weight.len() >= 4 && at_listed_weight.len() < 50,
             "{} hosts at listed weight",
             at_listed_weight.len()
         );
         assert_eq!(entries.len(), 100, "every host must have an entry");
-        let standby_weight: f64 = entries.values().filter(|w| **w < 0.1).sum();
+        let standby_weight: f64 = entries.values().filter(|w| **w < STANDBY_WEIGHT_LIMIT).sum();
         assert!(
             standby_weight < 0.02 * entries.values().sum::<f64>(),
             "standby entries must have less than 2 % of the weight: {standby_weight}"
@@ -278,7 +281,7 @@
 fn subsets_shrink_when_hosts_refuse_connections_and_grow_back() {
     let mut harness = harness_with_standby_entries();
     let hosts_at_listed_weight =
-        |harness: &Harness| harness.entries("east").values().filter(|w| **w >= 0.1).count();
+        |harness: &Harness| harness.entries("east").values().filter(|w| **w >= STANDBY_WEIGHT_LIMIT).count();
     let before = hosts_at_listed_weight(&harness);
     report_losses(&mut harness, 0.4, 20);
     let after = hosts_at_listed_weight(&harness);
