--- a/crates/wingfold-director/tests/safety.rs
+++ b/crates/wingfold-director/tests/safety.rs
@@ -319,8 +319,8 @@
 
 #[test]
 fn a_restarted_host_is_warming_up_for_the_whole_warm_up_time() {
-    // Regression: during an overload a slow host got its full weight as soon as its slow start seemed complete,
-    // although the warm-up time was not over.
+    // Regression: during an overload a slow host got its full weight as soon as its slow start seemed
+    // complete, although the warm-up time was not over.
     let mut harness = Harness::with_proxies(settings(), 10);
     harness.run_with_reports(20.0, 10, |_, _| HostBehaviour { latency_ms: 900.0, loss_ratio: 0.6 });
     harness.handle(&[changes(vec![endpoint("h2", "east", Readiness::Ready, Some(harness.now - 14.0))])]);
