--- a/crates/wingfold-scale/src/baseline.rs
+++ b/crates/wingfold-scale/src/baseline.rs
@@ -1,4 +1,5 @@
-//! The baseline of a run: counts at the beginning of the measured time, and the report made from their differences.
+//! The baseline of a run, which is all counts at the start of the measured period, and the report, which
+//! shows how much the counts have grown since.
 
 use crate::compare::{compare, Comparison, DirectorGroup};
 use crate::counters::TrafficCount;
@@ -13,11 +14,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// No table should have a host that has been leaving for longer.
+/// Proxies have to stop using a host within this time after it is marked as leaving.
 const STALE_USE_AGE: Duration = Duration::from_secs(6);
 const MIB: f64 = 1024.0;
 
-/// Counts at the beginning of the measured time.
+/// All counts at the start of the measured period.
 pub(crate) struct Baseline {
     at: Instant,
     real: Vec<RealBaseline>,
@@ -32,7 +33,7 @@
     process: Usage,
 }
 
-/// Counts of one real director at the beginning of the measured time.
+/// Counts of one real director at the start of the measured period.
 struct RealBaseline {
     usage: Usage,
     discovery: TrafficCount,
@@ -43,25 +44,25 @@
 }
 
 impl Run {
-    /// Reads all counts at the beginning of the measured time.
+    /// Reads all counts at the start of the measured period.
     pub(crate) fn baseline(&self, fleet: &mut Fleet) -> Result<Baseline, RunError> {
         fleet.measure()?;
         let directors = 0..self.plan.fleet_size.directors;
         let (real, simulated) = self.comparable_directors();
-        let mut each = Vec::new();
-        for (director, part) in fleet.real.iter_mut().enumerate() {
-            each.push(RealBaseline {
-                usage: part.process.measure().map_err(FleetError::from)?,
+        let mut real_baselines = Vec::new();
+        for (director, measured) in fleet.real.iter_mut().enumerate() {
+            real_baselines.push(RealBaseline {
+                usage: measured.process.measure().map_err(FleetError::from)?,
                 discovery: fleet.discovery.traffic(director).count(),
                 rejected: fleet.discovery.rejected(director),
                 abandoned: fleet.discovery.abandoned(director),
-                collectors: part.clients.collectors.count(),
-                proxies: part.clients.proxies.count(),
+                collectors: measured.clients.collectors.count(),
+                proxies: measured.clients.proxies.count(),
             });
         }
         Ok(Baseline {
             at: Instant::now(),
-            real: each,
+            real: real_baselines,
             all_discovery: fleet.discovery_traffic(directors.clone()),
             rejected: directors.clone().map(|director| fleet.discovery.rejected(director)).sum(),
             abandoned: directors.map(|director| fleet.discovery.abandoned(director)).sum(),
@@ -79,10 +80,10 @@
         })
     }
 
-    /// The real and the simulated directors to compare: those that the fault does not concern, if any real one is
-    /// among them.
+    /// Returns the real and the simulated directors whose requests to discovery are compared: the directors
+    /// that the fault does not affect, or all directors if the fault affects every real one.
     fn comparable_directors(&self) -> (Vec<usize>, Vec<usize>) {
-        let is_spared = |director: &usize| match self.fault.fault {
+        let is_unaffected = |director: &usize| match self.fault.fault {
             Fault::RestartQuarter => !faults::is_restarted(*director),
             Fault::RegionCut => !faults::is_in_region(*director),
             _ => true,
@@ -90,14 +91,14 @@
         let fleet_size = &self.plan.fleet_size;
         let (real, simulated) =
             (0..fleet_size.real_directors, fleet_size.real_directors..fleet_size.directors);
-        let spared: Vec<usize> = real.clone().filter(is_spared).collect();
-        match spared.is_empty() {
+        let unaffected: Vec<usize> = real.clone().filter(is_unaffected).collect();
+        match unaffected.is_empty() {
             true => (real.collect(), simulated.collect()),
-            false => (spared, simulated.filter(is_spared).collect()),
+            false => (unaffected, simulated.filter(is_unaffected).collect()),
         }
     }
 
-    /// Makes the report from the counts since the baseline.
+    /// Makes the report from the growth of the counts since the baseline.
     pub(crate) fn report(
         &self,
         fleet: &mut Fleet,
@@ -138,12 +139,12 @@
         })
     }
 
-    /// Replaces the delays of a report by those at the end of the run.
+    /// Returns a report with its delays replaced by the delays recorded up to now.
     pub(crate) fn with_delays(&self, report: Report, fleet: &Fleet) -> Report {
         Report { delays: delay_metrics(fleet), ..report }
     }
 
-    /// Metrics of each real director since the baseline.
+    /// Returns the metrics of each real director since the baseline.
     fn director_metrics(
         &self,
         fleet: &mut Fleet,
@@ -151,26 +152,26 @@
         watched_s: f64,
     ) -> Result<Vec<DirectorMetrics>, RunError> {
         let mut metrics = Vec::new();
-        for (director, (part, before)) in fleet.real.iter_mut().zip(&baseline.real).enumerate() {
-            let usage = part.process.measure().map_err(FleetError::from)?;
+        for (director, (measured, before)) in fleet.real.iter_mut().zip(&baseline.real).enumerate() {
+            let usage = measured.process.measure().map_err(FleetError::from)?;
             metrics.push(DirectorMetrics {
                 name: format!("n{director}"),
                 processor_share: (usage.processor_s - before.usage.processor_s) / watched_s,
                 processor_s: usage.processor_s,
                 peak_memory_mib: usage.peak_memory_kib as f64 / MIB,
                 peak_descriptors: usage.descriptors,
-                ready_ms: part.ready_after.as_secs_f64() * 1e3,
+                ready_ms: measured.ready_after.as_secs_f64() * 1e3,
                 discovery: fleet.discovery.traffic(director).count().since(&before.discovery),
                 rejected: fleet.discovery.rejected(director) - before.rejected,
                 abandoned: fleet.discovery.abandoned(director) - before.abandoned,
-                collectors: part.clients.collectors.count().since(&before.collectors),
-                proxies: part.clients.proxies.count().since(&before.proxies),
+                collectors: measured.clients.collectors.count().since(&before.collectors),
+                proxies: measured.clients.proxies.count().since(&before.proxies),
             });
         }
         Ok(metrics)
     }
 
-    /// Compares simulated directors with real ones since the baseline.
+    /// Compares simulated directors with real ones over the time since the baseline.
     pub(crate) fn comparisons(&self, fleet: &Fleet, baseline: &Baseline) -> Vec<Comparison> {
         let (real, simulated) = self.comparable_directors();
         let fleet_size = &self.plan.fleet_size;
@@ -198,19 +199,20 @@
     }
 }
 
-/// Health checks since the baseline.
+/// Returns the metrics of health checks since the baseline.
 fn health_check_metrics(fleet: &Fleet, baseline: &Baseline, watched_s: f64) -> HealthCheckMetrics {
     let health_checks = fleet.hosts.health_checks.iter().zip(&baseline.health_checks);
-    let each: Vec<f64> = health_checks.map(|(now, before)| (now.get() - before) as f64 / watched_s).collect();
+    let rates: Vec<f64> =
+        health_checks.map(|(now, before)| (now.get() - before) as f64 / watched_s).collect();
     HealthCheckMetrics {
-        mean_per_host: each.iter().sum::<f64>() / each.len().max(1) as f64,
-        most_per_host: each.iter().copied().fold(0.0, f64::max),
+        mean_per_host: rates.iter().sum::<f64>() / rates.len().max(1) as f64,
+        most_per_host: rates.iter().copied().fold(0.0, f64::max),
         real: fleet.hosts.real.count().since(&baseline.real_health_checks),
         simulated: fleet.hosts.simulated.count().since(&baseline.simulated_health_checks),
     }
 }
 
-/// Delays of the whole run.
+/// Returns the delays recorded since the start of the run.
 fn delay_metrics(fleet: &Fleet) -> DelayMetrics {
     DelayMetrics {
         start: fleet.shared.start_delays.summary(),
--- a/crates/wingfold-scale/src/cli.rs
+++ b/crates/wingfold-scale/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: its options, the commands `plan`, `run` and `ladder`, and their exit codes.
 
 use crate::faults::Fault;
 use crate::ladder::{self, Ladder, Summary};
@@ -18,104 +18,107 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::signal::unix::{signal, SignalKind};
 
-/// The whole ladder takes no longer than this.
+/// Time limit of all runs of a ladder together.
 const LADDER_TIME_LIMIT: Duration = Duration::from_secs(600);
-/// Threads of the simulated parts; real directors need cores too.
+/// Worker threads of the simulated components; the real directors need the other cores.
 const WORKER_THREADS: usize = 3;
 
 const EXAMPLES: &str = "\
-Exit codes: 0 played and as it should be, 1 could not be played or something of it failed, 2 a wrong option.
+Exit codes: 0 success; 1 a run was rejected or failed, or simulated and real directors differ;
+2 invalid command line.
 
 Examples:
   wingfold-scale plan --step 1
   wingfold-scale run --step 1/4 --fault restart-quarter --json target/scale.json
   wingfold-scale ladder --out target/scale";
 
-/// The command line.
+/// The parsed command line.
 #[derive(Debug, Parser)]
 #[command(
     name = "wingfold-scale",
     version,
-    about = "A few real directors among a whole fleet of hollow parts"
+    about = "Runs a few real directors in a fleet of simulated directors, proxies, collectors and hosts"
 )]
 #[command(after_help = EXAMPLES)]
 pub struct Cli {
-    /// What to do.
+    /// The command to execute.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What can be asked.
+/// The commands and their options.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// State what a run would take of the machine, and whether it may
+    /// Print the resources that a run needs, and fail if this machine does not allow them
     Plan(RunOptions),
-    /// Play one step of the ladder
+    /// Run a fleet of one size, with or without a fault
     Run(RunOptions),
-    /// Play every step, and each fault on one of them
+    /// Run fleets of all sizes without a fault, then a fleet of one size with each fault
     Ladder(LadderOptions),
 }
 
-/// Options of one run.
+/// Options of the commands `plan` and `run`.
 #[derive(Args, Clone, Debug)]
 pub struct RunOptions {
-    /// The part of the whole fleet (480 directors, 2,700 hosts, 30 zones)
+    /// Size of the fleet, as a fraction of the full fleet (480 directors, 2,700 hosts, 30 zones)
     #[arg(long, value_enum, default_value = "1/16")]
     pub step: Step,
-    /// How long the fleet is watched once it is up
+    /// Seconds that the fleet is measured for after its start
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(5..=300))]
     pub seconds: u64,
-    /// For the script and the hollow parts
+    /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Real directors, each a process
+    /// Number of real directors, each a process
     #[arg(long = "real", value_name = "N", default_value_t = 2)]
     pub real_directors: usize,
-    /// What goes wrong
+    /// Fault to inject
     #[arg(long, value_enum, default_value_t)]
     pub fault: Fault,
-    /// How long it stays so
-    #[arg(long, value_name = "SECONDS", default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=600))]
+    /// Duration of the fault
+    #[arg(long, value_name = "SECONDS", default_value_t = 8)]
+    #[arg(value_parser = clap::value_parser!(u64).range(1..=600))]
     pub fault_seconds: u64,
-    /// The program that a real director is
+    /// Executable of the real directors
     #[arg(long, value_name = "FILE", default_value = "target/release/wingfold")]
     pub program: PathBuf,
-    /// Print the table (also where nothing is said)
+    /// Print the report as tables (the default unless --json is given)
     #[arg(long)]
     pub table: bool,
-    /// Write the report there as JSON; the table is then printed with --table only
+    /// Write the report to this file as JSON; tables are then printed only with --table
     #[arg(long, value_name = "FILE")]
     pub json: Option<PathBuf>,
 }
 
-/// Options of the ladder.
+/// Options of the command `ladder`.
 #[derive(Args, Clone, Debug)]
 pub struct LadderOptions {
-    /// Where reports (JSON) and tables go
+    /// Directory for the reports (JSON) and the tables (text)
     #[arg(long, value_name = "DIR", default_value = "target/scale")]
     pub out: PathBuf,
-    /// How long each fleet is watched once it is up
+    /// Seconds that each fleet is measured for after its start
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(5..=60))]
     pub seconds: u64,
-    /// For the scripts and the hollow parts
+    /// Seed of all random choices, the same in each run
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Real directors of each run
+    /// Number of real directors in each run
     #[arg(long = "real", value_name = "N", default_value_t = 2)]
     pub real_directors: usize,
-    /// The step that faults are played on
+    /// Size of the fleet in the runs with a fault
     #[arg(long, value_enum, value_name = "STEP", default_value = "1/4")]
     pub fault_step: Step,
-    /// How long a fault lasts
-    #[arg(long, value_name = "SECONDS", default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=30))]
+    /// Duration of each fault
+    #[arg(long, value_name = "SECONDS", default_value_t = 8)]
+    #[arg(value_parser = clap::value_parser!(u64).range(1..=30))]
     pub fault_seconds: u64,
-    /// The program that a real director is
+    /// Executable of the real directors
     #[arg(long, value_name = "FILE", default_value = "target/release/wingfold")]
     pub program: PathBuf,
 }
 
 impl LadderOptions {
-    /// The ladder that these options ask for: all faults that there are.
+    /// Returns the ladder that these options describe, with every fault that exists.
     pub fn ladder(&self) -> Ladder {
         let faults = Fault::value_variants().iter().copied().filter(|fault| *fault != Fault::None);
         Ladder {
@@ -130,71 +133,71 @@
     }
 }
 
-/// Why a command could not be carried out.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// A run has failed.
+    /// A run was rejected, failed or was interrupted.
     #[error(transparent)]
     Run(#[from] RunError),
-    /// Simulated directors differ from real ones.
-    #[error("hollow and real directors differ in: {0}")]
+    /// Metrics of simulated directors differ from those of real ones by more than the tolerance.
+    #[error("simulated and real directors differ by more than the tolerance in: {0}")]
     Differs(String),
-    /// A report cannot be written.
-    #[error("{}: {problem}", path.display())]
+    /// A report or a table cannot be written.
+    #[error("{} cannot be written: {problem}", path.display())]
     Output {
-        /// Where to.
+        /// The file or directory.
         path: PathBuf,
-        /// Why not.
+        /// Why writing failed.
         problem: io::Error,
     },
-    /// The ladder takes longer than it may.
-    #[error("the ladder was not over within {} s", LADDER_TIME_LIMIT.as_secs())]
+    /// The ladder has exceeded its time limit.
+    #[error("the ladder exceeded its time limit of {} s", LADDER_TIME_LIMIT.as_secs())]
     LadderOverrun,
-    /// The runtime or its signals cannot be had.
-    #[error("the runtime cannot be started: {0}")]
+    /// The async runtime cannot be started, or its signal handlers cannot be installed.
+    #[error("the async runtime or its signal handlers cannot be started: {0}")]
     Runtime(io::Error),
-    /// The machine does not tell its limits.
+    /// The limits of the machine cannot be read.
     #[error(transparent)]
     Limits(#[from] LimitsError),
-    /// The run would take too much.
+    /// The plan is invalid or exceeds a limit of the machine.
     #[error(transparent)]
     Rejected(#[from] PlanError),
 }
 
 impl RunOptions {
-    /// The plan that these options ask for.
+    /// Returns the plan that these options describe.
     pub fn plan(&self) -> Result<Plan, PlanError> {
         Plan::new(self.step, self.real_directors, Duration::from_secs(self.seconds), self.seed)
     }
 
-    /// The run that these options ask for.
+    /// Returns the run that these options describe.
     pub fn run(&self) -> Result<Run, PlanError> {
         let fault = FaultPlan { fault: self.fault, duration: Duration::from_secs(self.fault_seconds) };
         Ok(Run { plan: self.plan()?, program: self.program.clone(), fault, timeouts: Timeouts::default() })
     }
 }
 
-/// Reads a command line. An option that does not exist is refused with those that do.
-pub fn parse(words: impl IntoIterator<Item = String>) -> Result<Cli, clap::Error> {
-    let words: Vec<String> = words.into_iter().collect();
-    Cli::try_parse_from(&words).map_err(|mut error| {
-        let command = words.get(1).cloned().unwrap_or_default();
+/// Parses a command line. The error for an unknown option lists the options of the command.
+pub fn parse(arguments: impl IntoIterator<Item = String>) -> Result<Cli, clap::Error> {
+    let arguments: Vec<String> = arguments.into_iter().collect();
+    Cli::try_parse_from(&arguments).map_err(|mut error| {
+        let command = arguments.get(1).cloned().unwrap_or_default();
         if error.kind() == ErrorKind::UnknownArgument {
-            let exist = format!("options of `{command}`: {}", options_of(&command).join(", "));
-            error.insert(ContextKind::Suggested, clap::error::ContextValue::StyledStrs(vec![exist.into()]));
+            let options = format!("options of `{command}`: {}", option_names(&command).join(", "));
+            error.insert(ContextKind::Suggested, clap::error::ContextValue::StyledStrs(vec![options.into()]));
         }
         error
     })
 }
 
-/// The options of a command.
-fn options_of(command: &str) -> Vec<String> {
+/// Returns the long options of a command; none for an unknown command.
+fn option_names(command: &str) -> Vec<String> {
     let cli = Cli::command();
     let Some(command) = cli.find_subcommand(command) else { return Vec::new() };
     command.get_arguments().filter_map(|option| option.get_long()).map(|name| format!("--{name}")).collect()
 }
 
-/// Reads the command line and carries it out.
+/// Parses the command line of the process and executes the command.
 pub fn main() -> ExitCode {
     let cli = match parse(std::env::args()) {
         Ok(cli) => cli,
@@ -202,7 +205,7 @@
     };
     let lines = tracing_subscriber::fmt().with_ansi(false).with_writer(io::stderr);
     lines.with_max_level(tracing::Level::INFO).init();
-    match carry_out(cli.command) {
+    match execute(cli.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
@@ -211,19 +214,19 @@
     }
 }
 
-fn carry_out(command: Command) -> Result<(), CommandError> {
+fn execute(command: Command) -> Result<(), CommandError> {
     match command {
-        Command::Plan(options) => state_plan(&options),
+        Command::Plan(options) => print_plan(&options),
         Command::Run(options) => runtime()?.block_on(run(&options)),
         Command::Ladder(options) => runtime()?.block_on(ladder(&options)),
     }
 }
 
-/// Plays one run and shows its report.
+/// Executes one run, and prints or writes its report.
 async fn run(options: &RunOptions) -> Result<(), CommandError> {
     let run = options.run()?;
     println!("{}", run.plan);
-    let report = run.play(interrupted().map_err(CommandError::Runtime)?).await?;
+    let report = run.execute(interruption().map_err(CommandError::Runtime)?).await?;
     if options.table || options.json.is_none() {
         println!("{report}");
     }
@@ -233,38 +236,38 @@
     check_comparisons(&report)
 }
 
-/// Plays the ladder; what is measured is written after each run.
+/// Executes the runs of the ladder; the report of each and the tables so far are written after each run.
 async fn ladder(options: &LadderOptions) -> Result<(), CommandError> {
     let (runs, begun) = (options.ladder().runs()?, Instant::now());
     let output = |problem| CommandError::Output { path: options.out.clone(), problem };
     std::fs::create_dir_all(&options.out).map_err(output)?;
-    let signals = interrupted().map_err(CommandError::Runtime)?;
-    let mut ended = pin!(async {
+    let signals = interruption().map_err(CommandError::Runtime)?;
+    let mut interrupted = pin!(async {
         tokio::select! {
             () = signals => {}
             () = tokio::time::sleep(LADDER_TIME_LIMIT) => {}
         }
     });
-    let (mut reports, mut differ) = (Vec::new(), Vec::new());
+    let (mut reports, mut differences) = (Vec::new(), Vec::new());
     for run in &runs {
         println!("{}", run.plan);
-        let report = run.play(&mut ended).await.map_err(|error| match error {
+        let report = run.execute(&mut interrupted).await.map_err(|error| match error {
             RunError::Interrupted if begun.elapsed() >= LADDER_TIME_LIMIT => CommandError::LadderOverrun,
             error => CommandError::Run(error),
         })?;
         println!("{report}");
         write_json(&options.out.join(ladder::report_name(run) + ".json"), &report)?;
-        let differences = report.differences();
-        differ.extend(
-            differences.iter().map(|comparison| format!("{} of step {}", comparison.metric, report.step)),
+        let differing = report.differences();
+        differences.extend(
+            differing.iter().map(|comparison| format!("{} of step {}", comparison.metric, report.step)),
         );
         reports.push(report);
         write_tables(&options.out.join("scale-ladder.txt"), &reports)?;
     }
     println!("{}", Summary(&reports));
-    match differ.is_empty() {
+    match differences.is_empty() {
         true => Ok(()),
-        false => Err(CommandError::Differs(differ.join("; "))),
+        false => Err(CommandError::Differs(differences.join("; "))),
     }
 }
 
@@ -280,10 +283,11 @@
 }
 
 fn check_comparisons(report: &Report) -> Result<(), CommandError> {
-    let differ: Vec<&str> = report.differences().iter().map(|comparison| comparison.metric).collect();
-    match differ.is_empty() {
+    let differences = report.differences();
+    let metrics: Vec<String> = differences.iter().map(|comparison| comparison.metric.to_string()).collect();
+    match metrics.is_empty() {
         true => Ok(()),
-        false => Err(CommandError::Differs(differ.join(", "))),
+        false => Err(CommandError::Differs(metrics.join(", "))),
     }
 }
 
@@ -292,8 +296,8 @@
     builder.worker_threads(WORKER_THREADS).enable_all().build().map_err(CommandError::Runtime)
 }
 
-/// Ends when the process is asked to end.
-fn interrupted() -> io::Result<impl Future<Output = ()>> {
+/// Returns a future that completes when the process receives SIGINT or SIGTERM.
+fn interruption() -> io::Result<impl Future<Output = ()>> {
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
     Ok(async move {
         tokio::select! {
@@ -303,8 +307,8 @@
     })
 }
 
-/// States the plan, and refuses it where it takes too much.
-fn state_plan(options: &RunOptions) -> Result<(), CommandError> {
+/// Prints the plan, then fails if it exceeds a limit of the machine.
+fn print_plan(options: &RunOptions) -> Result<(), CommandError> {
     let plan = options.plan()?;
     println!("{plan}");
     plan.check(&MachineLimits::read()?)?;
--- a/crates/wingfold-scale/src/counters.rs
+++ b/crates/wingfold-scale/src/counters.rs
@@ -1,8 +1,8 @@
-//! What simulated parts count of what they send and receive.
+//! Counters of the messages and bytes that simulated components and discovery exchange with directors.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A count that many tasks add to.
+/// A counter that many tasks can increase.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
@@ -12,21 +12,23 @@
         self.add(1);
     }
 
-    /// Adds some.
-    pub fn add(&self, some: u64) {
-        self.0.fetch_add(some, Ordering::Relaxed);
+    /// Adds a number.
+    pub fn add(&self, increase: u64) {
+        self.0.fetch_add(increase, Ordering::Relaxed);
     }
 
-    /// The count.
+    /// Returns the count.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Messages and bytes between a director and a peer, as the peer counts them.
+/// Messages and bytes between directors and a peer, counted by the peer: discovery, a host, a collector or a
+/// proxy.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// Calls, updates or other messages from the director.
+    /// Requests to discovery or health checks of a host, updates for a proxy, or load reports from a
+    /// collector.
     pub messages: Counter,
     /// Bytes from the director.
     pub bytes_in: Counter,
@@ -37,7 +39,8 @@
 /// The counts of [`Traffic`] at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct TrafficCount {
-    /// Calls, updates or other messages from the director.
+    /// Requests to discovery or health checks of a host, updates for a proxy, or load reports from a
+    /// collector.
     pub messages: u64,
     /// Bytes from the director.
     pub bytes_in: u64,
@@ -57,7 +60,7 @@
 }
 
 impl TrafficCount {
-    /// Both together.
+    /// Returns the sums of two sets of counts.
     pub fn plus(self, other: TrafficCount) -> TrafficCount {
         TrafficCount {
             messages: self.messages + other.messages,
@@ -66,7 +69,7 @@
         }
     }
 
-    /// What was added after an earlier count.
+    /// Returns how much the counts have grown since an earlier reading.
     pub fn since(&self, earlier: &TrafficCount) -> TrafficCount {
         TrafficCount {
             messages: self.messages - earlier.messages,
--- a/crates/wingfold-scale/src/delays.rs
+++ b/crates/wingfold-scale/src/delays.rs
@@ -1,10 +1,10 @@
-//! Delays from a change until somebody has it, and their distribution.
+//! Delays from an event until a recipient has applied it, and their distribution.
 
 use serde::Serialize;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Delays of one kind, recorded by many tasks.
+/// Delays of one kind. Clones record into the same collection, so that many tasks can share it.
 #[derive(Clone, Debug, Default)]
 pub struct Delays {
     microseconds: Arc<Mutex<Vec<u64>>>,
@@ -13,7 +13,7 @@
 /// The distribution of delays of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct DelaySummary {
-    /// How many were recorded.
+    /// The number of recorded delays.
     pub count: usize,
     /// The median.
     pub median_ms: f64,
@@ -30,13 +30,13 @@
         all.push(delay.as_micros() as u64);
     }
 
-    /// Summarizes the delays so far.
+    /// Summarizes the delays recorded so far; all values are 0 if there are none.
     pub fn summary(&self) -> DelaySummary {
         let mut all = self.microseconds.lock().unwrap_or_else(PoisonError::into_inner).clone();
         all.sort_unstable();
         let quantile = |ratio: f64| {
-            let place = (ratio * all.len() as f64).ceil() as usize;
-            all.get(place.saturating_sub(1)).map_or(0.0, |microseconds| *microseconds as f64 / 1e3)
+            let rank = (ratio * all.len() as f64).ceil() as usize;
+            all.get(rank.saturating_sub(1)).map_or(0.0, |microseconds| *microseconds as f64 / 1e3)
         };
         DelaySummary {
             count: all.len(),
--- a/crates/wingfold-scale/src/discovery.rs
+++ b/crates/wingfold-scale/src/discovery.rs
@@ -1,6 +1,6 @@
-//! The one scripted discovery of a run: it handles all calls one after another, each for a time that goes with its
-//! entries, and rejects those that waited too long. Each director has an address of its own to call it at, so that
-//! calls and bytes are counted by director.
+//! The one scripted discovery of a run: it handles all calls one after another, each for a time that goes
+//! with its entries, and rejects those that waited too long. Each director has an address of its own to call
+//! it at, so that calls and bytes are counted by director.
 
 use crate::counters::{Counter, Traffic};
 use crate::delays::Delays;
@@ -20,7 +20,8 @@
 
 /// The cost of a call without entries, in entries.
 const ENTRIES_PER_CALL: usize = 40;
-/// Entries a second, on every step: the directors of the full fleet get complete lists within some five seconds.
+/// Entries a second, on every step: the directors of the full fleet get complete lists within some five
+/// seconds.
 const ENTRIES_PER_SECOND: f64 = 260_000.0;
 /// A call that has waited longer for its turn is rejected.
 const MAX_QUEUE_WAIT: Duration = Duration::from_secs(2);
@@ -121,8 +122,8 @@
         (Discovery { shared, calls }, queue.run())
     }
 
-    /// Listens for one director at a free port; returns the address and the task that serves it. `moved_at` is when the
-    /// director got this address, if it had another one before.
+    /// Listens for one director at a free port; returns the address and the task that serves it. `moved_at`
+    /// is when the director got this address, if it had another one before.
     pub async fn listen(
         &self,
         at: IpAddr,
--- a/crates/wingfold-scale/src/faults.rs
+++ b/crates/wingfold-scale/src/faults.rs
@@ -1,26 +1,26 @@
-//! The faults that a run can play.
+//! The faults that a run can inject.
 
 use clap::ValueEnum;
 use std::fmt;
 
-/// A fault, played once in a run and taken back after a while.
+/// A fault, injected once in a run and ended after the duration given for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum Fault {
-    /// Nothing goes wrong
+    /// No fault
     #[default]
     None,
-    /// Discovery answers 503 and ends its watches, then is back
+    /// Discovery answers every request, pending watches included, with 503
     DiscoveryDown,
-    /// The hosts, the proxies and the collector of one zone fall silent, then go on
+    /// The hosts, the proxies and the collector of one zone send nothing; their connections stay open
     ZoneSilent,
-    /// One in four directors is restarted
+    /// A quarter of the directors is restarted
     RestartQuarter,
-    /// The directors of a third of the fleet get no answer from discovery, then do again
+    /// A third of the directors gets no response from discovery
     RegionCut,
 }
 
 impl Fault {
-    /// Its name on the command line and in reports.
+    /// Returns the name of the fault on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
             Fault::None => "none",
@@ -38,12 +38,12 @@
     }
 }
 
-/// Whether a director is one of those that `restart-quarter` restarts.
+/// Returns whether the fault `restart-quarter` restarts this director.
 pub fn is_restarted(director: usize) -> bool {
     director.is_multiple_of(4)
 }
 
-/// Whether a director is in the region that `region-cut` cuts off.
+/// Returns whether the fault `region-cut` cuts this director off from discovery.
 pub fn is_in_region(director: usize) -> bool {
     director.is_multiple_of(3)
 }
--- a/crates/wingfold-scale/src/ladder.rs
+++ b/crates/wingfold-scale/src/ladder.rs
@@ -1,36 +1,38 @@
-//! The whole ladder: every step without a fault, then faults on one step, with a row for each in one table.
+//! A ladder: runs of every step, from the smallest fleet to the full one, without a fault, then runs of one
+//! step with each fault; and the summary table of all these runs.
 
 use crate::faults::Fault;
 use crate::limits::PlanError;
 use crate::plan::{Plan, Step};
-use crate::report::Report;
+use crate::report::{DirectorMetrics, Report};
 use crate::run::{Run, Timeouts};
 use crate::script::FaultPlan;
 use std::fmt;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What the runs of a ladder have in common.
+/// The runs of a ladder, described by what they have in common.
 #[derive(Clone, Debug)]
 pub struct Ladder {
-    /// How long each fleet is watched.
+    /// How long each fleet is measured after its start.
     pub duration: Duration,
     /// The seed of each run.
     pub seed: u64,
-    /// Real directors of each run.
+    /// The number of real directors in each run.
     pub real_directors: usize,
-    /// The program that a real director is.
+    /// The executable of the real directors.
     pub program: PathBuf,
-    /// The faults that are played after the steps.
+    /// The faults of the runs that follow those without a fault.
     pub faults: Vec<Fault>,
-    /// The step they are played on.
+    /// The step of the runs with a fault.
     pub fault_step: Step,
     /// How long a fault lasts.
     pub fault_duration: Duration,
 }
 
 impl Ladder {
-    /// Its runs in order; each is rejected here, before the first is played, if its plan is invalid.
+    /// Returns the runs in order, or an error if the plan of any of them is invalid, so that no run starts
+    /// then.
     pub fn runs(&self) -> Result<Vec<Run>, PlanError> {
         let steps = Step::ALL.iter().map(|step| (*step, Fault::None));
         let faults = self.faults.iter().map(|fault| (self.fault_step, *fault));
@@ -47,7 +49,7 @@
     }
 }
 
-/// The name under which a run's report is kept.
+/// Returns the name of a run's report file, without its extension.
 pub fn report_name(run: &Run) -> String {
     let step = run.plan.step.file_name();
     match run.fault.fault {
@@ -56,7 +58,9 @@
     }
 }
 
-/// One table of several runs: the dearest real director, the worst times and the refusals of each.
+/// A table of several runs. For each run it shows the highest CPU share, memory and descriptor count of a
+/// real director, the longest delays, the rejected and abandoned requests to discovery, and the rate of
+/// health checks.
 #[derive(Debug)]
 pub struct Summary<'a>(pub &'a [Report]);
 
@@ -64,36 +68,35 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "{:<22}{:>9}{:>7}{:>11}{:>12}{:>6}{:>20}{:>20}{:>12}{:>9}{:>10}{:>13}",
+            "{:<22}{:>9}{:>7}{:>11}{:>12}{:>6}{:>20}{:>20}{:>18}{:>9}{:>10}{:>15}",
             "step, fault",
             "directors",
             "hosts",
-            "processor",
+            "CPU",
             "memory",
             "fds",
-            "list, worst",
-            "out of use, worst",
-            "move, worst",
-            "refused",
-            "given up",
-            "probes/host/s"
+            "list delay, worst",
+            "proxy delay, worst",
+            "move delay, worst",
+            "rejected",
+            "abandoned",
+            "checks/host/s"
         )?;
         self.0.iter().try_for_each(|report| write_row(f, report))
     }
 }
 
 fn write_row(f: &mut fmt::Formatter<'_>, report: &Report) -> fmt::Result {
-    let most =
-        |of: fn(&crate::report::DirectorMetrics) -> f64| report.real.iter().map(of).fold(0.0, f64::max);
+    let max = |metric: fn(&DirectorMetrics) -> f64| report.real.iter().map(metric).fold(0.0, f64::max);
     writeln!(
         f,
-        "{:<22}{:>9}{:>7}{:>10.1}%{:>8.1} MiB{:>6.0}{:>17.0} ms{:>17.0} ms{:>9.0} ms{:>9}{:>10}{:>13.2}",
+        "{:<22}{:>9}{:>7}{:>10.1}%{:>8.1} MiB{:>6.0}{:>17.0} ms{:>17.0} ms{:>15.0} ms{:>9}{:>10}{:>15.2}",
         format!("{}, {}", report.step, report.fault),
         report.fleet_size.directors,
         report.fleet_size.hosts,
-        100.0 * most(|real| real.processor_share),
-        most(|real| real.peak_memory_mib),
-        most(|real| real.peak_descriptors as f64),
+        100.0 * max(|real| real.processor_share),
+        max(|real| real.peak_memory_mib),
+        max(|real| real.peak_descriptors as f64),
         report.delays.list_to_simulated.worst_ms,
         report.delays.list_to_proxies.worst_ms,
         report.delays.configuration_to_simulated.worst_ms,
--- a/crates/wingfold-scale/src/lib.rs
+++ b/crates/wingfold-scale/src/lib.rs
@@ -1,8 +1,8 @@
-//! Scale runs: a few real directors, started as processes, among any number of simulated directors, proxies, collectors
-//! and hosts, which are tasks of this process. A simulated part speaks its protocol at the true rate and makes no
-//! decisions.
+//! Scale runs: a few real directors, started as processes, in a fleet of simulated directors, proxies,
+//! collectors and hosts. The simulated components and the scripted discovery are tasks of this process. A
+//! simulated component speaks its protocol at the rate of a real one and makes no decisions.
 //!
-//! Nothing of the product depends on this crate.
+//! No crate of the product depends on this one; it serves measurements and tests only.
 #![forbid(unsafe_code)]
 
 mod baseline;
--- a/crates/wingfold-scale/src/limits.rs
+++ b/crates/wingfold-scale/src/limits.rs
@@ -1,70 +1,75 @@
-//! What the machine allows, and why a plan is rejected.
+//! The limits of the machine, and the errors of plans that are invalid or exceed them.
 
 use std::path::PathBuf;
 
-/// What the machine gives this process.
+/// The limits of the machine and of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MachineLimits {
-    /// All of its memory.
+    /// Total memory of the machine.
     pub memory_bytes: usize,
-    /// Descriptors that this process may hold; never raised here.
+    /// The soft limit on descriptors of this process. A run never raises this limit.
     pub descriptors: usize,
 }
 
-/// Why a run is not started.
+/// Why a plan is rejected.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
-    /// Fewer or more real directors than the step has places for.
-    #[error("{asked} real directors were asked for; this step takes 1 to {most}")]
+    /// The number of real directors is zero, or leaves no simulated director on this step.
+    #[error("{requested} real directors were requested; this step allows 1 to {max}")]
     RealDirectors {
-        /// As asked for.
-        asked: usize,
-        /// As many as leave one simulated director.
-        most: usize,
+        /// The requested number.
+        requested: usize,
+        /// The highest number, which leaves one simulated director.
+        max: usize,
     },
-    /// Too many processes.
-    #[error("the run would take {needed} processes, and {allowed} are allowed")]
+    /// The run would start too many processes.
+    #[error("the run needs {needed} processes, but at most {allowed} are allowed")]
     Processes {
-        /// By the plan.
+        /// The estimate of the plan.
         needed: usize,
-        /// At most.
+        /// The limit.
         allowed: usize,
     },
-    /// More descriptors than the process may hold.
-    #[error("the run would take {needed} descriptors, and this process may hold {allowed} (Max open files)")]
+    /// The run would hold more descriptors than this process may.
+    #[error(
+        "the run needs {needed} descriptors, but this process may hold at most {allowed} (Max open files)"
+    )]
     Descriptors {
-        /// By the plan.
+        /// The estimate of the plan.
         needed: usize,
-        /// By /proc/self/limits.
+        /// The soft limit in /proc/self/limits.
         allowed: usize,
     },
-    /// More than half of the machine's memory.
-    #[error("the run would take {needed_mib} MiB of memory, and half of the machine's is {allowed_mib} MiB")]
+    /// The run would take more than half of the machine's memory.
+    #[error(
+        "the run needs {needed_mib} MiB of memory, but at most half of the machine's memory is allowed, \
+         {allowed_mib} MiB"
+    )]
     Memory {
-        /// By the plan.
+        /// The estimate of the plan.
         needed_mib: usize,
-        /// Half of the machine's.
+        /// Half of the machine's memory.
         allowed_mib: usize,
     },
 }
 
-/// Why the machine's limits are not known.
+/// Why the limits of the machine cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum LimitsError {
     /// A file of /proc cannot be read.
-    #[error("{}: {problem}", path.display())]
+    #[error("{} cannot be read: {problem}", path.display())]
     File {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// Why reading failed.
         problem: std::io::Error,
     },
-    /// It does not say what it should.
-    #[error("{}: no figure for `{line}`", path.display())]
+    /// A line of such a file is missing or has no number.
+    #[error("{} has no line `{line}` with a number", path.display())]
     Line {
         /// The file.
         path: PathBuf,
-        /// The line that is missing or unreadable.
+        /// The beginning of the line.
         line: &'static str,
     },
 }
@@ -75,12 +80,12 @@
 const LIMITS_LINE: &str = "Max open files";
 
 impl MachineLimits {
-    /// Reads what this machine allows this process.
+    /// Reads the limits of this machine and this process from /proc.
     pub fn read() -> Result<MachineLimits, LimitsError> {
         let missing = |path: &str, line| LimitsError::Line { path: path.into(), line };
         let memory = memory_bytes(&read(MEMORY_FILE)?).ok_or_else(|| missing(MEMORY_FILE, MEMORY_LINE))?;
-        let open = open_files(&read(LIMITS_FILE)?).ok_or_else(|| missing(LIMITS_FILE, LIMITS_LINE))?;
-        Ok(MachineLimits { memory_bytes: memory, descriptors: open })
+        let descriptors = open_files(&read(LIMITS_FILE)?).ok_or_else(|| missing(LIMITS_FILE, LIMITS_LINE))?;
+        Ok(MachineLimits { memory_bytes: memory, descriptors })
     }
 }
 
@@ -88,14 +93,14 @@
     std::fs::read_to_string(path).map_err(|problem| LimitsError::File { path: path.into(), problem })
 }
 
-/// All memory, of the text of /proc/meminfo.
+/// Returns the total memory in bytes from the text of /proc/meminfo.
 pub fn memory_bytes(text: &str) -> Option<usize> {
     let line = text.lines().find_map(|line| line.strip_prefix(MEMORY_LINE))?;
     let kibibytes: usize = line.trim().strip_suffix(" kB")?.trim().parse().ok()?;
     Some(kibibytes << 10)
 }
 
-/// The soft limit on open files, of the text of /proc/self/limits.
+/// Returns the soft limit on open files from the text of /proc/self/limits.
 pub fn open_files(text: &str) -> Option<usize> {
     let line = text.lines().find_map(|line| line.strip_prefix(LIMITS_LINE))?;
     match line.split_whitespace().next()? {
--- a/crates/wingfold-scale/src/main.rs
+++ b/crates/wingfold-scale/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `wingfold-scale`.
+//! Entry point of the program `wingfold-scale`.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
--- a/crates/wingfold-scale/src/messages.rs
+++ b/crates/wingfold-scale/src/messages.rs
@@ -135,8 +135,8 @@
 }
 
 impl ProxyUpdatePart<'_> {
-    /// Returns how many lines the part takes of the send queue: each entry, ejection, restored host, admission level,
-    /// barrier and `complete` is one.
+    /// Returns how many lines the part takes of the send queue: each entry, ejection, restored host,
+    /// admission level, barrier and `complete` is one.
     pub fn line_count(&self) -> usize {
         let flags = [self.admission_level.is_some(), self.barrier.is_some(), self.complete];
         let flags = flags.into_iter().filter(|is_set| *is_set).count();
--- a/crates/wingfold-scale/src/plan.rs
+++ b/crates/wingfold-scale/src/plan.rs
@@ -1,63 +1,67 @@
-//! The sizes of a run, and what it takes of the machine.
+//! The size of a run's fleet, and an estimate of the resources that the run needs.
 
 use crate::limits::{MachineLimits, PlanError};
 use clap::ValueEnum;
 use std::fmt;
 use std::time::Duration;
 
-/// Size of the full fleet, of which the steps of the ladder are parts.
+/// Size of the full fleet; each step of the ladder is a fraction of these numbers.
 const FULL_FLEET_DIRECTORS: usize = 480;
 const FULL_FLEET_HOSTS: usize = 2_700;
 const FULL_FLEET_ZONES: usize = 30;
-/// Proxies at one director, the same on every step: the fleet grows by directors.
+/// Proxies of one director. The number is the same on every step: a larger fleet has more directors.
 const PROXIES_PER_DIRECTOR: usize = 48;
-/// With a single zone, no rule about other zones would be exercised.
+/// With a single zone, no rule of a director about other zones would be exercised.
 const MIN_ZONES: usize = 2;
 
-/// Processes that a run may take, its own included.
+/// Limit on the processes of a run, its own included.
 const MAX_PROCESSES: usize = 300;
 
-/// Proxies of each simulated director, except the reference one, which has as many as a real one. That many for each
-/// would take more descriptors than one process has, and would not change what is measured.
+/// Proxies of each simulated director except the first, the reference director, which has as many as a real
+/// director. As many for each simulated director would need more descriptors than one process may hold, and
+/// would not change any metric.
 pub const PROXIES_PER_SIMULATED_DIRECTOR: usize = 1;
-/// See [`PROXIES_PER_SIMULATED_DIRECTOR`].
+/// Collectors of each simulated director except the reference director, for the reasons given at
+/// [`PROXIES_PER_SIMULATED_DIRECTOR`].
 pub const COLLECTORS_PER_SIMULATED_DIRECTOR: usize = 1;
 
-/// Descriptors of a simulated director besides those of its clients: its listener, both ends of its connection to
-/// discovery, and both ends of two health checks under way.
+/// Descriptors of a simulated director besides those of its clients: its listener, both ends of its
+/// connection to discovery, and both ends of two concurrent health checks.
 const DESCRIPTORS_PER_SIMULATED_DIRECTOR: usize = 7;
-/// The most connections to hosts that a real director keeps: some 16 health checks a second, each kept for 5 s, and a
-/// fifth more.
+/// Limit on the connections that a real director keeps to hosts: it makes about 16 health checks a second and
+/// keeps the connection of each for 5 s, and a margin of 20% is added.
 const HOST_CONNECTIONS_PER_REAL_DIRECTOR: usize = 96;
-/// Descriptors of the process itself: its runtime, its output, logs of real directors, files of /proc.
+/// Descriptors of this process for its runtime, its output, the logs of real directors and files of /proc.
 const OWN_DESCRIPTORS: usize = 64;
 
-/// Memory limit of a real director.
+/// Memory limit in the configuration of a real director.
 pub const REAL_MEMORY_MIB: usize = 192;
-/// Descriptor limit of a real director.
+/// Descriptor limit in the configuration of a real director.
 pub const REAL_DESCRIPTORS: usize = 1_024;
-/// Estimates of what simulated parts hold: the tasks and buffers of a connection, a host in the list and its responses,
-/// and the process itself.
-const BYTES_PER_CONNECTION: usize = 48 << 10;
+/// Estimate of the memory that one descriptor of this process needs, mostly for the tasks and buffers of a
+/// connection.
+const BYTES_PER_DESCRIPTOR: usize = 48 << 10;
+/// Estimate of the memory that one host needs per director, in the list and in responses with the list.
 const BYTES_PER_LISTED_HOST: usize = 512;
+/// Estimate of the memory that this process needs besides descriptors and lists.
 const OWN_MEMORY_BYTES: usize = 128 << 20;
 
-/// A step of the ladder: the part of the whole fleet that is played.
+/// A step of the ladder: the fraction of the full fleet that a run simulates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
 pub enum Step {
-    /// A sixteenth of the fleet
+    /// A sixteenth of the full fleet
     #[value(name = "1/16")]
     Sixteenth,
-    /// An eighth
+    /// An eighth of the full fleet
     #[value(name = "1/8")]
     Eighth,
-    /// A quarter
+    /// A quarter of the full fleet
     #[value(name = "1/4")]
     Quarter,
-    /// Half
+    /// Half of the full fleet
     #[value(name = "1/2")]
     Half,
-    /// The whole fleet
+    /// The full fleet
     #[value(name = "1")]
     Whole,
 }
@@ -77,7 +81,7 @@
         }
     }
 
-    /// Its name in the names of files.
+    /// Returns the step as it appears in names of files, without a slash.
     pub fn file_name(self) -> String {
         self.to_string().replace('/', "-")
     }
@@ -95,78 +99,78 @@
 /// The size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct FleetSize {
-    /// Directors in all, real and simulated.
+    /// Directors, real and simulated.
     pub directors: usize,
-    /// Of these, real ones.
+    /// Real directors among them.
     pub real_directors: usize,
     /// Hosts in discovery's list.
     pub hosts: usize,
     /// Zones, each with one collector.
     pub zones: usize,
-    /// Proxies at each real director, and at the reference simulated one.
+    /// Proxies of each real director and of the reference director, the first simulated one.
     pub proxies_per_director: usize,
 }
 
 impl FleetSize {
-    /// The sizes of a step.
+    /// Returns the size of the fleet on a step.
     pub fn of_step(step: Step, real_directors: usize) -> FleetSize {
-        let part = |whole: usize| whole.div_ceil(step.divisor());
+        let fraction = |full: usize| full.div_ceil(step.divisor());
         FleetSize {
-            directors: part(FULL_FLEET_DIRECTORS),
+            directors: fraction(FULL_FLEET_DIRECTORS),
             real_directors,
-            hosts: part(FULL_FLEET_HOSTS),
-            zones: part(FULL_FLEET_ZONES).max(MIN_ZONES),
+            hosts: fraction(FULL_FLEET_HOSTS),
+            zones: fraction(FULL_FLEET_ZONES).max(MIN_ZONES),
             proxies_per_director: PROXIES_PER_DIRECTOR,
         }
     }
 
-    /// Simulated directors.
+    /// Returns the number of simulated directors.
     pub fn simulated_directors(&self) -> usize {
         self.directors - self.real_directors
     }
 
-    /// Connections of all clients of a director.
+    /// Returns the number of clients of a real director: its proxies, and one collector per zone.
     pub fn clients_per_director(&self) -> usize {
         self.proxies_per_director + self.zones
     }
 }
 
-/// What a run takes of the machine at most.
+/// An upper estimate of the resources that a run needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct ResourceEstimate {
     /// Processes, this one included.
     pub processes: usize,
-    /// Descriptors of this process; each real director has its own.
+    /// Descriptors of this process; those of the real directors are not counted.
     pub descriptors: usize,
-    /// Bytes of memory of all processes.
+    /// Memory of all processes, in bytes.
     pub memory_bytes: usize,
 }
 
-/// A run as it was asked for.
+/// The plan of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The step of the ladder.
     pub step: Step,
-    /// What the step means in numbers.
+    /// The size of the fleet on this step.
     pub fleet_size: FleetSize,
-    /// How long the fleet is watched once it is up.
+    /// How long the fleet is measured after its start.
     pub duration: Duration,
-    /// For the script and for the simulated parts.
+    /// The seed of the random choices in the script, in simulated directors and in real ones.
     pub seed: u64,
 }
 
 impl Plan {
-    /// A plan, or why it makes no sense.
+    /// Creates a plan, or fails if the step does not allow this number of real directors.
     pub fn new(step: Step, real_directors: usize, duration: Duration, seed: u64) -> Result<Plan, PlanError> {
         let fleet_size = FleetSize::of_step(step, real_directors);
-        let most = fleet_size.directors - 1;
-        if !(1..=most).contains(&real_directors) {
-            return Err(PlanError::RealDirectors { asked: real_directors, most });
+        let max = fleet_size.directors - 1;
+        if !(1..=max).contains(&real_directors) {
+            return Err(PlanError::RealDirectors { requested: real_directors, max });
         }
         Ok(Plan { step, fleet_size, duration, seed })
     }
 
-    /// What the run takes.
+    /// Estimates the resources that the run needs.
     pub fn estimate(&self) -> ResourceEstimate {
         let fleet_size = &self.fleet_size;
         ResourceEstimate {
@@ -176,7 +180,8 @@
         }
     }
 
-    /// Refuses a run that would take more of the machine than it may.
+    /// Fails if the estimate exceeds the limits: 300 processes, the descriptors of this process, or half of
+    /// the machine's memory.
     pub fn check(&self, machine: &MachineLimits) -> Result<ResourceEstimate, PlanError> {
         let estimate = self.estimate();
         if estimate.processes > MAX_PROCESSES {
@@ -206,7 +211,7 @@
         let reference = both_ends * fleet_size.clients_per_director();
         let per_real =
             1 + fleet_size.clients_per_director() + HOST_CONNECTIONS_PER_REAL_DIRECTOR.min(fleet_size.hosts);
-        // One before discovery moves and one after.
+        // Each director has one listener of discovery before the move and another one after.
         let discovery_listeners = 2 * fleet_size.directors;
         fleet_size.simulated_directors() * per_simulated
             + reference
@@ -219,7 +224,7 @@
     fn memory_bytes(&self) -> usize {
         let list = self.fleet_size.hosts * BYTES_PER_LISTED_HOST;
         self.fleet_size.real_directors * (REAL_MEMORY_MIB << 20)
-            + self.descriptors() * BYTES_PER_CONNECTION
+            + self.descriptors() * BYTES_PER_DESCRIPTOR
             + self.fleet_size.directors * list
             + OWN_MEMORY_BYTES
     }
@@ -230,7 +235,8 @@
         let (fleet_size, estimate) = (&self.fleet_size, self.estimate());
         writeln!(
             f,
-            "step {}: {} directors ({} real), {} hosts, {} zones, {} proxies at each real director, {} s, seed {}",
+            "step {}: {} directors ({} real), {} hosts, {} zones, {} proxies per real director, \
+             {} s, seed {}",
             self.step,
             fleet_size.directors,
             fleet_size.real_directors,
@@ -242,7 +248,7 @@
         )?;
         write!(
             f,
-            "plan: {} processes, {} descriptors in this one, {} MiB of memory at most",
+            "plan: {} processes, {} descriptors in this process, {} MiB of memory at most",
             estimate.processes,
             estimate.descriptors,
             estimate.memory_bytes >> 20
--- a/crates/wingfold-scale/src/process_usage.rs
+++ b/crates/wingfold-scale/src/process_usage.rs
@@ -1,49 +1,50 @@
-//! What a process takes, read from outside in /proc.
+//! The resource usage of a process, read from /proc.
 
 use std::io;
 
-/// What a process has taken so far, or takes now.
+/// The resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Processor time since its start, in seconds.
+    /// CPU time since the start of the process, in seconds.
     pub processor_s: f64,
-    /// The most memory it has held, in KiB.
+    /// Peak resident memory, in KiB.
     pub peak_memory_kib: u64,
-    /// Descriptors it holds.
+    /// Open descriptors at the time of the measurement.
     pub descriptors: usize,
 }
 
-/// The file of /proc says something else than it should.
+/// Why the resource usage of a process cannot be measured.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
-    /// It cannot be read: the process has ended.
+    /// Its files in /proc cannot be read, usually because the process has ended.
     #[error("process {pid} cannot be measured: {problem}")]
     Unreadable {
         /// The process.
         pid: u32,
-        /// Why.
+        /// Why reading failed.
         problem: io::Error,
     },
-    /// A value is missing.
-    #[error("process {pid} cannot be measured: /proc has no {figure}")]
+    /// A value is missing from its files in /proc, or is no number.
+    #[error("process {pid} cannot be measured: its files in /proc have no {metric}")]
     Missing {
         /// The process.
         pid: u32,
-        /// What is missing.
-        figure: &'static str,
+        /// The missing value.
+        metric: &'static str,
     },
 }
 
-/// Places of user and system time in /proc/PID/stat, counted after the name in parentheses.
-const USER_TIME: usize = 11;
-const SYSTEM_TIME: usize = 12;
+/// Indices of the user and system time among the fields of /proc/PID/stat that follow the name in
+/// parentheses.
+const USER_TIME_INDEX: usize = 11;
+const SYSTEM_TIME_INDEX: usize = 12;
 
-/// Measures a process.
+/// Measures the resource usage of a process.
 pub fn measure(pid: u32) -> Result<Usage, MeasureError> {
     let unreadable = |problem| MeasureError::Unreadable { pid, problem };
-    let missing = |figure| MeasureError::Missing { pid, figure };
+    let missing = |metric| MeasureError::Missing { pid, metric };
     let read = |file: &str| std::fs::read_to_string(format!("/proc/{pid}/{file}")).map_err(unreadable);
-    let ticks = processor_ticks(&read("stat")?).ok_or_else(|| missing("processor time"))?;
+    let ticks = processor_ticks(&read("stat")?).ok_or_else(|| missing("CPU time"))?;
     let peak = peak_memory_kib(&read("status")?).ok_or_else(|| missing("peak memory"))?;
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_err(unreadable)?.count();
     Ok(Usage {
@@ -53,15 +54,15 @@
     })
 }
 
-/// User and system time in clock ticks, of the text of /proc/PID/stat.
+/// Returns the sum of user and system time in clock ticks from the text of /proc/PID/stat.
 pub fn processor_ticks(stat: &str) -> Option<u64> {
-    // The name may hold spaces and parentheses; the last one closes it.
+    // The name may contain spaces and parentheses; the last closing parenthesis of the file ends it.
     let (_, after_name) = stat.rsplit_once(')')?;
-    let field = |place: usize| after_name.split_whitespace().nth(place)?.parse::<u64>().ok();
-    Some(field(USER_TIME)? + field(SYSTEM_TIME)?)
+    let field = |index: usize| after_name.split_whitespace().nth(index)?.parse::<u64>().ok();
+    Some(field(USER_TIME_INDEX)? + field(SYSTEM_TIME_INDEX)?)
 }
 
-/// Peak memory in KiB, of the text of /proc/PID/status.
+/// Returns the peak resident memory in KiB from the text of /proc/PID/status.
 pub fn peak_memory_kib(status: &str) -> Option<u64> {
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
     line.trim().strip_suffix(" kB")?.trim().parse().ok()
--- a/crates/wingfold-scale/src/report.rs
+++ b/crates/wingfold-scale/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run measured, as a table and as JSON.
+//! The report of a run, printed as tables or written as JSON.
 
 use crate::compare::Comparison;
 use crate::counters::TrafficCount;
@@ -7,133 +7,135 @@
 use serde::Serialize;
 use std::fmt;
 
-/// What one real director took and exchanged while the fleet was watched.
+/// Resource usage and traffic of one real director. Traffic covers the measured period only.
 #[derive(Clone, Debug, Serialize)]
 pub struct DirectorMetrics {
-    /// Its name.
+    /// The director's name.
     pub name: String,
-    /// Processor time, in seconds a second.
+    /// CPU time in the measured period, in seconds per second.
     pub processor_share: f64,
-    /// Processor time from its start to its end, in seconds.
+    /// CPU time since the director's first start, in seconds.
     pub processor_s: f64,
-    /// The most memory, in MiB.
+    /// Peak resident memory, in MiB.
     pub peak_memory_mib: f64,
-    /// The most descriptors.
+    /// The most descriptors held at a measurement.
     pub peak_descriptors: usize,
-    /// Time from its start until it answered, in milliseconds.
+    /// Time from the start of the director until it answered a ping, in milliseconds.
     pub ready_ms: f64,
-    /// What passed between it and discovery.
+    /// Requests to discovery, and bytes exchanged with discovery.
     pub discovery: TrafficCount,
-    /// Its calls at discovery that were rejected.
+    /// Requests of the director that discovery rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Its calls at discovery that it gave up on.
+    /// Requests to discovery whose connection the director closed before the response.
     #[serde(rename = "given_up")]
     pub abandoned: u64,
-    /// What passed between it and the collectors; messages are those to the director.
+    /// Load reports that the director's collectors sent, and bytes.
     pub collectors: TrafficCount,
-    /// What passed between it and its proxies.
+    /// Messages from the director to its proxies, and bytes in both directions.
     pub proxies: TrafficCount,
 }
 
-/// Health checks that arrived at hosts, of all directors together.
+/// Health checks that the hosts received from all directors.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct HealthCheckMetrics {
-    /// Health checks a second at one host, on average.
+    /// Health checks per second at a host, averaged over all hosts.
     pub mean_per_host: f64,
-    /// Health checks a second at the host that got most.
+    /// Health checks per second at the host that received the most.
     pub most_per_host: f64,
-    /// Of all real directors together: health checks, and bytes.
+    /// Health checks of all real directors, and bytes.
     pub real: TrafficCount,
-    /// Of all simulated directors together.
+    /// Health checks of all simulated directors, and bytes.
     #[serde(rename = "hollow")]
     pub simulated: TrafficCount,
 }
 
-/// Calls at discovery, of all directors together.
+/// Requests of all directors to discovery.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct DiscoveryMetrics {
-    /// Calls, and bytes.
+    /// Requests, and bytes.
     pub traffic: TrafficCount,
-    /// Calls rejected: they waited too long, or discovery was down.
+    /// Requests that discovery rejected, because they waited too long in its queue or because it was down.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Calls that their director gave up on before the answer.
+    /// Requests whose connection the director closed before the response.
     #[serde(rename = "given_up")]
     pub abandoned: u64,
 }
 
-/// Times until a change has reached everybody that it concerns.
+/// Delays from a change until each of its recipients has it.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct DelayMetrics {
-    /// From a simulated director's start to its first list.
+    /// From the start of a simulated director to its first list.
     pub start: DelaySummary,
-    /// From a change of the list to each simulated director.
+    /// From a change of the list until a simulated director has received it.
     #[serde(rename = "list_to_hollow")]
     pub list_to_simulated: DelaySummary,
-    /// From a change of the list until its answer was written to each real director.
+    /// From a change of the list until discovery has written it to a real director.
     pub list_to_real: DelaySummary,
-    /// From a host's leaving until a real director's proxy no longer uses it.
+    /// From the change that marks a host as leaving until a proxy of a real director no longer uses the host.
     pub list_to_proxies: DelaySummary,
-    /// From a change of the configuration (discovery moves) to the complete list at each simulated director.
+    /// From a new address of discovery until a simulated director has received the complete list from there.
     #[serde(rename = "configuration_to_hollow")]
     pub configuration_to_simulated: DelaySummary,
-    /// The same at each real director: until its first complete list was written.
+    /// From a new address of discovery until discovery has written its first response there to a real
+    /// director.
     pub configuration_to_real: DelaySummary,
-    /// Uses of hosts that left long ago, by proxies of real directors, at the end.
+    /// At the end of the run, for each proxy of a real director, the hosts that the proxy still uses although
+    /// they have been leaving for longer than proxies need to drop them.
     #[serde(rename = "undelivered")]
     pub stale_uses: usize,
 }
 
-/// Everything a run measured.
+/// The results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// The step of the ladder.
     pub step: String,
-    /// Its sizes.
+    /// The size of the fleet on this step.
     #[serde(rename = "sizes")]
     pub fleet_size: FleetSize,
-    /// What the plan said it would take of the machine.
+    /// The resources that the plan estimated.
     #[serde(rename = "needs")]
     pub estimate: ResourceEstimate,
-    /// The seed.
+    /// The seed of the random choices.
     pub seed: u64,
     /// The fault that was injected.
     pub fault: &'static str,
-    /// How long the fleet was watched, in seconds.
+    /// Length of the measured period, in seconds.
     pub watched_s: f64,
-    /// Changes of the list in that time.
+    /// Changes of the list in the measured period.
     pub list_changes: u64,
-    /// Real directors.
+    /// Metrics of each real director.
     pub real: Vec<DirectorMetrics>,
-    /// Discovery.
+    /// Requests to discovery.
     pub discovery: DiscoveryMetrics,
-    /// Hosts.
+    /// Health checks at the hosts.
     #[serde(rename = "probes")]
     pub health_checks: HealthCheckMetrics,
-    /// Times.
+    /// Delays of changes.
     pub delays: DelayMetrics,
-    /// Simulated directors against real ones.
+    /// Comparisons of simulated directors with real ones.
     #[serde(rename = "compared")]
     pub comparisons: Vec<Comparison>,
-    /// What this process itself took.
+    /// Resource usage of this process, which holds discovery and all simulated components.
     #[serde(rename = "hollow_process")]
     pub simulation_process: ProcessMetrics,
 }
 
-/// Resources used by the process of the simulated parts.
+/// Resource usage of the process that holds discovery and all simulated components.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ProcessMetrics {
-    /// Processor time while the fleet was watched, in seconds a second.
+    /// CPU time in the measured period, in seconds per second.
     pub processor_share: f64,
-    /// The most memory, in MiB.
+    /// Peak resident memory, in MiB.
     pub peak_memory_mib: f64,
-    /// The most descriptors, sampled once a second.
+    /// The most descriptors held, sampled once a second.
     pub peak_descriptors: usize,
 }
 
 impl Report {
-    /// Comparisons that do not hold.
+    /// Returns the comparisons whose difference exceeds the tolerance.
     pub fn differences(&self) -> Vec<&Comparison> {
         self.comparisons.iter().filter(|comparison| !comparison.is_within_tolerance()).collect()
     }
@@ -146,24 +148,25 @@
         let FleetSize { directors, hosts, zones, proxies_per_director, .. } = self.fleet_size;
         writeln!(
             f,
-            "step {}: {directors} directors, {hosts} hosts, {zones} zones, {proxies_per_director} proxies at a real director; \
+            "step {}: {directors} directors, {hosts} hosts, {zones} zones, \
+             {proxies_per_director} proxies per real director; \
              fault {}, seed {}, {:.0} s, {} changes of the list",
             self.step, self.fault, self.seed, self.watched_s, self.list_changes
         )?;
-        self.write_real(f)?;
+        self.write_real_directors(f)?;
         self.write_delays(f)?;
-        self.write_shared(f)?;
+        self.write_totals(f)?;
         self.write_comparisons(f)
     }
 }
 
 impl Report {
-    fn write_real(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn write_real_directors(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
             "\n{:<10}{:>10}{:>10}{:>8}{:>10}{:>22}{:>22}{:>22}",
             "director",
-            "processor",
+            "CPU",
             "memory",
             "fds",
             "ready",
@@ -175,7 +178,8 @@
             let rate = |bytes: u64| bytes as f64 / KIB / self.watched_s.max(f64::MIN_POSITIVE);
             writeln!(
                 f,
-                "{:<10}{:>9.1}%{:>6.1} MiB{:>8}{:>7.0} ms{:>11.1}/{:.1} KiB/s{:>16.1} KiB/s{:>11.1}/{:.1} KiB/s",
+                "{:<10}{:>9.1}%{:>6.1} MiB{:>8}{:>7.0} ms\
+                 {:>11.1}/{:.1} KiB/s{:>16.1} KiB/s{:>11.1}/{:.1} KiB/s",
                 real.name,
                 100.0 * real.processor_share,
                 real.peak_memory_mib,
@@ -193,35 +197,31 @@
 
     fn write_delays(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let delays = &self.delays;
-        writeln!(
-            f,
-            "\n{:<44}{:>8}{:>12}{:>12}{:>12}",
-            "time until", "count", "median", "99 in 100", "worst"
-        )?;
+        writeln!(f, "\n{:<44}{:>8}{:>12}{:>12}{:>12}", "delay until", "count", "median", "p99", "worst")?;
         let rows = [
-            ("first list at a hollow director", delays.start),
-            ("change of the list at a hollow director", delays.list_to_simulated),
-            ("change of the list written to a real one", delays.list_to_real),
-            ("leaving host out of a proxy's tables", delays.list_to_proxies),
-            ("new discovery's list at a hollow director", delays.configuration_to_simulated),
-            ("new discovery's list written to a real one", delays.configuration_to_real),
+            ("first list at a simulated director", delays.start),
+            ("list change at a simulated director", delays.list_to_simulated),
+            ("list change written to a real director", delays.list_to_real),
+            ("leaving host unused by a proxy", delays.list_to_proxies),
+            ("list from new address, simulated director", delays.configuration_to_simulated),
+            ("list from new address, real director", delays.configuration_to_real),
         ];
-        for (what, summary) in rows {
+        for (label, summary) in rows {
             writeln!(
                 f,
-                "{what:<44}{:>8}{:>9.1} ms{:>9.1} ms{:>9.1} ms",
+                "{label:<44}{:>8}{:>9.1} ms{:>9.1} ms{:>9.1} ms",
                 summary.count, summary.median_ms, summary.p99_ms, summary.worst_ms
             )?;
         }
-        writeln!(f, "uses of hosts that left long ago, at the end: {}", delays.stale_uses)
+        writeln!(f, "leaving hosts still in use by proxies at the end: {}", delays.stale_uses)
     }
 
-    fn write_shared(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn write_totals(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (discovery, health_checks, simulated) =
             (&self.discovery, &self.health_checks, &self.simulation_process);
         writeln!(
             f,
-            "\ndiscovery: {:.0} calls a second, {:.1} KiB/s out, {} refused, {} given up on",
+            "\ndiscovery: {:.0} requests/s, {:.1} KiB/s sent, {} requests rejected, {} abandoned",
             discovery.traffic.messages as f64 / self.watched_s,
             discovery.traffic.bytes_out as f64 / KIB / self.watched_s,
             discovery.rejected,
@@ -229,14 +229,14 @@
         )?;
         writeln!(
             f,
-            "probes: {:.2} a second at a host ({:.2} at the most), {:.1} a second of a real director",
+            "health checks: {:.2}/s per host on average, {:.2}/s at most, {:.1}/s per real director",
             health_checks.mean_per_host,
             health_checks.most_per_host,
             health_checks.real.messages as f64 / self.watched_s / self.fleet_size.real_directors as f64
         )?;
         writeln!(
             f,
-            "hollow parts: {:.0}% of a core, {:.0} MiB, {} descriptors (planned: {})",
+            "simulation process: {:.0}% of a core, {:.0} MiB, {} descriptors (planned: {})",
             100.0 * simulated.processor_share,
             simulated.peak_memory_mib,
             simulated.peak_descriptors,
@@ -245,9 +245,9 @@
     }
 
     fn write_comparisons(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "\n{:<28}{:>12}{:>12}{:>12}", "of one director", "real", "hollow", "tolerance")?;
+        writeln!(f, "\n{:<28}{:>12}{:>12}{:>12}", "mean per director", "real", "simulated", "tolerance")?;
         for comparison in &self.comparisons {
-            let verdict = if comparison.is_within_tolerance() { "holds" } else { "DIFFERS" };
+            let verdict = if comparison.is_within_tolerance() { "within" } else { "EXCEEDED" };
             writeln!(
                 f,
                 "{:<28}{:>12.1}{:>12.1}{:>11.0}%  {verdict}",
--- a/crates/wingfold-scale/src/run.rs
+++ b/crates/wingfold-scale/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: checks the plan, sets up the fleet, plays the script and stops everything that was started.
+//! One run: checks the plan, sets up the fleet, executes the script and stops everything that was started.
 
 use crate::fleet::{Fleet, FleetError};
 use crate::limits::{LimitsError, MachineLimits, PlanError};
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The time limit of a run beyond the timeouts and the duration of the script.
+/// A run may take this much longer than its timeouts and the duration of its script together.
 const RUN_MARGIN: Duration = Duration::from_secs(60);
 /// How often a condition is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a run waits at most.
+/// Timeouts of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// For a real director to answer after its start.
+    /// Until a started real director answers a ping.
     pub ready: Duration,
-    /// For all directors to have the first list, and for the real ones' proxies to hold tables.
+    /// Until all directors hold the first list, and all proxies of real directors hold tables.
     pub start: Duration,
-    /// For all directors to have the last list, once the script is over.
+    /// Until all directors hold the last version of the list, after the end of the script.
     pub settle: Duration,
 }
 
@@ -37,16 +37,16 @@
     }
 }
 
-/// A run to be played.
+/// A run to be executed.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The plan.
+    /// The size of the fleet, the duration and the seed.
     pub plan: Plan,
-    /// The program that a real director is.
+    /// The executable of the real directors.
     pub program: PathBuf,
-    /// The fault.
+    /// The fault to inject.
     pub fault: FaultPlan,
-    /// How long it waits at most.
+    /// The timeouts.
     pub timeouts: Timeouts,
 }
 
@@ -59,100 +59,102 @@
     /// The machine's limits cannot be read.
     #[error(transparent)]
     Limits(#[from] LimitsError),
-    /// A part of the fleet has failed.
+    /// A real director or a simulated component has failed.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// This process cannot be measured.
+    /// The resource usage of this process cannot be measured.
     #[error(transparent)]
     Measure(#[from] MeasureError),
-    /// Directors did not get the list in time.
+    /// Some directors did not receive the current version of the list in time.
     #[error(
-        "{behind} directors (the first is number {first}) do not have version {version} of the list; \
-         the last calls of {rejected} of them were refused by discovery"
+        "{behind} directors (the first is director {first}) do not hold version {version} \
+         of the endpoint list; discovery rejected the last request of {rejected} of them"
     )]
     Behind {
-        /// How many.
+        /// The number of these directors.
         behind: usize,
-        /// The first one's number.
+        /// The lowest director number among them.
         first: usize,
-        /// The version.
+        /// The current version of the list.
         version: u64,
-        /// How many of them discovery rejected last.
+        /// How many of these directors had their last request rejected by discovery.
         rejected: usize,
     },
-    /// Proxies did not get tables in time.
-    #[error("{bound} of {proxies} proxies at real directors hold tables after {} s", after.as_secs())]
-    Unbound {
+    /// Some proxies of real directors did not receive tables in time.
+    #[error("{with_tables} of {proxies} proxies of real directors hold tables after {} s", after.as_secs())]
+    ProxiesWithoutTables {
         /// The timeout.
         after: Duration,
-        /// Proxies with tables.
-        bound: usize,
-        /// All proxies.
+        /// The number of proxies that hold tables.
+        with_tables: usize,
+        /// The number of all proxies of real directors.
         proxies: usize,
     },
-    /// It exceeded its time limit.
-    #[error("the run was not over within {} s", .0.as_secs())]
+    /// The run exceeded its time limit.
+    #[error("the run exceeded its time limit of {} s", .0.as_secs())]
     Overrun(Duration),
-    /// It was interrupted.
+    /// The run was interrupted.
     #[error("interrupted")]
     Interrupted,
 }
 
 impl Run {
-    /// Plays the run, and stops all that was started in every case.
-    pub async fn play(&self, interrupted: impl Future<Output = ()>) -> Result<Report, RunError> {
+    /// Executes the run. The fleet is stopped also if the run fails, exceeds its time limit or is
+    /// interrupted.
+    pub async fn execute(&self, interrupted: impl Future<Output = ()>) -> Result<Report, RunError> {
         let estimate = self.plan.check(&MachineLimits::read()?)?;
         let mut fleet = Fleet::set_up(&self.plan, self.timeouts.ready).await?;
         let Timeouts { ready, start, settle } = self.timeouts;
         let time_limit = ready + start + self.plan.duration + settle + RUN_MARGIN;
-        let played = tokio::select! {
-            played = timeout(time_limit, self.play_fleet(&mut fleet, estimate)) => {
-                played.unwrap_or(Err(RunError::Overrun(time_limit)))
+        let result = tokio::select! {
+            result = timeout(time_limit, self.run_fleet(&mut fleet, estimate)) => {
+                result.unwrap_or(Err(RunError::Overrun(time_limit)))
             }
             () = interrupted => Err(RunError::Interrupted),
         };
         let stopped = fleet.stop().await;
-        let report = played?;
+        let report = result?;
         stopped?;
         Ok(report)
     }
 
-    /// Starts the fleet, plays the script and makes the report.
-    async fn play_fleet(&self, fleet: &mut Fleet, estimate: ResourceEstimate) -> Result<Report, RunError> {
+    /// Starts the fleet, executes the script and makes the report.
+    async fn run_fleet(&self, fleet: &mut Fleet, estimate: ResourceEstimate) -> Result<Report, RunError> {
         fleet.start(&self.program).await?;
-        tracing::info!("all directors answer");
+        tracing::info!("all directors have started");
         self.wait_until_up(fleet).await?;
-        tracing::info!("all directors have the list, and the real ones' proxies tables");
+        tracing::info!("all directors hold the list, and all proxies of real directors hold tables");
         let baseline = self.baseline(fleet)?;
         let mut script =
             Script::new(self.plan.fleet_size.hosts, self.plan.seed, self.plan.duration, self.fault);
-        script.play_steady(fleet).await?;
+        script.run_steady_phase(fleet).await?;
         let comparisons = self.comparisons(fleet, &baseline);
-        script.play_to_end(fleet).await?;
+        script.run_to_end(fleet).await?;
         let report = self.report(fleet, &baseline, estimate, script.changes(), comparisons)?;
         self.wait_until_settled(fleet).await?;
         Ok(self.with_delays(report, fleet))
     }
 
-    /// Waits until all directors have the list, and the real ones' proxies tables.
+    /// Waits until all directors hold the list, all proxies of real directors hold tables, and the send
+    /// queues are idle.
     async fn wait_until_up(&self, fleet: &mut Fleet) -> Result<(), RunError> {
         let begun = Instant::now();
         loop {
             fleet.ensure_running()?;
-            let (behind, bound) = (fleet.directors_behind(), fleet.proxies_with_tables());
-            if behind.is_empty() && bound == fleet.proxy_count() && fleet.send_queues_are_idle() {
+            let (behind, with_tables) = (fleet.directors_behind(), fleet.proxies_with_tables());
+            if behind.is_empty() && with_tables == fleet.proxy_count() && fleet.send_queues_are_idle() {
                 return Ok(());
             }
             if begun.elapsed() > self.timeouts.start {
                 fail_if_behind(fleet, &behind)?;
                 let (after, proxies) = (self.timeouts.start, fleet.proxy_count());
-                return Err(RunError::Unbound { after, bound, proxies });
+                return Err(RunError::ProxiesWithoutTables { after, with_tables, proxies });
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until all directors have the list as it is at the end.
+    /// Waits until all directors hold the last version of the list.
     async fn wait_until_settled(&self, fleet: &mut Fleet) -> Result<(), RunError> {
         let begun = Instant::now();
         loop {
@@ -169,7 +171,7 @@
     }
 }
 
-/// Fails if directors do not hold the current list.
+/// Fails if any director is behind, that is, does not hold the current version of the list.
 fn fail_if_behind(fleet: &Fleet, behind: &[usize]) -> Result<(), RunError> {
     let Some(first) = behind.first() else { return Ok(()) };
     let rejected = behind.iter().filter(|director| fleet.discovery.was_rejected(**director)).count();
--- a/crates/wingfold-scale/src/script.rs
+++ b/crates/wingfold-scale/src/script.rs
@@ -1,4 +1,5 @@
-//! What happens in a run, and when: changes of the list, one fault, and the move of discovery.
+//! The script of a run: changes of the endpoint list, one fault, and the move of discovery to new addresses,
+//! each at its time.
 
 use crate::endpoint_list::{HostChange, HostState};
 use crate::faults::{self, Fault};
@@ -12,24 +13,24 @@
 
 /// Time between two changes of the list.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
-/// A host stays away for this many changes.
-const AWAY_CHANGES: usize = 10;
+/// A leaving host becomes active again after this many further changes of the list.
+const CHANGES_UNTIL_RETURN: usize = 10;
 /// How often the script advances and the fleet is checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
-/// Ticks between two measurements of the real directors.
+/// Ticks between two measurements of the real directors and of this process.
 const TICKS_PER_MEASUREMENT: u32 = 5;
-/// When the fault begins, and when discovery moves, as ratios of its duration.
+/// The start of the fault and the move of discovery, as ratios of the duration of the script.
 const FAULT_START_RATIO: f64 = 0.25;
 const DISCOVERY_MOVE_RATIO: f64 = 0.75;
-/// The zone of the fault `zone-silent`.
+/// The zone that the fault `zone-silent` makes silent.
 const SILENT_ZONE: usize = 0;
 
-/// The fault of a run.
+/// The fault of a run and its duration.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultPlan {
-    /// Which one.
+    /// The fault.
     pub fault: Fault,
-    /// How long it lasts.
+    /// Time from the start of the fault to its end.
     pub duration: Duration,
 }
 
@@ -38,13 +39,13 @@
 pub struct Script {
     fault: FaultPlan,
     duration: Duration,
-    /// Hosts in the order in which they leave.
+    /// The active hosts, in the order in which they will leave.
     departure_order: VecDeque<usize>,
-    /// Hosts that are away, the one that left first in front.
-    away: VecDeque<usize>,
+    /// The leaving hosts, in the order in which they left.
+    leaving: VecDeque<usize>,
     changes: u64,
     fault_phase: FaultPhase,
-    has_moved: bool,
+    discovery_moved: bool,
     begun_at: Option<Instant>,
     ticks_done: u32,
 }
@@ -58,7 +59,7 @@
 }
 
 impl Script {
-    /// The script of a run over so many hosts.
+    /// Creates the script of a run with this many hosts; the seed determines the order in which they leave.
     pub fn new(hosts: usize, seed: u64, duration: Duration, fault: FaultPlan) -> Script {
         let mut order: Vec<usize> = (0..hosts).collect();
         order.shuffle(&mut ChaCha8Rng::seed_from_u64(seed));
@@ -66,26 +67,26 @@
             fault,
             duration,
             departure_order: order.into(),
-            away: VecDeque::new(),
+            leaving: VecDeque::new(),
             changes: 0,
             fault_phase: FaultPhase::Before,
-            has_moved: false,
+            discovery_moved: false,
             begun_at: None,
             ticks_done: 0,
         }
     }
 
-    /// Plays it until discovery moves or becomes unavailable. After that it is mostly chance which director gets a list
-    /// when.
-    pub async fn play_steady(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let steady =
+    /// Executes the script until discovery moves or becomes unavailable. Real and simulated directors are
+    /// compared over this phase only: afterwards it is mostly random when each director receives a list.
+    pub async fn run_steady_phase(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
+        let steady_ratio =
             if self.fault.fault == Fault::DiscoveryDown { FAULT_START_RATIO } else { DISCOVERY_MOVE_RATIO };
-        self.play_until(self.duration.mul_f64(steady), fleet).await
+        self.run_until(self.duration.mul_f64(steady_ratio), fleet).await
     }
 
-    /// Plays the rest of it.
-    pub async fn play_to_end(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        self.play_until(self.duration, fleet).await
+    /// Executes the rest of the script.
+    pub async fn run_to_end(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
+        self.run_until(self.duration, fleet).await
     }
 
     /// Returns how many changes of the list were made.
@@ -93,7 +94,8 @@
         self.changes
     }
 
-    async fn play_until(&mut self, end: Duration, fleet: &mut Fleet) -> Result<(), FleetError> {
+    /// Advances the script until this time since its start, and fails if any part of the fleet has ended.
+    async fn run_until(&mut self, end: Duration, fleet: &mut Fleet) -> Result<(), FleetError> {
         let begun = *self.begun_at.get_or_insert_with(Instant::now);
         let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -109,7 +111,7 @@
         Ok(())
     }
 
-    /// Plays what is due at this time of the run.
+    /// Executes the events that are due at this time since the start of the script.
     async fn advance(&mut self, at: Duration, fleet: &mut Fleet) -> Result<(), FleetError> {
         if at >= CHANGE_INTERVAL * self.changes as u32 {
             self.change_list(fleet);
@@ -119,7 +121,7 @@
             FaultPhase::Before if self.fault.fault == Fault::None => self.fault_phase = FaultPhase::After,
             FaultPhase::Before if at >= fault_start => {
                 self.fault_phase = FaultPhase::During;
-                tracing::info!(fault = %self.fault.fault, "fault begins");
+                tracing::info!(fault = %self.fault.fault, "fault starts");
                 start_fault(self.fault.fault, fleet).await?;
             }
             FaultPhase::During if at >= fault_start + self.fault.duration => {
@@ -129,28 +131,29 @@
             }
             _ => {}
         }
-        if !self.has_moved && at >= self.duration.mul_f64(DISCOVERY_MOVE_RATIO) {
-            self.has_moved = true;
-            tracing::info!("discovery moves");
+        if !self.discovery_moved && at >= self.duration.mul_f64(DISCOVERY_MOVE_RATIO) {
+            self.discovery_moved = true;
+            tracing::info!("discovery moves to new addresses");
             fleet.move_discovery().await?;
         }
         Ok(())
     }
 
-    /// One host leaves, and the one that has been away longest is back.
+    /// Marks the next host as leaving, and the host that has been leaving longest as active if its time is
+    /// over or if no host is left to leave.
     fn change_list(&mut self, fleet: &Fleet) {
         let mut changes = Vec::new();
-        if let Some(leaves) = self.departure_order.pop_front() {
-            self.away.push_back(leaves);
-            fleet.departures.host_leaves(leaves);
-            changes.push(HostChange { host: leaves, state: HostState::Leaving, started_ms: 0 });
+        if let Some(host) = self.departure_order.pop_front() {
+            self.leaving.push_back(host);
+            fleet.departures.host_leaves(host);
+            changes.push(HostChange { host, state: HostState::Leaving, started_ms: 0 });
         }
-        let is_back = self.away.len() > AWAY_CHANGES || changes.is_empty();
-        let returning = if is_back { self.away.pop_front() } else { None };
-        if let Some(back) = returning {
-            fleet.departures.host_returns(back);
-            self.departure_order.push_back(back);
-            changes.push(HostChange { host: back, state: HostState::Active, started_ms: unix_ms() });
+        let host_returns = self.leaving.len() > CHANGES_UNTIL_RETURN || changes.is_empty();
+        let returning = if host_returns { self.leaving.pop_front() } else { None };
+        if let Some(host) = returning {
+            fleet.departures.host_returns(host);
+            self.departure_order.push_back(host);
+            changes.push(HostChange { host, state: HostState::Active, started_ms: unix_ms() });
         }
         fleet.discovery.change(&changes);
         self.changes += 1;
--- a/crates/wingfold-scale/src/simulated/director.rs
+++ b/crates/wingfold-scale/src/simulated/director.rs
@@ -1,4 +1,5 @@
-//! Simulated directors: they watch discovery, request complete lists, check hosts and accept clients as real ones do.
+//! Simulated directors: they watch discovery, request complete lists, check hosts and accept clients as real
+//! ones do.
 
 use super::SimulationError;
 use crate::delays::Delays;
@@ -130,7 +131,8 @@
         }
     }
 
-    /// Keeps the list up to date: a complete one first, then watches; retries after failures and at a new address.
+    /// Keeps the list up to date: a complete one first, then watches; retries after failures and at a new
+    /// address.
     async fn watch_list(&mut self) {
         let mut times = WatchTimes { started_at: Instant::now(), moved_at: None };
         let (mut known_version, mut failures) = (None, 0);
@@ -252,8 +254,8 @@
     }
 }
 
-/// One health check, over a connection of its own. A real director keeps the connection for five seconds; 480 simulated
-/// ones in one process have no descriptors for that.
+/// One health check, over a connection of its own. A real director keeps the connection for five seconds; 480
+/// simulated ones in one process have no descriptors for that.
 async fn check_host(from: IpAddr, host: SocketAddr) -> io::Result<()> {
     let mut connection = Connection::new(connect_from(from, host, CONNECT_TIMEOUT).await?);
     connection.get("/status/load", &host.to_string()).await?;
--- a/crates/wingfold-scale/src/simulated/host.rs
+++ b/crates/wingfold-scale/src/simulated/host.rs
@@ -113,7 +113,8 @@
         traffic.messages.increment();
         traffic.bytes_in.add(request.bytes);
         if *silent.borrow() {
-            // This connection gets no further response. It is reset once the zone is back, if it is still open.
+            // This connection gets no further response. It is reset once the zone is back, if it is still
+            // open.
             tokio::select! {
                 _ = silent.wait_for(|silent| !*silent) => {}
                 () = connection.discard_until_closed() => {}
--- a/crates/wingfold-scale/src/simulated/proxy.rs
+++ b/crates/wingfold-scale/src/simulated/proxy.rs
@@ -1,4 +1,5 @@
-//! Simulated proxies: they join a director, apply its updates, acknowledge its barriers and report their usage.
+//! Simulated proxies: they join a director, apply its updates, acknowledge its barriers and report their
+//! usage.
 
 use super::{connect_to_director, SimulationError};
 use crate::counters::Traffic;
@@ -56,7 +57,8 @@
     }
 }
 
-/// The send queue of a director: it sends messages to its proxies one after another, at the drain rate of the settings.
+/// The send queue of a director: it sends messages to its proxies one after another, at the drain rate of the
+/// settings.
 #[derive(Debug)]
 pub struct SendQueue {
     drain_rate_per_s: f64,
--- a/crates/wingfold-scale/tests/plan.rs
+++ b/crates/wingfold-scale/tests/plan.rs
@@ -57,8 +57,8 @@
     );
     let many = plan(Step::Whole, 300).unwrap().check(&ROOMY);
     assert_eq!(many, Err(PlanError::Processes { needed: 301, allowed: 300 }));
-    assert_eq!(plan(Step::Sixteenth, 0).err(), Some(PlanError::RealDirectors { asked: 0, most: 29 }));
-    assert_eq!(plan(Step::Sixteenth, 30).err(), Some(PlanError::RealDirectors { asked: 30, most: 29 }));
+    assert_eq!(plan(Step::Sixteenth, 0).err(), Some(PlanError::RealDirectors { requested: 0, max: 29 }));
+    assert_eq!(plan(Step::Sixteenth, 30).err(), Some(PlanError::RealDirectors { requested: 30, max: 29 }));
 }
 
 #[test]
--- a/crates/wingfold-scale/tests/report.rs
+++ b/crates/wingfold-scale/tests/report.rs
@@ -1,10 +1,11 @@
-//! The outer form of a report: its JSON.
+//! The JSON and the printed tables of a report.
 
 use serde_json::{json, to_value};
 use std::time::Duration;
 use wingfold_scale::compare::{compare, DirectorGroup};
 use wingfold_scale::counters::TrafficCount;
 use wingfold_scale::delays::{DelaySummary, Delays};
+use wingfold_scale::ladder::Summary;
 use wingfold_scale::plan::{FleetSize, ResourceEstimate, Step};
 use wingfold_scale::report::{
     DelayMetrics, DirectorMetrics, DiscoveryMetrics, HealthCheckMetrics, ProcessMetrics, Report,
@@ -127,3 +128,29 @@
     });
     assert_eq!(to_value(report()).unwrap(), expected);
 }
+
+#[test]
+fn report_table_marks_metrics_beyond_their_tolerance() {
+    let table = report().to_string();
+    let verdict_of = |metric: &str| {
+        let row = table.lines().find(|line| line.starts_with(metric)).unwrap_or_else(|| panic!("{table}"));
+        row.split_whitespace().next_back().map(String::from)
+    };
+    for metric in ["requests to discovery", "bytes to discovery", "bytes from discovery"] {
+        assert_eq!(verdict_of(metric).as_deref(), Some("within"), "{metric}");
+    }
+    assert_eq!(verdict_of("health checks   "), Some("EXCEEDED".into()));
+    for text in ["zone-silent", "list change at a simulated director", "8 requests rejected, 9 abandoned"] {
+        assert!(table.contains(text), "`{text}` is not in:\n{table}");
+    }
+}
+
+#[test]
+fn summary_rows_are_as_wide_as_the_header() {
+    let summary = Summary(&[report()]).to_string();
+    let widths: Vec<usize> = summary.lines().map(str::len).collect();
+    assert_eq!(widths, [widths[0]; 2], "{summary}");
+    for value in ["1/16, zone-silent", "25.0%", "12.0 MiB", "2 ms", "4 ms", "5 ms"] {
+        assert!(summary.contains(value), "`{value}` is not in:\n{summary}");
+    }
+}
--- a/crates/wingfold/tests/scale.rs
+++ b/crates/wingfold/tests/scale.rs
@@ -59,7 +59,7 @@
 async fn simulated_and_real_directors_agree_and_receive_every_change() {
     let _run_guard = RUN_LOCK.lock().await;
     let run = smallest_run("without-fault", 6, Fault::None);
-    let report = run.play(pending()).await.unwrap();
+    let report = run.execute(pending()).await.unwrap();
     println!("{report}");
     assert_eq!(report.differences(), Vec::<&Comparison>::new());
     let (simulated, changes) = (report.fleet_size.simulated_directors(), report.list_changes as usize);
@@ -92,7 +92,7 @@
 async fn restarted_quarter_of_the_directors_gets_the_list_again() {
     let _run_guard = RUN_LOCK.lock().await;
     let run = smallest_run("restarted", 4, Fault::RestartQuarter);
-    let report = run.play(pending()).await.unwrap();
+    let report = run.execute(pending()).await.unwrap();
     let (simulated, restarted) = (report.fleet_size.simulated_directors(), 7);
     assert_eq!(report.delays.start.count, simulated + restarted);
     assert_eq!(processes_of(&run.program), Vec::<u32>::new());
@@ -107,7 +107,7 @@
         assert!(Command::new("kill").args(["-KILL", &process]).status().unwrap().success());
         pending().await
     };
-    match run.play(kill_one).await {
+    match run.execute(kill_one).await {
         Err(RunError::Fleet(FleetError::Real(RealDirectorError::Ended { name, .. }))) => {
             assert!(name.starts_with('n'))
         }
@@ -121,7 +121,7 @@
     let _run_guard = RUN_LOCK.lock().await;
     let run = smallest_run("interrupted", 20, Fault::None);
     let interrupted = async { drop(wait_for_real_directors(&run.program).await) };
-    assert!(matches!(run.play(interrupted).await, Err(RunError::Interrupted)));
+    assert!(matches!(run.execute(interrupted).await, Err(RunError::Interrupted)));
     assert_eq!(processes_of(&run.program), Vec::<u32>::new());
 }
 
@@ -130,7 +130,7 @@
     let _run_guard = RUN_LOCK.lock().await;
     let mut run = smallest_run("down", 2, Fault::DiscoveryDown);
     run.timeouts.settle = Duration::from_secs(1);
-    match run.play(pending()).await {
+    match run.execute(pending()).await {
         Err(RunError::Behind { behind, rejected, .. }) => {
             assert!(
                 behind == 30 && rejected > 0,
@@ -147,14 +147,14 @@
     let _run_guard = RUN_LOCK.lock().await;
     let mut run = smallest_run("unready", 5, Fault::None);
     std::fs::remove_file(&run.program).unwrap();
-    let missing = run.play(pending()).await;
+    let missing = run.execute(pending()).await;
     assert!(
         matches!(missing, Err(RunError::Fleet(FleetError::Real(RealDirectorError::Start { .. })))),
         "{missing:?}"
     );
     // Without arguments `sleep` exits at once.
     symlink("/bin/sleep", &run.program).unwrap();
-    let ended = run.play(pending()).await;
+    let ended = run.execute(pending()).await;
     assert!(
         matches!(ended, Err(RunError::Fleet(FleetError::Real(RealDirectorError::Ended { .. })))),
         "{ended:?}"
@@ -162,7 +162,7 @@
     std::fs::remove_file(&run.program).unwrap();
     write_unresponsive_program(&run.program);
     run.timeouts.ready = Duration::from_millis(300);
-    let unready = run.play(pending()).await;
+    let unready = run.execute(pending()).await;
     let is_not_ready = |error: &RunError| error.to_string().starts_with("n0 was not ready");
     assert!(unready.as_ref().is_err_and(is_not_ready), "{unready:?}");
     assert_eq!(processes_of(&run.program), Vec::<u32>::new());
