--- a/crates/wingfold-scale/src/endpoint_list.rs
+++ b/crates/wingfold-scale/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list that discovery serves: its versions, and what changed after one.
+//! The endpoint list that discovery serves: its current version, and the changes after an earlier version.
 
 use crate::deployment::{host_name, host_zone, zone_name};
 use crate::plan::FleetSize;
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
-    /// It takes requests.
+    /// The host takes requests.
     Active,
-    /// It finishes its requests in flight and wants no new ones.
+    /// The host completes its requests in flight and takes no new ones.
     Leaving,
 }
 
@@ -23,11 +23,11 @@
     pub host: usize,
     /// Its new state.
     pub state: HostState,
-    /// The Unix time of its last start; 0 means long ago.
+    /// The Unix time of the host's last start, in milliseconds; 0 means that the start was long ago.
     pub started_ms: u64,
 }
 
-/// An entry of the list, as discovery writes it.
+/// An entry of the list, in the JSON form of discovery.
 #[derive(Clone, Debug, Serialize)]
 pub struct Endpoint {
     id: String,
@@ -40,7 +40,7 @@
     started_ms: u64,
 }
 
-/// A response, as discovery writes it.
+/// A response, in the JSON form of discovery.
 #[derive(Serialize)]
 struct ListResponse<'a> {
     version: u64,
@@ -53,15 +53,15 @@
 pub struct EncodedList {
     /// The JSON text.
     pub text: Arc<str>,
-    /// How many entries it has.
+    /// The number of entries in the response.
     pub entries: usize,
-    /// Its version.
+    /// The version of the list in the response.
     pub version: u64,
 }
 
 /// Hosts in a cell.
 const HOSTS_PER_CELL: usize = 6;
-/// Where more than this ratio of the list has changed, the response is the complete list.
+/// If more than this ratio of the hosts has changed, the response is the complete list.
 const MAX_CHANGED_RATIO: f64 = 0.5;
 
 /// The endpoint list.
@@ -69,9 +69,9 @@
 pub struct EndpointList {
     version: u64,
     hosts: Vec<Endpoint>,
-    /// The version in which each host changed last.
+    /// The version in which each host last changed.
     changed_in: Vec<u64>,
-    /// The complete list of this version, once it has been encoded.
+    /// The encoded complete list of the current version, kept after its first use.
     complete: Option<EncodedList>,
 }
 
@@ -101,7 +101,7 @@
         self.version
     }
 
-    /// Changes hosts in one new version, and returns it.
+    /// Applies changes of hosts as one new version, and returns that version.
     pub fn change(&mut self, changes: &[HostChange]) -> u64 {
         self.version += 1;
         self.complete = None;
@@ -113,14 +113,15 @@
         self.version
     }
 
-    /// Returns whether something is newer than this version.
+    /// Returns whether the list is newer than this version; always true for `None`.
     pub fn is_newer_than(&self, version: Option<u64>) -> bool {
         version.is_none_or(|version| self.version > version)
     }
 
-    /// Returns the response to a call: what changed after a version, or the complete list.
+    /// Returns the response to a request: the entries that changed after a version, or the complete list if
+    /// `after` is `None` or more than half of the hosts has changed.
     pub fn response(&mut self, after: Option<u64>) -> EncodedList {
-        let Some(after) = after else { return self.complete() };
+        let Some(after) = after else { return self.complete_response() };
         let changed: Vec<&Endpoint> = self
             .hosts
             .iter()
@@ -129,12 +130,12 @@
             .map(|(host, _)| host)
             .collect();
         if changed.len() as f64 > MAX_CHANGED_RATIO * self.hosts.len() as f64 {
-            return self.complete();
+            return self.complete_response();
         }
         encode(self.version, false, changed)
     }
 
-    fn complete(&mut self) -> EncodedList {
+    fn complete_response(&mut self) -> EncodedList {
         let (version, hosts) = (self.version, &self.hosts);
         self.complete.get_or_insert_with(|| encode(version, true, hosts.iter().collect())).clone()
     }
--- a/crates/wingfold-scale/src/fleet.rs
+++ b/crates/wingfold-scale/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of a run: everything that is started, and its end.
+//! The fleet of a run: starts, controls, measures and stops its directors, clients, hosts and discovery.
 
 use crate::counters::{Traffic, TrafficCount};
 use crate::deployment::{
@@ -25,52 +25,53 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Why a fleet failed.
+/// Why an operation on the fleet failed.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// An address cannot be listened at, or the directory for files cannot be made.
+    /// A listener cannot be bound, or the directory for the files of the run cannot be created.
     #[error("the fleet cannot be set up: {0}")]
     SetUp(#[from] io::Error),
     /// A real director has failed.
     #[error(transparent)]
     Real(#[from] RealDirectorError),
-    /// A simulated part has ended.
+    /// A simulated component has failed.
     #[error(transparent)]
     Simulated(#[from] SimulationError),
-    /// A simulated part has panicked.
-    #[error("a hollow part has died: {0}")]
+    /// The task of a simulated component has panicked.
+    #[error("the task of a simulated component failed: {0}")]
     Panic(#[from] tokio::task::JoinError),
-    /// A simulated part has ended, which none does by itself.
-    #[error("a hollow part has ended by itself")]
+    /// The task of a simulated component has ended without an error, although all of them run until they are
+    /// stopped.
+    #[error("the task of a simulated component ended unexpectedly")]
     EndedUnexpectedly,
 }
 
-/// Updates that wait for less than this in a send queue count as idle.
+/// A send queue counts as idle while it needs less than this time to send everything that waits in it.
 const MAX_IDLE_BACKLOG: Duration = Duration::from_millis(250);
 
-/// What passes between one real director and its clients.
+/// Traffic counters and the send queue that the clients of one real director share.
 #[derive(Debug)]
 pub struct Clients {
-    /// Counts of collectors.
+    /// Traffic of the collectors.
     pub collectors: Arc<Traffic>,
-    /// Counts of proxies.
+    /// Traffic of the proxies.
     pub proxies: Arc<Traffic>,
     /// The send queue to the proxies.
     pub send_queue: Arc<SendQueue>,
 }
 
-/// A real director and what is counted of it.
+/// A real director, its time to start and the counters of its clients.
 #[derive(Debug)]
 pub struct MeasuredDirector {
-    /// Its process.
+    /// The process.
     pub process: RealDirector,
-    /// Time from its start until it answered.
+    /// Time from the start of the process until it answered a ping.
     pub ready_after: Duration,
-    /// Its clients.
+    /// The counters and the send queue of its clients.
     pub clients: Clients,
 }
 
-/// A running fleet. Directors are numbered, real ones first.
+/// A running fleet. Directors are numbered from 0: first the real ones, then the simulated ones.
 #[derive(Debug)]
 pub struct Fleet {
     fleet_size: FleetSize,
@@ -79,24 +80,25 @@
     directory: PathBuf,
     own_peak_descriptors: usize,
     ready_within: Duration,
-    /// Discovery.
+    /// The scripted discovery.
     pub discovery: Discovery,
-    /// Hosts.
+    /// The counters and silent zones of the simulated hosts.
     pub hosts: Arc<Hosts>,
     /// The state that simulated directors share.
     pub shared: Arc<director::SharedState>,
-    /// Simulated directors.
+    /// Controls of each simulated director, in the order of their numbers.
     pub simulated: Vec<DirectorControls>,
-    /// Real directors.
+    /// The real directors, in the order of their numbers.
     pub real: Vec<MeasuredDirector>,
-    /// The hosts that are leaving.
+    /// The hosts that are leaving, and the delays until proxies of real directors stop using them.
     pub departures: Arc<Departures>,
+    /// The tables of each proxy of real directors.
     tables: Vec<Arc<Mutex<ProxyTables>>>,
     tasks: JoinSet<Result<(), SimulationError>>,
 }
 
 impl Fleet {
-    /// Sets up hosts and discovery. Real directors will have so long to answer after a start.
+    /// Starts the hosts and discovery. Each start of a real director has to succeed within the given time.
     pub async fn set_up(plan: &Plan, ready_within: Duration) -> Result<Fleet, FleetError> {
         let (fleet_size, addresses, mut tasks) =
             (plan.fleet_size, Addresses::of_this_process(), JoinSet::new());
@@ -135,7 +137,8 @@
         })
     }
 
-    /// Starts all directors, and their clients once the real ones answer.
+    /// Starts all directors, then the clients of each real director as soon as that director answers, then
+    /// the clients of the simulated directors.
     pub async fn start(&mut self, program: &Path) -> Result<(), FleetError> {
         for director in 0..self.fleet_size.real_directors {
             self.start_real(program, director).await?;
@@ -155,7 +158,7 @@
         Ok(())
     }
 
-    /// Fails if any part has ended.
+    /// Fails if a real director or the task of a simulated component has ended.
     pub fn ensure_running(&mut self) -> Result<(), FleetError> {
         self.real.iter_mut().try_for_each(|real| real.process.ensure_running())?;
         match self.tasks.try_join_next() {
@@ -167,12 +170,12 @@
         }
     }
 
-    /// The most descriptors that this process has held when it was measured.
+    /// Returns the highest number of descriptors that this process held at any measurement.
     pub fn own_peak_descriptors(&self) -> usize {
         self.own_peak_descriptors
     }
 
-    /// Measures all real directors and this process.
+    /// Measures the resource usage of all real directors and of this process.
     pub fn measure(&mut self) -> Result<(), FleetError> {
         let own = process_usage::measure(std::process::id()).map_err(RealDirectorError::from)?;
         self.own_peak_descriptors = self.own_peak_descriptors.max(own.descriptors);
@@ -182,28 +185,31 @@
         Ok(())
     }
 
-    /// Restarts directors: all the simulated ones at once, then the real ones.
-    pub async fn restart(&mut self, selects: fn(usize) -> bool) -> Result<(), FleetError> {
+    /// Restarts the directors that `is_selected` accepts: all simulated ones at once, then the real ones one
+    /// after another.
+    pub async fn restart(&mut self, is_selected: fn(usize) -> bool) -> Result<(), FleetError> {
         let first_simulated = self.fleet_size.real_directors;
-        let simulated = self.simulated.iter().enumerate().filter(|(at, _)| selects(first_simulated + at));
-        simulated.for_each(|(_, controls)| controls.starts.send_modify(|starts| *starts += 1));
-        for director in (0..first_simulated).filter(|director| selects(*director)) {
-            self.discovery.reset_delivered_version(director);
+        let simulated =
+            self.simulated.iter().enumerate().filter(|(index, _)| is_selected(first_simulated + index));
+        simulated.for_each(|(_, controls)| controls.restarts.send_modify(|restarts| *restarts += 1));
+        for director in (0..first_simulated).filter(|director| is_selected(*director)) {
+            self.discovery.reset_written_version(director);
             self.real[director].process.restart().await?;
         }
-        for director in (0..first_simulated).filter(|director| selects(*director)) {
+        for director in (0..first_simulated).filter(|director| is_selected(*director)) {
             self.real[director].process.wait_until_ready(self.ready_within).await?;
         }
         Ok(())
     }
 
-    /// Cuts the directors of the region off from discovery, or lets them through again.
+    /// Cuts the directors of the region off from discovery, or restores their connectivity.
     pub fn cut_region(&self, cut: bool) {
         let region = (0..self.fleet_size.directors).filter(|director| is_in_region(*director));
         region.for_each(|director| self.discovery.set_cut(director, cut));
     }
 
-    /// Moves discovery: every director gets a new address of it.
+    /// Moves discovery: discovery listens at a new address for every director, and the directors are given
+    /// that address.
     pub async fn move_discovery(&mut self) -> Result<(), FleetError> {
         let now = Instant::now();
         for director in 0..self.fleet_size.directors {
@@ -222,17 +228,18 @@
         Ok(())
     }
 
-    /// Returns the directors that do not hold the current version of the list.
+    /// Returns the directors that do not hold the current version of the list. A real director counts as
+    /// holding a version once discovery has written it to that director.
     pub fn directors_behind(&self) -> Vec<usize> {
         let version = self.discovery.version();
-        let holds = |director: usize| match director.checked_sub(self.fleet_size.real_directors) {
+        let held_version = |director: usize| match director.checked_sub(self.fleet_size.real_directors) {
             Some(simulated) => self.simulated[simulated].version.load(Ordering::Relaxed),
             None => self.discovery.written_version(director),
         };
-        (0..self.fleet_size.directors).filter(|director| holds(*director) < version).collect()
+        (0..self.fleet_size.directors).filter(|director| held_version(*director) < version).collect()
     }
 
-    /// Returns how many times these hosts are used by proxies of real directors.
+    /// Returns the number of pairs of one of these hosts and a proxy of a real director that uses the host.
     pub fn uses_of(&self, hosts: &[usize]) -> usize {
         let uses = |tables: &Arc<Mutex<ProxyTables>>| {
             let tables = tables.lock().unwrap_or_else(PoisonError::into_inner);
@@ -241,7 +248,7 @@
         self.tables.iter().map(uses).sum()
     }
 
-    /// Returns how many proxies of real directors hold tables.
+    /// Returns how many proxies of real directors hold a table with a usable host.
     pub fn proxies_with_tables(&self) -> usize {
         let has_table = |tables: &&Arc<Mutex<ProxyTables>>| {
             !tables.lock().unwrap_or_else(PoisonError::into_inner).is_empty()
@@ -249,23 +256,25 @@
         self.tables.iter().filter(has_table).count()
     }
 
-    /// Returns whether the send queues of all real directors are nearly empty.
+    /// Returns whether the send queues of all real directors are idle, that is, nearly empty.
     pub fn send_queues_are_idle(&self) -> bool {
         self.real.iter().all(|real| real.clients.send_queue.backlog() < MAX_IDLE_BACKLOG)
     }
 
-    /// Returns how many proxies real directors have.
+    /// Returns the number of proxies of all real directors.
     pub fn proxy_count(&self) -> usize {
         self.tables.len()
     }
 
-    /// Returns the sum of what passed between discovery and these directors.
-    pub fn discovery_traffic(&self, of: impl Iterator<Item = usize>) -> TrafficCount {
-        of.map(|director| self.discovery.traffic(director).count())
+    /// Returns the sum of the traffic between discovery and these directors.
+    pub fn discovery_traffic(&self, directors: impl Iterator<Item = usize>) -> TrafficCount {
+        directors
+            .map(|director| self.discovery.traffic(director).count())
             .fold(TrafficCount::default(), TrafficCount::plus)
     }
 
-    /// Stops everything that was started, even if something fails to stop.
+    /// Stops all tasks and all real directors, and returns the first error. An error does not keep the other
+    /// directors from being stopped.
     pub async fn stop(mut self) -> Result<(), FleetError> {
         self.tasks.shutdown().await;
         let mut stopped = Ok(());
@@ -291,13 +300,13 @@
     }
 
     async fn start_simulated(&mut self, director: usize) -> Result<SocketAddr, FleetError> {
-        let at = self.addresses.director(director);
+        let ip = self.addresses.director(director);
         let discovery = self.start_discovery_listener(director, None).await?;
-        let listener = TcpListener::bind((at, 0)).await?;
+        let listener = TcpListener::bind((ip, 0)).await?;
         let address = listener.local_addr()?;
-        let (part, controls) =
-            SimulatedDirector::new(director, at, discovery, self.shared.clone(), self.seed);
-        self.tasks.spawn(part.run(listener));
+        let (simulated, controls) =
+            SimulatedDirector::new(director, ip, discovery, self.shared.clone(), self.seed);
+        self.tasks.spawn(simulated.run(listener));
         self.simulated.push(controls);
         Ok(address)
     }
@@ -305,18 +314,18 @@
     async fn start_discovery_listener(
         &mut self,
         director: usize,
-        moved: Option<Instant>,
+        moved_at: Option<Instant>,
     ) -> Result<SocketAddr, FleetError> {
-        let at = self.addresses.director(director);
-        let (address, serving) = self.discovery.listen(at, director, moved).await?;
-        let part = format!("discovery of director {director}");
+        let ip = self.addresses.director(director);
+        let (address, serving) = self.discovery.listen(ip, director, moved_at).await?;
+        let component = format!("discovery of director {director}");
         self.tasks.spawn(async move {
-            serving.await.map_err(|problem| SimulationError::Listener { part, problem })
+            serving.await.map_err(|problem| SimulationError::Listener { component, problem })
         });
         Ok(address)
     }
 
-    /// Starts all clients of a real director.
+    /// Starts the clients of a real director: a collector of each zone, and its proxies.
     fn connect_clients_of_real(&mut self, director: usize) {
         let real = &self.real[director];
         let (address, send_queue) = (real.process.listen, real.clients.send_queue.clone());
@@ -325,15 +334,16 @@
             let collector = self.new_collector(address, zone, collectors.clone());
             self.tasks.spawn(collector.run());
         }
-        for place in 0..self.fleet_size.proxies_per_director {
-            let mut proxy = self.new_proxy(director, address, place, &send_queue);
+        for index in 0..self.fleet_size.proxies_per_director {
+            let mut proxy = self.new_proxy(director, address, index, &send_queue);
             (proxy.traffic, proxy.departures) = (proxies.clone(), Some(self.departures.clone()));
             self.tables.push(proxy.tables.clone());
             self.tasks.spawn(proxy.run());
         }
     }
 
-    /// Starts the clients of a simulated director: all of them for the first one, a few for each other.
+    /// Starts the clients of a simulated director. The first one, the reference director, has as many as a
+    /// real director; the others have one proxy and one collector each, to save descriptors.
     fn connect_clients_of_simulated(&mut self, director: usize, address: SocketAddr) {
         let is_reference = director == self.fleet_size.real_directors;
         let (collectors, proxies) = match is_reference {
@@ -345,8 +355,8 @@
             self.tasks.spawn(collector.run());
         }
         let send_queue = self.new_send_queue();
-        for place in 0..proxies {
-            let proxy = self.new_proxy(director, address, place, &send_queue);
+        for index in 0..proxies {
+            let proxy = self.new_proxy(director, address, index, &send_queue);
             self.tasks.spawn(proxy.run());
         }
     }
@@ -369,15 +379,16 @@
         Arc::new(SendQueue::new(drain_rate_per_s(&self.fleet_size)))
     }
 
-    /// Creates a proxy of a director. Its traffic and tables are not shared with anyone yet.
+    /// Creates a proxy of a director. The proxy gets traffic counters and tables of its own, and records no
+    /// departures.
     fn new_proxy(
         &self,
         director: usize,
         address: SocketAddr,
-        place: usize,
+        index: usize,
         send_queue: &Arc<SendQueue>,
     ) -> Proxy {
-        let number = proxy_number(&self.fleet_size, director, place);
+        let number = proxy_number(&self.fleet_size, director, index);
         let zone = proxy_zone(&self.fleet_size, number);
         Proxy {
             number,
@@ -393,13 +404,15 @@
 }
 
 impl Drop for Fleet {
-    /// Removes the files. Processes that [`Fleet::stop`] did not reach are killed by their handles.
+    /// Removes the files of the run. Processes that [`Fleet::stop`] has not stopped are killed when their
+    /// handles drop.
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-/// Creates a directory for the files of one run.
+/// Creates a directory for the files of one run, with a name that no other run of this machine uses at the
+/// same time.
 fn create_run_directory() -> io::Result<PathBuf> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (process, run) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -408,17 +421,18 @@
     Ok(directory)
 }
 
+/// Starts all hosts and returns their addresses, in the order of their numbers.
 async fn start_hosts(
     fleet_size: &FleetSize,
     addresses: &Addresses,
     hosts: &Arc<Hosts>,
     tasks: &mut JoinSet<Result<(), SimulationError>>,
 ) -> io::Result<Vec<SocketAddr>> {
-    let mut listening = Vec::new();
+    let mut host_addresses = Vec::new();
     for number in 0..fleet_size.hosts {
         let host = Host::listen(addresses.host(number), number, fleet_size, hosts.clone()).await?;
-        listening.push(host.address()?);
+        host_addresses.push(host.address()?);
         tasks.spawn(host.run());
     }
-    Ok(listening)
+    Ok(host_addresses)
 }
--- a/crates/wingfold-scale/src/http.rs
+++ b/crates/wingfold-scale/src/http.rs
@@ -1,4 +1,5 @@
-//! The HTTP/1.1 that discovery and hosts speak: requests without a body, responses with a length.
+//! The subset of HTTP/1.1 that discovery, hosts and simulated directors use: requests without a body, and
+//! responses with a content length.
 
 use std::io;
 use std::time::Duration;
@@ -7,35 +8,35 @@
 use tokio::net::TcpStream;
 use wingfold_test_support::http;
 
-/// The longest line of a header that is read.
+/// Limit on the length of a line of a request or a response header; a longer line is an error.
 const MAX_LINE_BYTES: u64 = 8 << 10;
 
-/// A request as it arrived.
+/// A received request.
 #[derive(Debug)]
 pub struct Request {
     /// The request target: path and query.
     pub target: String,
-    /// The size of the request in bytes.
+    /// The size of the request, in bytes.
     pub bytes: u64,
 }
 
 impl Request {
-    /// Returns the number that a key has in the query, if it has one.
+    /// Returns the value of a key in the query, if it is a number.
     pub fn query_number(&self, key: &str) -> Option<u64> {
         http::query_number(&self.target, key)
     }
 }
 
-/// A response as it arrived.
+/// A received response.
 #[derive(Debug)]
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
-/// A connection, of the client or the server.
+/// One end of a connection, on the side of the client or of the server.
 #[derive(Debug)]
 pub struct Connection {
     reader: BufReader<OwnedReadHalf>,
@@ -45,13 +46,13 @@
 impl Connection {
     /// Wraps an established connection.
     pub fn new(stream: TcpStream) -> Connection {
-        // Without the option the connection is slower, but works.
+        // If the option cannot be set, the connection works with higher latency.
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.into_split();
         Connection { reader: BufReader::new(reader), writer }
     }
 
-    /// Reads the next request; `None` once the other end has closed.
+    /// Reads the next request; returns `None` if the client has closed the connection between two requests.
     pub async fn read_request(&mut self) -> io::Result<Option<Request>> {
         let Some(first) = self.read_line().await? else { return Ok(None) };
         let target = first.split(' ').nth(1).ok_or(io::ErrorKind::InvalidData)?.to_string();
@@ -65,43 +66,44 @@
         }
     }
 
-    /// Writes a response; returns its size in bytes.
+    /// Writes a response and returns the size of the response in bytes.
     pub async fn write_response(&mut self, status: &str, body: &str) -> io::Result<u64> {
         let bytes = http::encode_response(status, body);
         self.writer.write_all(&bytes).await?;
         Ok(bytes.len() as u64)
     }
 
-    /// Sends a GET request and reads its response.
+    /// Sends a GET request and reads the response.
     pub async fn get(&mut self, target: &str, host: &str) -> io::Result<Response> {
         let request = format!("GET {target} HTTP/1.1\r\nhost: {host}\r\n\r\n");
         self.writer.write_all(request.as_bytes()).await?;
         let first = self.read_line().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
         let status = first.split(' ').nth(1).and_then(|status| status.parse().ok());
         let status = status.ok_or(io::ErrorKind::InvalidData)?;
-        let mut body = vec![0; self.content_length().await?];
+        let mut body = vec![0; self.read_content_length().await?];
         self.reader.read_exact(&mut body).await?;
         Ok(Response { status, body })
     }
 
-    /// Waits until the other end closes, or sends something, which stays to be read.
+    /// Waits until the peer closes the connection or sends data. The data is not consumed.
     pub async fn wait_until_closed(&mut self) {
         let _ = self.reader.fill_buf().await;
     }
 
-    /// Discards what arrives until the other end closes.
+    /// Reads and discards data until the peer closes the connection.
     pub async fn discard_until_closed(&mut self) {
         let _ = tokio::io::copy(&mut self.reader, &mut tokio::io::sink()).await;
     }
 
-    /// Resets the connection, so that its address is free at once.
+    /// Closes the connection with a reset, so that its port is free at once.
     pub fn reset(self) {
         if let Ok(stream) = self.reader.into_inner().reunite(self.writer) {
             let _ = stream.set_zero_linger();
         }
     }
 
-    async fn content_length(&mut self) -> io::Result<usize> {
+    /// Reads the rest of a response header and returns the content length; 0 if the header has none.
+    async fn read_content_length(&mut self) -> io::Result<usize> {
         let mut length = 0;
         loop {
             let line = self.read_line().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Reads a line with its end; `None` at the end of the connection.
+    /// Reads a line, its CRLF included; returns `None` at the end of the connection.
     async fn read_line(&mut self) -> io::Result<Option<String>> {
         let mut line = String::new();
         let read = (&mut self.reader).take(MAX_LINE_BYTES).read_line(&mut line).await?;
@@ -126,11 +128,11 @@
     }
 }
 
-/// Connects within a time.
-pub async fn connect_within(
+/// Connects a socket; fails with `TimedOut` at the timeout.
+pub async fn connect_with_timeout(
     socket: tokio::net::TcpSocket,
     to: std::net::SocketAddr,
-    within: Duration,
+    timeout: Duration,
 ) -> io::Result<TcpStream> {
-    tokio::time::timeout(within, socket.connect(to)).await.unwrap_or(Err(io::ErrorKind::TimedOut.into()))
+    tokio::time::timeout(timeout, socket.connect(to)).await.unwrap_or(Err(io::ErrorKind::TimedOut.into()))
 }
--- a/crates/wingfold-scale/src/messages.rs
+++ b/crates/wingfold-scale/src/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between a director and its clients, as the clients write and read them.
+//! The messages between a director and its clients, in the form that the clients write and read.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
@@ -10,17 +10,17 @@
 #[derive(Debug, Serialize)]
 #[serde(tag = "type")]
 pub enum ClientMessage<'a> {
-    /// Asks for a [`DirectorMessage::Pong`].
+    /// Asks the director for a [`DirectorMessage::Pong`].
     #[serde(rename = "PING")]
     Ping,
-    /// A collector names its zone.
+    /// The first message of a collector, with its zone.
     #[serde(rename = "SOURCE")]
     CollectorHello {
         /// The zone.
         #[serde(rename = "site")]
         zone: &'a str,
     },
-    /// What the proxies of a zone saw of a host.
+    /// A load report: the attempts of a zone's proxies at one host in a period.
     #[serde(rename = "LOAD")]
     LoadReport {
         /// The zone.
@@ -42,7 +42,7 @@
         #[serde(rename = "over")]
         period_ms: f64,
     },
-    /// A proxy joins.
+    /// The first message of a proxy, with which it joins the director.
     #[serde(rename = "SUBSCRIBE")]
     ProxyHello {
         /// The proxy's number.
@@ -51,14 +51,14 @@
         /// The proxy's zone.
         #[serde(rename = "site")]
         zone: &'a str,
-        /// Requests that reach the proxy.
+        /// Requests per second that reach the proxy.
         #[serde(rename = "rps")]
         requests_per_s: f64,
-        /// Whether the proxy holds no table.
+        /// Whether the proxy joins for the first time and holds no table.
         #[serde(rename = "new")]
         is_new: bool,
     },
-    /// A proxy has applied everything up to a barrier.
+    /// The acknowledgement of a proxy that it has applied all updates up to a barrier.
     #[serde(rename = "ACK")]
     Acknowledgement {
         /// The proxy's number.
@@ -67,11 +67,11 @@
         /// The barrier.
         #[serde(rename = "seq")]
         barrier: u64,
-        /// How long that took.
+        /// Time from the receipt of the barrier until its update was applied.
         #[serde(rename = "ms")]
         elapsed_ms: f64,
     },
-    /// The requests of one class that reached a proxy.
+    /// A usage report: the requests of one class that reached a proxy in a period.
     #[serde(rename = "RATE")]
     UsageReport {
         /// The proxy's number.
@@ -108,13 +108,13 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct ProxyUpdatePart<'a> {
-    /// The classes whose tables change; all of them if none is named.
+    /// The classes whose tables change; an empty list stands for all classes.
     #[serde(borrow)]
     pub classes: Vec<Cow<'a, str>>,
-    /// The entries are the complete table.
+    /// Whether the entries replace the complete tables instead of changing them.
     #[serde(rename = "whole")]
     pub complete: bool,
-    /// Hosts and their weights.
+    /// Hosts and their weights; a weight of 0 removes the host.
     #[serde(rename = "lines", borrow)]
     pub entries: Vec<(Cow<'a, str>, f64)>,
     /// Hosts to eject.
@@ -123,13 +123,14 @@
     /// Hosts whose ejection ends.
     #[serde(rename = "back", borrow)]
     pub restored: Vec<Cow<'a, str>>,
-    /// The admission level of the classes; a simulated proxy only counts it.
+    /// The admission level of the classes. A simulated proxy does not apply it; the level only counts as a
+    /// line.
     #[serde(rename = "level")]
     pub admission_level: Option<f64>,
     /// A barrier that the proxy acknowledges.
     #[serde(rename = "ticket")]
     pub barrier: Option<u64>,
-    /// A further part of the same update follows.
+    /// Whether a further part of the same update follows.
     #[serde(rename = "more")]
     pub has_more: bool,
 }
@@ -144,10 +145,10 @@
     }
 }
 
-/// No frame of the protocol is longer.
+/// Limit on the length of a frame's body in the protocol; a longer one is an error.
 const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// Appends a message as a frame.
+/// Appends a message, encoded as a frame, to a buffer.
 pub fn append_frame(buffer: &mut Vec<u8>, message: &ClientMessage) {
     let body = serde_json::to_vec(message).expect("a message is plain JSON");
     frame::append(buffer, &body);
@@ -160,7 +161,7 @@
     bytes
 }
 
-/// Reads the next frame's body.
+/// Reads the body of the next frame.
 pub async fn read_frame(from: &mut (impl AsyncRead + Unpin), body: &mut Vec<u8>) -> io::Result<()> {
     let mut header = [0; frame::HEADER_BYTES];
     from.read_exact(&mut header).await?;
--- a/crates/wingfold-scale/src/real_director.rs
+++ b/crates/wingfold-scale/src/real_director.rs
@@ -1,4 +1,4 @@
-//! Real directors: processes that are started, watched and ended by their ids.
+//! Real directors: starts, measures, reloads, restarts and stops their processes, each by its process id.
 
 use crate::messages::{encode_frame, read_frame, ClientMessage, DirectorMessage};
 use crate::process_usage::{self, MeasureError, Usage};
@@ -13,88 +13,89 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Pause between two attempts to ping it.
+/// Pause between two pings of a director that is not ready.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between SIGTERM and SIGKILL.
 const TERMINATION_GRACE_PERIOD: Duration = Duration::from_millis(700);
-/// Time for the answer to a ping.
+/// Timeout of one ping, its connection attempt included.
 const PING_TIMEOUT: Duration = Duration::from_secs(1);
-/// How many of its last log lines an error shows.
+/// The number of last log lines that an error shows.
 const LOG_LINES_SHOWN: usize = 3;
 
-/// What went wrong with a real director.
+/// Why an operation on a real director failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RealDirectorError {
-    /// The program cannot be started.
+    /// The executable cannot be started.
     #[error("{name}: {} cannot be started: {problem}", program.display())]
     Start {
         /// The director.
         name: String,
-        /// The program.
+        /// The executable.
         program: PathBuf,
-        /// Why not.
+        /// Why the start failed.
         problem: io::Error,
     },
-    /// A file of it cannot be written.
-    #[error("{name}: {}: {problem}", path.display())]
+    /// A file of the director cannot be opened, written or replaced.
+    #[error("{name}: {} cannot be written: {problem}", path.display())]
     File {
         /// The director.
         name: String,
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// Why writing failed.
         problem: io::Error,
     },
-    /// It ended by itself.
-    #[error("{name} has ended ({status}); its log ends with: {log}")]
+    /// The process has ended unexpectedly.
+    #[error("{name} has ended unexpectedly ({status}); its log ends with: {log}")]
     Ended {
         /// The director.
         name: String,
-        /// How.
+        /// The exit status.
         status: ExitStatus,
-        /// Its last lines.
+        /// The last lines of the director's log.
         log: String,
     },
-    /// It does not answer.
+    /// The director did not answer a ping in time.
     #[error("{name} was not ready within {} s; its log ends with: {log}", within.as_secs())]
     NotReady {
-        /// The time for that.
+        /// The timeout.
         within: Duration,
         /// The director.
         name: String,
-        /// Its last lines.
+        /// The last lines of the director's log.
         log: String,
     },
-    /// The system does not say how it goes on.
-    #[error("{name}: {problem}")]
-    Unknown {
+    /// The state of the process cannot be read, or the process cannot be waited for.
+    #[error("{name}: the state of the process cannot be read: {problem}")]
+    Wait {
         /// The director.
         name: String,
-        /// Why not.
+        /// Why the system call failed.
         problem: io::Error,
     },
-    /// Its resource usage cannot be read.
+    /// The resource usage of the process cannot be measured.
     #[error(transparent)]
     Measure(#[from] MeasureError),
 }
 
-/// A real director: its files and its process.
+/// A real director with its files and its current process.
 #[derive(Debug)]
 pub struct RealDirector {
     name: String,
     program: PathBuf,
-    /// Where it listens.
+    /// The address at which the director accepts clients.
     pub listen: SocketAddr,
     config: PathBuf,
     log: PathBuf,
     child: Child,
-    /// The usage of its processes before this one.
+    /// Usage of the director's earlier processes, before its last restart.
     previous: Usage,
-    peak: Usage,
+    /// Usage at the last measurement, over all processes of the director.
+    total: Usage,
 }
 
 impl RealDirector {
-    /// Starts a director in a directory for its files.
+    /// Starts a director whose configuration and log are written to this directory.
     pub async fn start(
         program: &Path,
         directory: &Path,
@@ -106,16 +107,17 @@
         write(&name, &config, configuration)?;
         write(&name, &log, "")?;
         let child = spawn(&name, program, &config, &log)?;
-        let (previous, peak) = (Usage::default(), Usage::default());
-        Ok(RealDirector { name, program: program.into(), listen, config, log, child, previous, peak })
+        let (previous, total) = (Usage::default(), Usage::default());
+        Ok(RealDirector { name, program: program.into(), listen, config, log, child, previous, total })
     }
 
-    /// Its process.
+    /// Returns the process id, or `None` once the process has ended and been waited for.
     pub fn pid(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Waits until it answers a ping; returns how long that took.
+    /// Waits until the director answers a ping, and returns how long that took; fails at the timeout or if
+    /// the process ends.
     pub async fn wait_until_ready(&mut self, within: Duration) -> Result<Duration, RealDirectorError> {
         let begun = Instant::now();
         while !answers_ping(self.listen).await {
@@ -124,7 +126,7 @@
                 return Err(RealDirectorError::NotReady {
                     within,
                     name: self.name.clone(),
-                    log: self.last_lines(),
+                    log: self.log_tail(),
                 });
             }
             sleep(POLL_INTERVAL).await;
@@ -132,30 +134,31 @@
         Ok(begun.elapsed())
     }
 
-    /// Fails if its process has ended.
+    /// Fails if the process has ended.
     pub fn ensure_running(&mut self) -> Result<(), RealDirectorError> {
-        let problem = |problem| RealDirectorError::Unknown { name: self.name.clone(), problem };
+        let problem = |problem| RealDirectorError::Wait { name: self.name.clone(), problem };
         match self.child.try_wait().map_err(problem)? {
             None => Ok(()),
             Some(status) => {
-                Err(RealDirectorError::Ended { name: self.name.clone(), status, log: self.last_lines() })
+                Err(RealDirectorError::Ended { name: self.name.clone(), status, log: self.log_tail() })
             }
         }
     }
 
-    /// Measures its process. Sums and peaks cover all its processes so far.
+    /// Measures the resource usage of the director: the sum of the CPU time over all its processes so far,
+    /// and the peaks of its memory and descriptors.
     pub fn measure(&mut self) -> Result<Usage, RealDirectorError> {
-        let Some(pid) = self.pid() else { return Ok(self.peak) };
-        let now = process_usage::measure(pid)?;
-        self.peak = Usage {
-            processor_s: self.previous.processor_s + now.processor_s,
-            peak_memory_kib: self.peak.peak_memory_kib.max(now.peak_memory_kib),
-            descriptors: self.peak.descriptors.max(now.descriptors),
+        let Some(pid) = self.pid() else { return Ok(self.total) };
+        let current = process_usage::measure(pid)?;
+        self.total = Usage {
+            processor_s: self.previous.processor_s + current.processor_s,
+            peak_memory_kib: self.total.peak_memory_kib.max(current.peak_memory_kib),
+            descriptors: self.total.descriptors.max(current.descriptors),
         };
-        Ok(self.peak)
+        Ok(self.total)
     }
 
-    /// Replaces its configuration and has it read the new one.
+    /// Replaces the configuration file, then sends SIGHUP so that the director reads the new one.
     pub fn reload(&self, configuration: &str) -> Result<(), RealDirectorError> {
         let new = self.config.with_extension("new");
         write(&self.name, &new, configuration)?;
@@ -168,34 +171,35 @@
         Ok(())
     }
 
-    /// Stops its process and starts a new one.
+    /// Stops the process and starts a new one with the same files.
     pub async fn restart(&mut self) -> Result<(), RealDirectorError> {
         self.measure()?;
-        self.previous = self.peak;
+        self.previous = self.total;
         self.stop().await?;
         self.child = spawn(&self.name, &self.program, &self.config, &self.log)?;
         Ok(())
     }
 
-    /// Stops it with SIGTERM, or with SIGKILL after the grace period, and waits for its end.
+    /// Stops the process with SIGTERM, or with SIGKILL after the grace period, and waits for its end.
     pub async fn stop(&mut self) -> Result<(), RealDirectorError> {
         self.signal(Signal::TERM);
-        let ended = timeout(TERMINATION_GRACE_PERIOD, self.child.wait()).await;
-        let status = match ended {
+        let exited = timeout(TERMINATION_GRACE_PERIOD, self.child.wait()).await;
+        let status = match exited {
             Ok(status) => status.map(drop),
             Err(_) => self.child.kill().await,
         };
-        status.map_err(|problem| RealDirectorError::Unknown { name: self.name.clone(), problem })
+        status.map_err(|problem| RealDirectorError::Wait { name: self.name.clone(), problem })
     }
 
-    /// Sends a signal to its process, if it has one that was not waited for.
+    /// Sends a signal to the process unless the process has ended and been waited for.
     fn signal(&self, signal: Signal) {
         let pid = self.child.id().and_then(|id| Pid::from_raw(id as i32));
-        // A process that has just ended is waited for like others.
+        // Sending fails only if the process has just ended; the caller then waits for it or finds it ended.
         let _ = pid.map(|pid| kill_process(pid, signal));
     }
 
-    fn last_lines(&self) -> String {
+    /// Returns the last lines of the log, joined in one line.
+    fn log_tail(&self) -> String {
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = log.lines().collect();
         lines[lines.len().saturating_sub(LOG_LINES_SHOWN)..].join(" | ")
@@ -224,7 +228,7 @@
 
 /// Returns whether a director answers a ping.
 async fn answers_ping(listen: SocketAddr) -> bool {
-    let asked = async {
+    let ping = async {
         let mut stream = TcpStream::connect(listen).await?;
         stream.write_all(&encode_frame(&ClientMessage::Ping)).await?;
         let mut body = Vec::new();
@@ -232,5 +236,5 @@
         let pong = matches!(serde_json::from_slice(&body), Ok(DirectorMessage::Pong));
         Ok::<bool, io::Error>(pong)
     };
-    timeout(PING_TIMEOUT, asked).await.is_ok_and(|answer| answer.unwrap_or(false))
+    timeout(PING_TIMEOUT, ping).await.is_ok_and(|answer| answer.unwrap_or(false))
 }
--- a/crates/wingfold-scale/src/script.rs
+++ b/crates/wingfold-scale/src/script.rs
@@ -145,13 +145,13 @@
         let mut changes = Vec::new();
         if let Some(host) = self.departure_order.pop_front() {
             self.leaving.push_back(host);
-            fleet.departures.host_leaves(host);
+            fleet.departures.record_departure(host);
             changes.push(HostChange { host, state: HostState::Leaving, started_ms: 0 });
         }
         let host_returns = self.leaving.len() > CHANGES_UNTIL_RETURN || changes.is_empty();
         let returning = if host_returns { self.leaving.pop_front() } else { None };
         if let Some(host) = returning {
-            fleet.departures.host_returns(host);
+            fleet.departures.record_return(host);
             self.departure_order.push_back(host);
             changes.push(HostChange { host, state: HostState::Active, started_ms: unix_ms() });
         }
--- a/crates/wingfold-scale/src/simulated/collector.rs
+++ b/crates/wingfold-scale/src/simulated/collector.rs
@@ -1,4 +1,4 @@
-//! Simulated collectors: each names its zone and sends the load reports of the zone's proxies.
+//! Simulated collectors: each announces its zone and sends the load reports of the zone's proxies.
 
 use super::{connect_to_director, SimulationError};
 use crate::counters::Traffic;
@@ -13,33 +13,35 @@
 use tokio::sync::watch;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// How often load reports that are due are written.
+/// Time between two writes of the load reports that are due.
 const WRITE_INTERVAL: Duration = Duration::from_millis(250);
-/// The least mean latency of a host, and the range of hosts' mean latencies above it.
+/// The lowest mean latency of a host.
 const MIN_LATENCY_MS: usize = 20;
+/// The mean latencies of the hosts are spread over this range above the lowest one.
 const LATENCY_RANGE_MS: usize = 10;
 
-/// One collector.
+/// A simulated collector of one zone at one director.
 #[derive(Debug)]
 pub struct Collector {
-    /// Its zone.
+    /// The collector's zone.
     pub zone: usize,
-    /// Its director.
+    /// The address of the collector's director.
     pub director: SocketAddr,
-    /// Counts what it writes; those of one director share it.
+    /// Counts the load reports and bytes sent; all collectors of one director share these counters.
     pub traffic: Arc<Traffic>,
-    /// Hosts in the list.
+    /// The number of hosts in the list.
     pub hosts: usize,
-    /// Load reports a second.
+    /// Load reports sent per second.
     pub reports_per_s: f64,
-    /// Requests a second that the zone's proxies at this director send to one host.
+    /// Requests per second that the zone's proxies of this director send to one host.
     pub requests_per_host: f64,
-    /// Whether its zone is silent.
+    /// Whether the collector's zone is silent.
     pub silent: watch::Receiver<bool>,
 }
 
 impl Collector {
-    /// Connects, and connects again whenever the connection breaks.
+    /// Connects to the director, and reconnects whenever the connection breaks; fails if the director accepts
+    /// no connection for too long.
     pub async fn run(mut self) -> Result<(), SimulationError> {
         let mut next_host = 0;
         loop {
@@ -49,8 +51,8 @@
                 ended = self.write(&mut stream, &mut next_host) => ended,
                 _ = silent.wait_for(|silent| *silent) => Ok(()),
             };
-            tracing::debug!(zone = self.zone, ended = ?ended.err(), "collector's connection ended");
-            // In a silent zone the connection stays open and idle; afterwards the collector connects again.
+            tracing::debug!(zone = self.zone, ended = ?ended.err(), "connection of a collector ended");
+            // While the zone is silent, the connection stays open and idle; then the collector reconnects.
             let _ = self.silent.wait_for(|silent| !*silent).await;
             drop(stream);
         }
@@ -60,7 +62,7 @@
         format!("collector of {}", zone_name(self.zone))
     }
 
-    /// Names the zone, then writes load reports host by host, until the connection breaks.
+    /// Announces the zone, then sends load reports until the connection breaks, one host after another.
     async fn write(&self, stream: &mut TcpStream, next_host: &mut usize) -> io::Result<()> {
         let zone = zone_name(self.zone);
         self.send(stream, &encode_frame(&ClientMessage::CollectorHello { zone: &zone })).await?;
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Appends what the zone saw of a host since its last report.
+    /// Appends the zone's load report of a host for the time since the previous report of the same host.
     fn append_load_report(&self, buffer: &mut Vec<u8>, zone: &str, host: usize) {
         let period_s = self.hosts as f64 / self.reports_per_s;
         let attempts = (self.requests_per_host * period_s).round().max(1.0) as u64;
--- a/crates/wingfold-scale/src/simulated/director.rs
+++ b/crates/wingfold-scale/src/simulated/director.rs
@@ -1,11 +1,11 @@
-//! Simulated directors: they watch discovery, request complete lists, check hosts and accept clients as real
-//! ones do.
+//! Simulated directors: they request the complete list, watch discovery for changes, check hosts and accept
+//! clients at the rates of real directors.
 
 use super::SimulationError;
 use crate::delays::Delays;
 use crate::deployment::{CONNECT_TIMEOUT, HEALTH_CHECK_TIMEOUT, POLL_DEADLINE};
 use crate::discovery::Discovery;
-use crate::http::{connect_within, Connection};
+use crate::http::{connect_with_timeout, Connection};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::io;
@@ -20,48 +20,52 @@
 
 /// Time between two rounds of health checks.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Up to so many directors check every host in a round; more of them check a part of the hosts each.
+/// Every host is checked by this many directors in each round, on average. If the fleet has more directors,
+/// each checks a random part of the hosts.
 const FULL_CHECK_DIRECTORS: f64 = 2.0;
-/// Hosts that a director checks in a round at least, on average.
+/// Lower limit of the hosts that one director checks in a round, on average.
 const MIN_HOSTS_PER_ROUND: f64 = 16.0;
 /// How long a watch waits for a change.
 const WATCH_WAIT: Duration = Duration::from_millis(POLL_DEADLINE.as_millis() as u64 / 2);
-/// Time for a response beyond the wait of the call itself.
+/// Timeout of a response, in addition to the wait that the request asks for; also the timeout of connecting.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The first backoff after a failed call; it doubles with each failure in a row.
+/// Base of the backoff, which doubles with each consecutive failure, the first one included.
 const INITIAL_BACKOFF_S: f64 = 0.25;
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
-/// From so many directors on the longest backoff grows with their number, by a factor up to the maximum.
+/// In fleets with more than this number of directors, the longest backoff grows in proportion to the number.
 const BACKOFF_SCALE_DIRECTORS: f64 = 10.0;
+/// Upper limit of the factor by which the longest backoff grows with the number of directors.
 const MAX_BACKOFF_SCALE: f64 = 4.0;
-/// How long a restart takes.
+/// Time between the end of a director and its next start in a restart.
 const RESTART_DURATION: Duration = Duration::from_millis(300);
 
 /// The state that all simulated directors share.
 #[derive(Debug)]
 pub struct SharedState {
-    /// The discovery of the run; only its clock is read here, all answers come over sockets.
+    /// The discovery of the run, from which directors read only when each version was published. All
+    /// responses come over sockets.
     pub discovery: Discovery,
-    /// The hosts' addresses.
+    /// The addresses of the hosts.
     pub hosts: Vec<SocketAddr>,
-    /// All directors, real ones too.
+    /// The number of all directors, real and simulated.
     pub directors: usize,
-    /// Times from a change of the list until a simulated director has it.
+    /// Delays from a change of the list until a simulated director has received it.
     pub list_delays: Delays,
-    /// Times from a start until the first list.
+    /// Delays from the start of a simulated director until it has received its first list.
     pub start_delays: Delays,
-    /// Times from a change of the configuration until the complete list from the new address.
+    /// Delays from a new address of discovery until a simulated director has received the complete list from
+    /// there.
     pub move_delays: Delays,
 }
 
-/// What a run controls of one simulated director, and sees of it.
+/// The handle by which a run controls and observes one simulated director.
 #[derive(Debug)]
 pub struct DirectorControls {
-    /// Its address of discovery.
+    /// The address of discovery for this director.
     pub discovery: watch::Sender<SocketAddr>,
-    /// Its restarts so far.
-    pub starts: watch::Sender<u32>,
-    /// The version of the list that it holds; 0 for none.
+    /// The number of restarts so far; an increase restarts the director.
+    pub restarts: watch::Sender<u32>,
+    /// The version of the list that the director holds; 0 if it holds none.
     pub version: Arc<AtomicU64>,
 }
 
@@ -72,20 +76,20 @@
     moved_at: Option<Instant>,
 }
 
-/// One simulated director.
+/// A simulated director.
 #[derive(Debug)]
 pub struct SimulatedDirector {
     number: usize,
     address: IpAddr,
     shared: Arc<SharedState>,
     discovery: watch::Receiver<SocketAddr>,
-    starts: watch::Receiver<u32>,
+    restarts: watch::Receiver<u32>,
     version: Arc<AtomicU64>,
     random: ChaCha8Rng,
 }
 
 impl SimulatedDirector {
-    /// A simulated director at this address, and what controls it.
+    /// Creates a simulated director with this source address, and the handle that controls it.
     pub fn new(
         number: usize,
         address: IpAddr,
@@ -94,7 +98,7 @@
         seed: u64,
     ) -> (SimulatedDirector, DirectorControls) {
         let (discovery, discovery_receiver) = watch::channel(discovery);
-        let (starts, starts_receiver) = watch::channel(0);
+        let (restarts, restarts_receiver) = watch::channel(0);
         let version = Arc::new(AtomicU64::new(0));
         let random = ChaCha8Rng::seed_from_u64(seed.wrapping_add(number as u64));
         let director = SimulatedDirector {
@@ -102,48 +106,49 @@
             address,
             shared,
             discovery: discovery_receiver,
-            starts: starts_receiver,
+            restarts: restarts_receiver,
             version: version.clone(),
             random,
         };
-        (director, DirectorControls { discovery, starts, version })
+        (director, DirectorControls { discovery, restarts, version })
     }
 
-    /// Runs, and restarts whenever it is told to.
+    /// Runs the director, and restarts it whenever `restarts` changes; fails if the listener fails.
     pub async fn run(mut self, listener: TcpListener) -> Result<(), SimulationError> {
         loop {
-            let mut starts = self.starts.clone();
+            let mut restarts = self.restarts.clone();
             let health_checking =
                 run_health_checks(self.shared.clone(), self.address, ChaCha8Rng::from_rng(&mut self.random));
-            let (name, clients) = (self.number, discard_client_messages(&listener));
+            let (number, clients) = (self.number, discard_client_messages(&listener));
             tokio::select! {
                 () = self.watch_list() => {}
                 () = health_checking => {}
                 ended = clients => return ended.map_err(|problem| SimulationError::Listener {
-                    part: format!("hollow director {name}"),
+                    component: format!("simulated director {number}"),
                     problem,
                 }),
-                _ = starts.changed() => {}
+                _ = restarts.changed() => {}
             }
-            self.starts.mark_unchanged();
+            self.restarts.mark_unchanged();
             self.version.store(0, Ordering::Relaxed);
             sleep(RESTART_DURATION).await;
         }
     }
 
-    /// Keeps the list up to date: a complete one first, then watches; retries after failures and at a new
-    /// address.
+    /// Keeps the list up to date: requests the complete list, then watches for changes. After a failed
+    /// request the director reconnects with a backoff, and at a new address of discovery it requests the
+    /// complete list again.
     async fn watch_list(&mut self) {
         let mut times = WatchTimes { started_at: Instant::now(), moved_at: None };
         let (mut known_version, mut failures) = (None, 0);
         loop {
             let address = *self.discovery.borrow_and_update();
             let mut discovery = self.discovery.clone();
-            let broken = tokio::select! {
+            let has_failed = tokio::select! {
                 () = self.watch_until_failure(address, &mut known_version, &mut failures, times) => true,
                 _ = discovery.changed() => false,
             };
-            if broken {
+            if has_failed {
                 failures += 1;
                 let backoff = self.backoff(failures);
                 tokio::select! {
@@ -152,14 +157,14 @@
                 }
             }
             if *self.discovery.borrow() != address {
-                // The list from the old address is dropped.
+                // The list from the old address is discarded, so the next request is for the complete list.
                 known_version = None;
                 times.moved_at = Some(Instant::now());
             }
         }
     }
 
-    /// Requests the list and watches it at one address until a call fails.
+    /// Requests and watches the list at one address until a request fails.
     async fn watch_until_failure(
         &self,
         address: SocketAddr,
@@ -189,11 +194,11 @@
         }
     }
 
-    async fn connect(&self, to: SocketAddr, within: Duration) -> io::Result<Connection> {
-        connect_from(self.address, to, within).await.map(Connection::new)
+    async fn connect(&self, to: SocketAddr, timeout: Duration) -> io::Result<Connection> {
+        connect_from(self.address, to, timeout).await.map(Connection::new)
     }
 
-    /// The backoff after so many failed calls in a row.
+    /// Returns the backoff after this number of consecutive failures, with 25% of jitter.
     fn backoff(&mut self, failures: u32) -> Duration {
         let scale = (self.shared.directors as f64 / BACKOFF_SCALE_DIRECTORS).clamp(1.0, MAX_BACKOFF_SCALE);
         let longest = (scale * POLL_DEADLINE.as_secs_f64() / 2.0).max(1.0);
@@ -202,7 +207,7 @@
     }
 }
 
-/// Requests the list, or what is newer than a version; returns the version of the response.
+/// Requests the complete list, or the changes after a version; returns the version of the response.
 async fn request_list(
     connection: &mut Connection,
     address: SocketAddr,
@@ -220,24 +225,25 @@
     }
 }
 
-/// The version of a response, without parsing all of it.
+/// Returns the version at the beginning of a response body, without parsing the rest of the JSON.
 fn version_of(body: &[u8]) -> Option<u64> {
     let digits = body.strip_prefix(br#"{"version":"#)?;
     let length = digits.iter().take_while(|byte| byte.is_ascii_digit()).count();
     std::str::from_utf8(&digits[..length]).ok()?.parse().ok()
 }
 
-async fn connect_from(from: IpAddr, to: SocketAddr, within: Duration) -> io::Result<TcpStream> {
+/// Connects from a source address, with a timeout.
+async fn connect_from(source: IpAddr, to: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
-    socket.bind(SocketAddr::new(from, 0))?;
-    connect_within(socket, to, within).await
+    socket.bind(SocketAddr::new(source, 0))?;
+    connect_with_timeout(socket, to, timeout).await
 }
 
-/// Checks a random part of the hosts each second.
-async fn run_health_checks(shared: Arc<SharedState>, from: IpAddr, mut random: ChaCha8Rng) {
+/// Checks a random selection of the hosts in each round.
+async fn run_health_checks(shared: Arc<SharedState>, source: IpAddr, mut random: ChaCha8Rng) {
     let check_ratio =
         (FULL_CHECK_DIRECTORS / shared.directors as f64).max(MIN_HOSTS_PER_ROUND / shared.hosts.len() as f64);
-    // Directors have started at different times, and so have their rounds.
+    // Directors start at different times, so a random delay spreads their rounds over the interval.
     sleep(HEALTH_CHECK_INTERVAL.mul_f64(random.random())).await;
     let mut rounds = interval(HEALTH_CHECK_INTERVAL);
     let mut health_checks = JoinSet::new();
@@ -247,17 +253,18 @@
         for host in shared.hosts.iter().filter(|_| random.random::<f64>() < check_ratio) {
             let host = *host;
             health_checks.spawn(async move {
-                // A simulated director makes no use of the result.
-                let _ = timeout(HEALTH_CHECK_TIMEOUT, check_host(from, host)).await;
+                // A simulated director does not use the result.
+                let _ = timeout(HEALTH_CHECK_TIMEOUT, check_host(source, host)).await;
             });
         }
     }
 }
 
-/// One health check, over a connection of its own. A real director keeps the connection for five seconds; 480
-/// simulated ones in one process have no descriptors for that.
-async fn check_host(from: IpAddr, host: SocketAddr) -> io::Result<()> {
-    let mut connection = Connection::new(connect_from(from, host, CONNECT_TIMEOUT).await?);
+/// Sends one health check over a new connection, which is closed afterwards. A real director keeps the
+/// connection for five seconds; one process does not have the descriptors to do that for 480 simulated
+/// directors.
+async fn check_host(source: IpAddr, host: SocketAddr) -> io::Result<()> {
+    let mut connection = Connection::new(connect_from(source, host, CONNECT_TIMEOUT).await?);
     connection.get("/status/load", &host.to_string()).await?;
     connection.reset();
     Ok(())
--- a/crates/wingfold-scale/src/simulated/host.rs
+++ b/crates/wingfold-scale/src/simulated/host.rs
@@ -12,13 +12,13 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Real directors connect from here, simulated ones from addresses of their own.
-const REAL_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
+/// The source address of real directors. Each simulated director connects from an address of its own.
+const REAL_DIRECTOR_IP: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-/// Counts of all hosts of a run, and the zones that are silent.
+/// Counters of all hosts of a run, and the state of each zone: silent or not.
 #[derive(Debug)]
 pub struct Hosts {
-    /// Health checks by host.
+    /// Health checks received, by host.
     pub health_checks: Vec<Counter>,
     /// Health checks and bytes of all real directors.
     pub real: Traffic,
@@ -29,7 +29,7 @@
 }
 
 impl Hosts {
-    /// The hosts of a run.
+    /// Creates counters of zero, with no zone silent.
     pub fn new(fleet_size: &FleetSize) -> Hosts {
         Hosts {
             health_checks: (0..fleet_size.hosts).map(|_| Counter::default()).collect(),
@@ -39,18 +39,18 @@
         }
     }
 
-    /// Makes a zone silent, or responsive again.
+    /// Makes the hosts, proxies and collectors of a zone silent, or lets them send again.
     pub fn set_silent(&self, zone: usize, silent: bool) {
         self.silent[zone].send_replace(silent);
     }
 
-    /// Returns a receiver of whether a zone is silent.
+    /// Returns a receiver that tells whether a zone is silent.
     pub fn subscribe_silence(&self, zone: usize) -> watch::Receiver<bool> {
         self.silent[zone].subscribe()
     }
 }
 
-/// One host.
+/// A simulated host.
 #[derive(Debug)]
 pub struct Host {
     number: usize,
@@ -60,35 +60,35 @@
 }
 
 impl Host {
-    /// A host that listens at a free port of this address.
+    /// Creates a host that listens on a free port of this IP address.
     pub async fn listen(
-        at: IpAddr,
+        ip: IpAddr,
         number: usize,
         fleet_size: &FleetSize,
         hosts: Arc<Hosts>,
     ) -> io::Result<Host> {
-        let listener = TcpListener::bind((at, 0)).await?;
+        let listener = TcpListener::bind((ip, 0)).await?;
         Ok(Host { number, zone: host_zone(fleet_size, number), listener, hosts })
     }
 
-    /// Where it listens.
+    /// Returns the address and port at which the host listens.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Answers health checks until it is dropped.
+    /// Answers health checks until the task is stopped; fails if the listener fails.
     pub async fn run(self) -> Result<(), SimulationError> {
         let mut serving = JoinSet::new();
         loop {
             tokio::select! {
                 accepted = self.listener.accept() => {
                     let (stream, from) = accepted.map_err(|problem| {
-                        SimulationError::Listener { part: format!("host {}", self.number), problem }
+                        SimulationError::Listener { component: format!("host {}", self.number), problem }
                     })?;
-                    let is_real = from.ip() == REAL_CALLER;
+                    let is_real = from.ip() == REAL_DIRECTOR_IP;
                     let (hosts, number, zone) = (self.hosts.clone(), self.number, self.zone);
                     serving.spawn(async move {
-                        // A broken connection concerns its director alone.
+                        // A broken connection affects only its director, so the error is ignored.
                         let _ = serve(Connection::new(stream), &hosts, number, zone, is_real).await;
                     });
                 }
@@ -98,7 +98,7 @@
     }
 }
 
-/// Answers the health checks of one connection.
+/// Counts and answers the health checks of one connection.
 async fn serve(
     mut connection: Connection,
     hosts: &Hosts,
@@ -113,8 +113,8 @@
         traffic.messages.increment();
         traffic.bytes_in.add(request.bytes);
         if *silent.borrow() {
-            // This connection gets no further response. It is reset once the zone is back, if it is still
-            // open.
+            // The connection gets no further response. When the zone is no longer silent, the connection is
+            // reset, unless the director has closed it before.
             tokio::select! {
                 _ = silent.wait_for(|silent| !*silent) => {}
                 () = connection.discard_until_closed() => {}
--- a/crates/wingfold-scale/src/simulated/mod.rs
+++ b/crates/wingfold-scale/src/simulated/mod.rs
@@ -1,4 +1,5 @@
-//! Simulated parts: tasks that speak their protocol at the true rates and sizes, and decide nothing.
+//! Simulated components: tasks that speak the protocol of a director, collector, proxy or host with realistic
+//! rates and sizes of messages, and make no decisions.
 
 pub mod collector;
 pub mod director;
@@ -11,52 +12,52 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::{sleep, Instant};
 
-/// Why a simulated part ended.
+/// Why a simulated component failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulationError {
-    /// A director has accepted no connection for a long time.
-    #[error("{part} reaches no director at {address}: {problem}")]
+    /// A director has accepted no connection for 15 s.
+    #[error("{component} cannot connect to the director at {address}: {problem}")]
     Unreachable {
-        /// The part.
-        part: String,
-        /// The address it connects to.
+        /// The component.
+        component: String,
+        /// The address of the director.
         address: SocketAddr,
-        /// Why the last attempt failed.
+        /// Why the last connection attempt failed.
         problem: io::Error,
     },
-    /// It can no longer listen.
-    #[error("{part} listens no longer: {problem}")]
+    /// A listener can no longer accept connections.
+    #[error("{component} cannot accept connections: {problem}")]
     Listener {
-        /// The part.
-        part: String,
-        /// Why.
+        /// The component.
+        component: String,
+        /// Why accepting failed.
         problem: io::Error,
     },
-    /// It got a message that the protocol does not have.
-    #[error("{part} got what it cannot use: {problem}")]
-    Unreadable {
-        /// The part.
-        part: String,
-        /// What was wrong.
+    /// A message from a director does not follow the protocol, or names an unknown host or class.
+    #[error("{component} received an invalid message: {problem}")]
+    InvalidMessage {
+        /// The component.
+        component: String,
+        /// What is wrong with the message.
         problem: String,
     },
 }
 
-/// Pause before a client connects again.
+/// Pause between two connection attempts of a client.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 /// Timeout of a connection attempt to a director.
 const DIRECTOR_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A client fails if its director has accepted no connection for this time.
+/// A client fails if its director has accepted no connection for this long.
 const UNREACHABLE_AFTER: Duration = Duration::from_secs(15);
 
-/// Connects to a director, with retries until it accepts.
-async fn connect_to_director(part: &str, address: SocketAddr) -> Result<TcpStream, SimulationError> {
+/// Connects a client to a director. Failed attempts are repeated until [`UNREACHABLE_AFTER`] has passed.
+async fn connect_to_director(component: &str, address: SocketAddr) -> Result<TcpStream, SimulationError> {
     let begun = Instant::now();
     loop {
         let problem = match TcpSocket::new_v4() {
             Err(problem) => problem,
             Ok(socket) => {
-                match crate::http::connect_within(socket, address, DIRECTOR_CONNECT_TIMEOUT).await {
+                match crate::http::connect_with_timeout(socket, address, DIRECTOR_CONNECT_TIMEOUT).await {
                     Ok(stream) => {
                         let _ = stream.set_nodelay(true);
                         return Ok(stream);
@@ -66,7 +67,7 @@
             }
         };
         if begun.elapsed() > UNREACHABLE_AFTER {
-            return Err(SimulationError::Unreachable { part: part.into(), address, problem });
+            return Err(SimulationError::Unreachable { component: component.into(), address, problem });
         }
         sleep(RECONNECT_DELAY).await;
     }
