--- a/crates/wingfold-scale/tests/parts.rs
+++ b/crates/wingfold-scale/tests/parts.rs
@@ -1,4 +1,5 @@
-//! Parts of a run that need no real director: texts of /proc, spreads, lists, tables, comparisons, discovery.
+//! Modules that need no real director: resource usage, delays, the endpoint list, tables and messages of
+//! proxies, comparisons, discovery and hosts.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -23,7 +24,7 @@
     FleetSize::of_step(Step::Sixteenth, 2)
 }
 
-fn list() -> EndpointList {
+fn endpoint_list() -> EndpointList {
     EndpointList::new(&fleet_size(), &vec![SocketAddr::new(LOOPBACK, 1); fleet_size().hosts])
 }
 
@@ -34,12 +35,12 @@
 fn update(text: &str) -> ProxyUpdatePart<'_> {
     match serde_json::from_str(text).unwrap() {
         DirectorMessage::ProxyUpdate(update) => update,
-        DirectorMessage::Pong => panic!("an update is expected"),
+        DirectorMessage::Pong => panic!("expected an update, got a pong"),
     }
 }
 
 #[test]
-fn processor_time_and_memory_are_read_past_a_name_with_parentheses() {
+fn process_usage_is_parsed_despite_parentheses_in_the_name() {
     let stat = "7 (a (b) c) S 1 7 7 0 -1 4194560 100 0 0 0 250 50 0 0 20 0 3 0 100 1 1";
     assert_eq!(processor_ticks(stat), Some(300));
     assert_eq!(peak_memory_kib("Name:\tx\nVmPeak:\t 9 kB\nVmHWM:\t  2048 kB\n"), Some(2_048));
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn a_spread_has_its_median_its_99_in_100_and_its_worst() {
+fn delay_summary_has_median_99th_percentile_and_maximum() {
     let delays = Delays::default();
     assert_eq!(delays.summary().worst_ms, 0.0);
     (1..=200).rev().for_each(|ms| delays.record(Duration::from_millis(ms)));
@@ -59,30 +60,33 @@
 }
 
 #[test]
-fn the_list_answers_with_changes_or_as_a_whole() {
-    let mut list = list();
-    let whole = list.response(None);
-    assert_eq!((whole.version, whole.entries), (1, fleet_size().hosts));
-    assert!(whole.text.starts_with(r#"{"version":1,"full":true,"servers":[{"id":"s-00000","#));
+fn list_response_is_changes_or_the_complete_list() {
+    let mut list = endpoint_list();
+    let complete = list.response(None);
+    assert_eq!((complete.version, complete.entries), (1, fleet_size().hosts));
+    assert!(complete.text.starts_with(r#"{"version":1,"full":true,"servers":[{"id":"s-00000","#));
     assert!(!list.is_newer_than(Some(1)));
     assert_eq!(list.change(&[change(3, HostState::Leaving, 0), change(5, HostState::Active, 12)]), 2);
     let changes = list.response(Some(1));
     assert!(changes.text.starts_with(r#"{"version":2,"full":false,"#) && changes.entries == 2);
-    let every: Vec<_> = (0..fleet_size().hosts).map(|host| change(host, HostState::Active, 0)).collect();
-    list.change(&every);
-    assert!(list.response(Some(2)).text.contains(r#""full":true"#), "the whole list is shorter to say");
+    let all_hosts: Vec<_> = (0..fleet_size().hosts).map(|host| change(host, HostState::Active, 0)).collect();
+    list.change(&all_hosts);
+    assert!(
+        list.response(Some(2)).text.contains(r#""full":true"#),
+        "changes of every host are sent as the complete list"
+    );
 }
 
 #[test]
-fn a_hollow_proxys_tables_follow_orders_and_tell_which_hosts_go_out_of_use() {
+fn proxy_tables_apply_updates_and_return_hosts_no_longer_used() {
     let mut tables = ProxyTables::new(4);
-    let whole =
+    let complete =
         r#"{"type":"CONFIG","whole":true,"lines":[["s-00000",1.5],["s-00001",0.2]],"level":0.9,"retry":1}"#;
-    assert_eq!(tables.apply(&update(whole)), Ok(vec![]));
+    assert_eq!(tables.apply(&update(complete)), Ok(vec![]));
     let one_class = r#"{"type":"CONFIG","classes":["lookup"],"lines":[["s-00000",0],["s-00002",1.0]]}"#;
-    assert_eq!(tables.apply(&update(one_class)), Ok(vec![]), "the other class still uses it");
-    let other = r#"{"type":"CONFIG","classes":["order"],"lines":[["s-00000",0]],"ticket":7}"#;
-    assert_eq!(tables.apply(&update(other)), Ok(vec![0]));
+    assert_eq!(tables.apply(&update(one_class)), Ok(vec![]), "class `order` still uses s-00000");
+    let other_class = r#"{"type":"CONFIG","classes":["order"],"lines":[["s-00000",0]],"ticket":7}"#;
+    assert_eq!(tables.apply(&update(other_class)), Ok(vec![0]));
     assert_eq!(tables.apply(&update(r#"{"type":"CONFIG","out":["s-00001"]}"#)), Ok(vec![1]));
     assert_eq!(tables.apply(&update(r#"{"type":"CONFIG","back":["s-00001"]}"#)), Ok(vec![]));
     assert_eq!(tables.len(), 2);
@@ -91,44 +95,45 @@
 }
 
 #[test]
-fn an_orders_lines_count_as_in_the_channel() {
-    let whole =
+fn update_lines_are_counted_as_in_the_send_queue() {
+    let complete =
         r#"{"type":"CONFIG","whole":true,"lines":[["s-00000",1.5]],"level":0.9,"retry":1,"more":true}"#;
     assert_eq!(
-        (update(whole).line_count(), update(whole).has_more),
+        (update(complete).line_count(), update(complete).has_more),
         (3, true),
-        "a line, a level and the whole"
+        "an entry, an admission level and `complete` are one line each"
     );
     let rest = r#"{"type":"CONFIG","classes":["order"],"out":["s-00001"],"back":["s-00002"],"ticket":9}"#;
     assert_eq!((update(rest).line_count(), update(rest).has_more), (3, false));
 }
 
 #[test]
-fn hollow_directors_that_do_as_real_ones_compare_well_and_others_do_not() {
-    let kind = |directors: u64, calls: u64, health_checks: u64| DirectorGroup {
+fn comparison_fails_only_for_metrics_beyond_their_tolerance() {
+    let group = |directors: u64, requests: u64, health_checks: u64| DirectorGroup {
         directors: directors as usize,
         discovery: TrafficCount {
-            messages: directors * calls,
+            messages: directors * requests,
             bytes_in: directors * 90,
             bytes_out: directors * 900,
         },
         checking_directors: directors as usize,
         health_checks: directors * health_checks,
     };
-    let holds = |simulated: DirectorGroup| -> Vec<bool> {
-        compare(&kind(2, 100, 10_000), &simulated)
+    let within_tolerance = |simulated: DirectorGroup| -> Vec<bool> {
+        compare(&group(2, 100, 10_000), &simulated)
             .iter()
             .map(|comparison| comparison.is_within_tolerance())
             .collect()
     };
-    assert_eq!(holds(kind(28, 108, 10_900)), [true; 4]);
-    assert_eq!(holds(kind(28, 112, 10_000)), [false, true, true, true]);
-    assert_eq!(holds(kind(28, 100, 8_000)), [true, true, true, false]);
+    assert_eq!(within_tolerance(group(28, 108, 10_900)), [true; 4]);
+    assert_eq!(within_tolerance(group(28, 112, 10_000)), [false, true, true, true]);
+    assert_eq!(within_tolerance(group(28, 100, 8_000)), [true, true, true, false]);
 }
 
-/// A discovery of the smallest step's list, served on sockets, and a connection of director 0 to it.
-async fn served() -> (Discovery, Connection, SocketAddr) {
-    let (discovery, queue) = Discovery::new(&fleet_size(), list());
+/// Starts a discovery with the list of the smallest step; returns its handle, a connection of director 0 and
+/// the address for director 0.
+async fn start_discovery() -> (Discovery, Connection, SocketAddr) {
+    let (discovery, queue) = Discovery::new(&fleet_size(), endpoint_list());
     tokio::spawn(queue);
     let (address, serving) = discovery.listen(LOOPBACK, 0, None).await.unwrap();
     tokio::spawn(serving);
@@ -139,13 +144,13 @@
     Connection::new(TcpStream::connect(address).await.unwrap())
 }
 
-async fn get(connection: &mut Connection, page: &str) -> Response {
-    connection.get(page, "discovery").await.unwrap()
+async fn get(connection: &mut Connection, target: &str) -> Response {
+    connection.get(target, "discovery").await.unwrap()
 }
 
 #[tokio::test]
-async fn discovery_answers_a_watch_at_once_when_something_changes() {
-    let (discovery, mut connection, _) = served().await;
+async fn watch_is_answered_when_the_list_changes() {
+    let (discovery, mut connection, _) = start_discovery().await;
     assert_eq!(get(&mut connection, "/v1/endpoints").await.status, 200);
     let watch =
         tokio::spawn(async move { get(&mut connection, "/v1/endpoints?after=1&wait_ms=60000").await });
@@ -153,15 +158,15 @@
         tokio::task::yield_now().await;
     }
     discovery.change(&[change(3, HostState::Leaving, 0)]);
-    let answer = watch.await.unwrap();
-    let body = String::from_utf8(answer.body).unwrap();
+    let response = watch.await.unwrap();
+    let body = String::from_utf8(response.body).unwrap();
     assert!(body.starts_with(r#"{"version":2,"full":false,"#) && body.contains("leaving"), "{body}");
     assert_eq!((discovery.written_version(0), discovery.traffic(0).count().messages), (2, 2));
 }
 
 #[tokio::test]
-async fn discovery_that_is_down_refuses_calls_and_ends_its_watches() {
-    let (discovery, mut connection, address) = served().await;
+async fn discovery_that_is_down_rejects_requests_and_pending_watches() {
+    let (discovery, mut connection, address) = start_discovery().await;
     let watch =
         tokio::spawn(async move { get(&mut connection, "/v1/endpoints?after=1&wait_ms=60000").await });
     while discovery.traffic(0).count().messages < 1 {
@@ -169,17 +174,17 @@
     }
     discovery.set_down(true);
     assert_eq!(watch.await.unwrap().status, 503);
-    let mut another = connect(address).await;
-    assert_eq!(get(&mut another, "/v1/endpoints").await.status, 503);
+    let mut second = connect(address).await;
+    assert_eq!(get(&mut second, "/v1/endpoints").await.status, 503);
     assert!(discovery.was_rejected(0));
     discovery.set_down(false);
-    assert_eq!(get(&mut another, "/v1/endpoints").await.status, 200);
+    assert_eq!(get(&mut second, "/v1/endpoints").await.status, 200);
     assert_eq!((discovery.rejected(0), discovery.was_rejected(0)), (2, false));
 }
 
 #[tokio::test]
-async fn a_call_whose_director_has_gone_is_counted_and_not_booked_as_told() {
-    let (discovery, connection, address) = served().await;
+async fn request_on_a_closed_connection_is_abandoned_not_delivered() {
+    let (discovery, connection, address) = start_discovery().await;
     let mut watch = Box::pin(async move {
         let mut connection = connection;
         get(&mut connection, "/v1/endpoints?after=1&wait_ms=60000").await
@@ -198,19 +203,19 @@
 }
 
 #[tokio::test]
-async fn a_director_that_is_cut_off_gets_no_answer_and_then_a_reset() {
-    let (discovery, mut connection, address) = served().await;
+async fn director_cut_off_gets_no_response_and_then_a_reset() {
+    let (discovery, mut connection, address) = start_discovery().await;
     discovery.set_cut(0, true);
-    let mut call = tokio::spawn(async move { connection.get("/v1/endpoints", "discovery").await });
-    let silent = tokio::time::timeout(Duration::from_millis(200), &mut call).await;
-    assert!(silent.is_err(), "nothing is said while it is cut off");
+    let mut request = tokio::spawn(async move { connection.get("/v1/endpoints", "discovery").await });
+    let response = tokio::time::timeout(Duration::from_millis(200), &mut request).await;
+    assert!(response.is_err(), "a response arrived while the director was cut off");
     discovery.set_cut(0, false);
-    assert!(call.await.unwrap().is_err());
+    assert!(request.await.unwrap().is_err());
     assert_eq!(get(&mut connect(address).await, "/v1/endpoints").await.status, 200);
 }
 
 #[tokio::test]
-async fn a_host_counts_probes_and_in_a_silent_zone_answers_none() {
+async fn host_in_a_silent_zone_counts_but_does_not_answer_health_checks() {
     let hosts = Arc::new(Hosts::new(&fleet_size()));
     let host = Host::listen(LOOPBACK, 3, &fleet_size(), hosts.clone()).await.unwrap();
     let address = host.address().unwrap();
@@ -219,12 +224,15 @@
     let zone = host_zone(&fleet_size(), 3);
     hosts.set_silent(zone, true);
     let mut connection = connect(address).await;
-    let mut probe = tokio::spawn(async move { connection.get("/status/load", "host").await });
-    let silent = tokio::time::timeout(Duration::from_millis(200), &mut probe).await;
-    assert!(silent.is_err(), "nothing is said in a silent zone");
+    let mut health_check = tokio::spawn(async move { connection.get("/status/load", "host").await });
+    let response = tokio::time::timeout(Duration::from_millis(200), &mut health_check).await;
+    assert!(response.is_err(), "a host of a silent zone responded");
     hosts.set_silent(zone, false);
-    assert!(probe.await.unwrap().is_err());
+    assert!(health_check.await.unwrap().is_err());
     assert_eq!(get(&mut connect(address).await, "/status/load").await.status, 200);
-    let of_real = hosts.real.count().messages;
-    assert_eq!((hosts.health_checks[3].get(), of_real, hosts.simulated.count().messages), (3, 3, 0));
+    let real_health_checks = hosts.real.count().messages;
+    assert_eq!(
+        (hosts.health_checks[3].get(), real_health_checks, hosts.simulated.count().messages),
+        (3, 3, 0)
+    );
 }
--- a/crates/wingfold-scale/tests/plan.rs
+++ b/crates/wingfold-scale/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Fleet sizes of the ladder's steps, what is rejected, and the command line.
+//! Plans: the fleet sizes of the steps, the limits that reject a plan, and the options of the command line.
 
 use std::time::Duration;
 use wingfold_scale::cli;
@@ -6,24 +6,26 @@
 use wingfold_scale::limits::{memory_bytes, open_files, MachineLimits, PlanError};
 use wingfold_scale::plan::{FleetSize, Plan, Step};
 
-const ROOMY: MachineLimits = MachineLimits { memory_bytes: 64 << 30, descriptors: 100_000 };
+/// Limits that no step exceeds with two real directors.
+const AMPLE_LIMITS: MachineLimits = MachineLimits { memory_bytes: 64 << 30, descriptors: 100_000 };
 
 fn plan(step: Step, real_directors: usize) -> Result<Plan, PlanError> {
     Plan::new(step, real_directors, Duration::from_secs(30), 1)
 }
 
-fn refusal(words: &str) -> String {
-    let words = format!("wingfold-scale {words}");
-    cli::parse(words.split(' ').map(String::from)).expect_err("it is refused").to_string()
+/// Returns the error for an invalid command line.
+fn parse_error(arguments: &str) -> String {
+    let arguments = format!("wingfold-scale {arguments}");
+    cli::parse(arguments.split(' ').map(String::from)).expect_err("the command line is accepted").to_string()
 }
 
 #[test]
-fn the_ladder_leads_to_the_whole_fleet() {
+fn each_step_doubles_the_fleet_up_to_the_full_size() {
     let fleet_size = |step| FleetSize::of_step(step, 2);
-    let whole =
+    let full =
         FleetSize { directors: 480, real_directors: 2, hosts: 2_700, zones: 30, proxies_per_director: 48 };
-    assert_eq!(fleet_size(Step::Whole), whole);
-    let smallest = FleetSize { directors: 30, hosts: 169, zones: 2, ..whole };
+    assert_eq!(fleet_size(Step::Whole), full);
+    let smallest = FleetSize { directors: 30, hosts: 169, zones: 2, ..full };
     assert_eq!(fleet_size(Step::Sixteenth), smallest);
     assert!(Step::ALL
         .windows(2)
@@ -31,38 +33,38 @@
 }
 
 #[test]
-fn every_step_fits_a_machine_of_16_gib_and_20000_descriptors_and_the_smallest_the_usual_1024() {
+fn plans_fit_16_gib_and_20000_descriptors_smallest_step_1024() {
     let machine = MachineLimits { memory_bytes: 16 << 30, descriptors: 20_000 };
     for step in Step::ALL {
         plan(step, 2).unwrap().check(&machine).unwrap();
     }
-    let usual = MachineLimits { descriptors: 1_024, ..machine };
-    plan(Step::Sixteenth, 2).unwrap().check(&usual).unwrap();
+    let default_limits = MachineLimits { descriptors: 1_024, ..machine };
+    plan(Step::Sixteenth, 2).unwrap().check(&default_limits).unwrap();
 }
 
 #[test]
-fn what_would_take_too_much_is_refused_by_what_it_takes() {
-    let whole = plan(Step::Whole, 2).unwrap();
-    let estimate = whole.estimate();
-    let one_less = MachineLimits { descriptors: estimate.descriptors - 1, ..ROOMY };
-    assert!(matches!(whole.check(&one_less), Err(PlanError::Descriptors { .. })));
-    let under_half = MachineLimits { memory_bytes: 2 * estimate.memory_bytes - 2, ..ROOMY };
-    assert!(matches!(whole.check(&under_half), Err(PlanError::Memory { .. })));
-    let just_half =
+fn plan_beyond_a_limit_is_rejected_with_that_limit() {
+    let full = plan(Step::Whole, 2).unwrap();
+    let estimate = full.estimate();
+    let too_few_descriptors = MachineLimits { descriptors: estimate.descriptors - 1, ..AMPLE_LIMITS };
+    assert!(matches!(full.check(&too_few_descriptors), Err(PlanError::Descriptors { .. })));
+    let too_little_memory = MachineLimits { memory_bytes: 2 * estimate.memory_bytes - 2, ..AMPLE_LIMITS };
+    assert!(matches!(full.check(&too_little_memory), Err(PlanError::Memory { .. })));
+    let just_enough =
         MachineLimits { memory_bytes: 2 * estimate.memory_bytes, descriptors: estimate.descriptors };
-    assert_eq!(whole.check(&just_half), Ok(estimate));
+    assert_eq!(full.check(&just_enough), Ok(estimate));
     assert_eq!(
-        plan(Step::Whole, 299).unwrap().check(&MachineLimits { memory_bytes: 1 << 40, ..ROOMY }).err(),
+        plan(Step::Whole, 299).unwrap().check(&MachineLimits { memory_bytes: 1 << 40, ..AMPLE_LIMITS }).err(),
         None
     );
-    let many = plan(Step::Whole, 300).unwrap().check(&ROOMY);
-    assert_eq!(many, Err(PlanError::Processes { needed: 301, allowed: 300 }));
+    let too_many_processes = plan(Step::Whole, 300).unwrap().check(&AMPLE_LIMITS);
+    assert_eq!(too_many_processes, Err(PlanError::Processes { needed: 301, allowed: 300 }));
     assert_eq!(plan(Step::Sixteenth, 0).err(), Some(PlanError::RealDirectors { requested: 0, max: 29 }));
     assert_eq!(plan(Step::Sixteenth, 30).err(), Some(PlanError::RealDirectors { requested: 30, max: 29 }));
 }
 
 #[test]
-fn the_machines_limits_are_read_where_it_tells_them() {
+fn machine_limits_are_parsed_from_proc_files() {
     assert_eq!(memory_bytes("MemTotal:       24682500 kB\nMemFree: 1 kB\n"), Some(24_682_500 << 10));
     let limits = "Limit   Soft Limit  Hard Limit  Units\nMax open files            20000    40000    files\n";
     assert_eq!(open_files(limits), Some(20_000));
@@ -72,32 +74,34 @@
 }
 
 #[test]
-fn a_wrong_option_and_wrong_values_are_refused_with_those_that_exist() {
-    let option = refusal("plan --speed 3");
-    for exists in ["--step", "--seconds", "--seed", "--real", "--fault", "--program", "--json"] {
-        assert!(option.contains(exists), "{exists} is not in: {option}");
+fn errors_for_unknown_options_and_values_list_the_valid_ones() {
+    let option_error = parse_error("plan --speed 3");
+    for valid in ["--step", "--seconds", "--seed", "--real", "--fault", "--program", "--json"] {
+        assert!(option_error.contains(valid), "{valid} is not in: {option_error}");
     }
-    let fault = refusal("plan --fault discovery-up");
-    for exists in ["none", "discovery-down", "zone-silent", "restart-quarter", "region-cut"] {
-        assert!(fault.contains(exists), "{exists} is not in: {fault}");
+    let fault_error = parse_error("plan --fault discovery-up");
+    for valid in ["none", "discovery-down", "zone-silent", "restart-quarter", "region-cut"] {
+        assert!(fault_error.contains(valid), "{valid} is not in: {fault_error}");
     }
-    let step = refusal("plan --step 1/3");
-    for exists in ["1/16", "1/8", "1/4", "1/2"] {
-        assert!(step.contains(exists), "{exists} is not in: {step}");
+    let step_error = parse_error("plan --step 1/3");
+    for valid in ["1/16", "1/8", "1/4", "1/2"] {
+        assert!(step_error.contains(valid), "{valid} is not in: {step_error}");
     }
-    assert!(refusal("play").contains("plan"));
+    assert!(parse_error("play").contains("plan"));
 }
 
 #[test]
-fn the_ladder_plays_every_step_and_then_every_fault_on_one() {
-    let words = ["wingfold-scale", "ladder", "--fault-step", "1/8"].map(String::from);
-    let cli::Command::Ladder(options) = cli::parse(words).unwrap().command else { panic!("the ladder") };
+fn ladder_runs_every_step_then_every_fault_on_one_step() {
+    let arguments = ["wingfold-scale", "ladder", "--fault-step", "1/8"].map(String::from);
+    let cli::Command::Ladder(options) = cli::parse(arguments).unwrap().command else {
+        panic!("not parsed as `ladder`")
+    };
     let runs = options.ladder().runs().unwrap();
     let names: Vec<String> = runs.iter().map(report_name).collect();
     let steps = ["scale-1-16", "scale-1-8", "scale-1-4", "scale-1-2", "scale-1"];
     let faults = ["discovery-down", "zone-silent", "restart-quarter", "region-cut"];
     let faults = faults.map(|fault| format!("scale-1-8-{fault}"));
     assert_eq!(names, [&steps.map(String::from)[..], &faults[..]].concat());
-    let of_too_many = cli::LadderOptions { real_directors: 30, ..options };
-    assert!(of_too_many.ladder().runs().is_err(), "before any is played");
+    let too_many_directors = cli::LadderOptions { real_directors: 30, ..options };
+    assert!(too_many_directors.ladder().runs().is_err(), "an invalid plan fails before the first run");
 }
