--- a/crates/wingfold-scale/src/baseline.rs
+++ b/crates/wingfold-scale/src/baseline.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Proxies have to stop using a host within this time after it is marked as leaving.
+/// Proxies have to stop using a host within this time after the host is marked as leaving.
 const STALE_USE_AGE: Duration = Duration::from_secs(6);
 const MIB: f64 = 1024.0;
 
--- a/crates/wingfold-scale/src/cli.rs
+++ b/crates/wingfold-scale/src/cli.rs
@@ -20,7 +20,7 @@
 
 /// Time limit of all runs of a ladder together.
 const LADDER_TIME_LIMIT: Duration = Duration::from_secs(600);
-/// Worker threads of the simulated components; the real directors need the other cores.
+/// Worker threads of the simulated components, limited because the real directors need cores too.
 const WORKER_THREADS: usize = 3;
 
 const EXAMPLES: &str = "\
@@ -203,8 +203,8 @@
         Ok(cli) => cli,
         Err(error) => error.exit(),
     };
-    let lines = tracing_subscriber::fmt().with_ansi(false).with_writer(io::stderr);
-    lines.with_max_level(tracing::Level::INFO).init();
+    let subscriber = tracing_subscriber::fmt().with_ansi(false).with_writer(io::stderr);
+    subscriber.with_max_level(tracing::Level::INFO).init();
     match execute(cli.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -239,8 +239,8 @@
 /// Executes the runs of the ladder; the report of each and the tables so far are written after each run.
 async fn ladder(options: &LadderOptions) -> Result<(), CommandError> {
     let (runs, begun) = (options.ladder().runs()?, Instant::now());
-    let output = |problem| CommandError::Output { path: options.out.clone(), problem };
-    std::fs::create_dir_all(&options.out).map_err(output)?;
+    let output_error = |problem| CommandError::Output { path: options.out.clone(), problem };
+    std::fs::create_dir_all(&options.out).map_err(output_error)?;
     let signals = interruption().map_err(CommandError::Runtime)?;
     let mut interrupted = pin!(async {
         tokio::select! {
--- a/crates/wingfold-scale/src/compare.rs
+++ b/crates/wingfold-scale/src/compare.rs
@@ -44,9 +44,9 @@
     /// The metric.
     #[serde(rename = "figure")]
     pub metric: Metric,
-    /// Its mean over the real directors.
+    /// The mean of the metric over the real directors.
     pub real: f64,
-    /// Its mean over the simulated directors.
+    /// The mean of the metric over the simulated directors.
     #[serde(rename = "hollow")]
     pub simulated: f64,
     /// How much the simulated mean may differ from the real one, as a ratio of the real one.
--- a/crates/wingfold-scale/src/discovery.rs
+++ b/crates/wingfold-scale/src/discovery.rs
@@ -259,7 +259,7 @@
         let state = &self.shared.directors[info.director];
         state.traffic.messages.increment();
         state.traffic.bytes_in.add(request.bytes);
-        let (response, responded) = oneshot::channel();
+        let (response, response_receiver) = oneshot::channel();
         let (now, wait) =
             (Instant::now(), Duration::from_millis(request.query_number("wait_ms").unwrap_or(0)));
         let wait_until = now + wait.min(MAX_WATCH_WAIT);
@@ -277,7 +277,7 @@
                 state.abandoned.increment();
                 return Ok(false);
             }
-            body = responded => body.ok().flatten(),
+            body = response_receiver => body.ok().flatten(),
         };
         let written = match &body {
             Some(body) => connection.write_response(OK, &body.text).await?,
--- a/crates/wingfold-scale/src/endpoint_list.rs
+++ b/crates/wingfold-scale/src/endpoint_list.rs
@@ -21,7 +21,7 @@
 pub struct HostChange {
     /// The host.
     pub host: usize,
-    /// Its new state.
+    /// The new state of the host.
     pub state: HostState,
     /// The Unix time of the host's last start, in milliseconds; 0 means that the start was long ago.
     pub started_ms: u64,
--- a/crates/wingfold-scale/src/fleet.rs
+++ b/crates/wingfold-scale/src/fleet.rs
@@ -40,7 +40,7 @@
     /// The task of a simulated component has panicked.
     #[error("the task of a simulated component failed: {0}")]
     Panic(#[from] tokio::task::JoinError),
-    /// The task of a simulated component has ended without an error, although all of them run until they are
+    /// The task of a simulated component has ended without an error, although such tasks run until they are
     /// stopped.
     #[error("the task of a simulated component ended unexpectedly")]
     EndedUnexpectedly,
@@ -65,7 +65,8 @@
 pub struct MeasuredDirector {
     /// The process.
     pub process: RealDirector,
-    /// Time from the start of the process until it answered a ping.
+    /// Time for which [`Fleet::start`] waited until the director answered a ping. The wait begins when all
+    /// directors have been started and the real directors with lower numbers have answered.
     pub ready_after: Duration,
     /// The counters and the send queue of its clients.
     pub clients: Clients,
@@ -77,9 +78,10 @@
     fleet_size: FleetSize,
     seed: u64,
     addresses: Addresses,
+    /// The directory for the configurations and logs of real directors.
     directory: PathBuf,
     own_peak_descriptors: usize,
-    ready_within: Duration,
+    ready_timeout: Duration,
     /// The scripted discovery.
     pub discovery: Discovery,
     /// The counters and silent zones of the simulated hosts.
@@ -94,12 +96,14 @@
     pub departures: Arc<Departures>,
     /// The tables of each proxy of real directors.
     tables: Vec<Arc<Mutex<ProxyTables>>>,
+    /// The tasks of discovery and of all simulated components.
     tasks: JoinSet<Result<(), SimulationError>>,
 }
 
 impl Fleet {
-    /// Starts the hosts and discovery. Each start of a real director has to succeed within the given time.
-    pub async fn set_up(plan: &Plan, ready_within: Duration) -> Result<Fleet, FleetError> {
+    /// Starts the hosts and discovery. Real directors will have to answer a ping within `ready_timeout` after
+    /// each start.
+    pub async fn set_up(plan: &Plan, ready_timeout: Duration) -> Result<Fleet, FleetError> {
         let (fleet_size, addresses, mut tasks) =
             (plan.fleet_size, Addresses::of_this_process(), JoinSet::new());
         let hosts = Arc::new(Hosts::new(&fleet_size));
@@ -125,7 +129,7 @@
             addresses,
             directory,
             own_peak_descriptors: 0,
-            ready_within,
+            ready_timeout,
             discovery,
             hosts,
             shared,
@@ -149,7 +153,7 @@
         }
         for director in 0..self.fleet_size.real_directors {
             self.real[director].ready_after =
-                self.real[director].process.wait_until_ready(self.ready_within).await?;
+                self.real[director].process.wait_until_ready(self.ready_timeout).await?;
             self.connect_clients_of_real(director);
         }
         for (director, address) in simulated {
@@ -197,7 +201,7 @@
             self.real[director].process.restart().await?;
         }
         for director in (0..first_simulated).filter(|director| is_selected(*director)) {
-            self.real[director].process.wait_until_ready(self.ready_within).await?;
+            self.real[director].process.wait_until_ready(self.ready_timeout).await?;
         }
         Ok(())
     }
@@ -241,11 +245,11 @@
 
     /// Returns the number of pairs of one of these hosts and a proxy of a real director that uses the host.
     pub fn uses_of(&self, hosts: &[usize]) -> usize {
-        let uses = |tables: &Arc<Mutex<ProxyTables>>| {
+        let count_uses = |tables: &Arc<Mutex<ProxyTables>>| {
             let tables = tables.lock().unwrap_or_else(PoisonError::into_inner);
             hosts.iter().filter(|host| tables.uses(**host)).count()
         };
-        self.tables.iter().map(uses).sum()
+        self.tables.iter().map(count_uses).sum()
     }
 
     /// Returns how many proxies of real directors hold a table with a usable host.
@@ -277,11 +281,11 @@
     /// directors from being stopped.
     pub async fn stop(mut self) -> Result<(), FleetError> {
         self.tasks.shutdown().await;
-        let mut stopped = Ok(());
+        let mut result = Ok(());
         for real in &mut self.real {
-            stopped = stopped.and(real.process.stop().await);
+            result = result.and(real.process.stop().await);
         }
-        Ok(stopped?)
+        Ok(result?)
     }
 
     async fn start_real(&mut self, program: &Path, director: usize) -> Result<(), FleetError> {
--- a/crates/wingfold-scale/src/limits.rs
+++ b/crates/wingfold-scale/src/limits.rs
@@ -1,4 +1,4 @@
-//! The limits of the machine, and the errors of plans that are invalid or exceed them.
+//! The limits of the machine, and the reasons for which a plan is rejected.
 
 use std::path::PathBuf;
 
@@ -30,7 +30,7 @@
         /// The limit.
         allowed: usize,
     },
-    /// The run would hold more descriptors than this process may.
+    /// The run would need more descriptors than this process may hold.
     #[error(
         "the run needs {needed} descriptors, but this process may hold at most {allowed} (Max open files)"
     )]
--- a/crates/wingfold-scale/src/plan.rs
+++ b/crates/wingfold-scale/src/plan.rs
@@ -70,7 +70,7 @@
     /// All steps, the smallest first.
     pub const ALL: [Step; 5] = [Step::Sixteenth, Step::Eighth, Step::Quarter, Step::Half, Step::Whole];
 
-    /// The full fleet divided by this is the step.
+    /// Returns the number by which the size of the full fleet is divided.
     fn divisor(self) -> usize {
         match self {
             Step::Sixteenth => 16,
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Fails if the estimate exceeds the limits: 300 processes, the descriptors of this process, or half of
-    /// the machine's memory.
+    /// Fails if the estimate exceeds 300 processes, the limit on descriptors of this process, or half of the
+    /// machine's memory; otherwise returns the estimate.
     pub fn check(&self, machine: &MachineLimits) -> Result<ResourceEstimate, PlanError> {
         let estimate = self.estimate();
         if estimate.processes > MAX_PROCESSES {
--- a/crates/wingfold-scale/src/process_usage.rs
+++ b/crates/wingfold-scale/src/process_usage.rs
@@ -9,14 +9,15 @@
     pub processor_s: f64,
     /// Peak resident memory, in KiB.
     pub peak_memory_kib: u64,
-    /// Open descriptors at the time of the measurement.
+    /// Open descriptors at the time of the measurement; in a summary of several measurements, the most of
+    /// them.
     pub descriptors: usize,
 }
 
 /// Why the resource usage of a process cannot be measured.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
-    /// Its files in /proc cannot be read, usually because the process has ended.
+    /// The files of the process in /proc cannot be read, usually because the process has ended.
     #[error("process {pid} cannot be measured: {problem}")]
     Unreadable {
         /// The process.
@@ -24,7 +25,7 @@
         /// Why reading failed.
         problem: io::Error,
     },
-    /// A value is missing from its files in /proc, or is no number.
+    /// A value is missing from the files of the process in /proc, or is not a number.
     #[error("process {pid} cannot be measured: its files in /proc have no {metric}")]
     Missing {
         /// The process.
--- a/crates/wingfold-scale/src/real_director.rs
+++ b/crates/wingfold-scale/src/real_director.rs
@@ -56,10 +56,10 @@
         log: String,
     },
     /// The director did not answer a ping in time.
-    #[error("{name} was not ready within {} s; its log ends with: {log}", within.as_secs())]
+    #[error("{name} was not ready within {} s; its log ends with: {log}", timeout.as_secs())]
     NotReady {
         /// The timeout.
-        within: Duration,
+        timeout: Duration,
         /// The director.
         name: String,
         /// The last lines of the director's log.
@@ -116,15 +116,15 @@
         self.child.id()
     }
 
-    /// Waits until the director answers a ping, and returns how long that took; fails at the timeout or if
-    /// the process ends.
-    pub async fn wait_until_ready(&mut self, within: Duration) -> Result<Duration, RealDirectorError> {
+    /// Waits until the director answers a ping, and returns the time since the call; fails at the timeout or
+    /// if the process ends.
+    pub async fn wait_until_ready(&mut self, timeout: Duration) -> Result<Duration, RealDirectorError> {
         let begun = Instant::now();
         while !answers_ping(self.listen).await {
             self.ensure_running()?;
-            if begun.elapsed() > within {
+            if begun.elapsed() > timeout {
                 return Err(RealDirectorError::NotReady {
-                    within,
+                    timeout,
                     name: self.name.clone(),
                     log: self.log_tail(),
                 });
@@ -136,8 +136,8 @@
 
     /// Fails if the process has ended.
     pub fn ensure_running(&mut self) -> Result<(), RealDirectorError> {
-        let problem = |problem| RealDirectorError::Wait { name: self.name.clone(), problem };
-        match self.child.try_wait().map_err(problem)? {
+        let wait_error = |problem| RealDirectorError::Wait { name: self.name.clone(), problem };
+        match self.child.try_wait().map_err(wait_error)? {
             None => Ok(()),
             Some(status) => {
                 Err(RealDirectorError::Ended { name: self.name.clone(), status, log: self.log_tail() })
@@ -171,7 +171,7 @@
         Ok(())
     }
 
-    /// Stops the process and starts a new one with the same files.
+    /// Stops the process and starts a new process with the same files.
     pub async fn restart(&mut self) -> Result<(), RealDirectorError> {
         self.measure()?;
         self.previous = self.total;
@@ -194,7 +194,8 @@
     /// Sends a signal to the process unless the process has ended and been waited for.
     fn signal(&self, signal: Signal) {
         let pid = self.child.id().and_then(|id| Pid::from_raw(id as i32));
-        // Sending fails only if the process has just ended; the caller then waits for it or finds it ended.
+        // An error is ignored: the process may have just ended, and the caller finds that out when it waits
+        // for the process.
         let _ = pid.map(|pid| kill_process(pid, signal));
     }
 
@@ -207,8 +208,8 @@
 }
 
 fn write(name: &str, path: &Path, text: &str) -> Result<(), RealDirectorError> {
-    let problem = |problem| RealDirectorError::File { name: name.into(), path: path.into(), problem };
-    std::fs::write(path, text).map_err(problem)
+    let file_error = |problem| RealDirectorError::File { name: name.into(), path: path.into(), problem };
+    std::fs::write(path, text).map_err(file_error)
 }
 
 fn spawn(name: &str, program: &Path, config: &Path, log: &Path) -> Result<Child, RealDirectorError> {
@@ -226,7 +227,7 @@
         .map_err(|problem| RealDirectorError::Start { name: name.into(), program: program.into(), problem })
 }
 
-/// Returns whether a director answers a ping.
+/// Returns whether a director answers a ping within `PING_TIMEOUT`.
 async fn answers_ping(listen: SocketAddr) -> bool {
     let ping = async {
         let mut stream = TcpStream::connect(listen).await?;
--- a/crates/wingfold-scale/src/report.rs
+++ b/crates/wingfold-scale/src/report.rs
@@ -20,7 +20,8 @@
     pub peak_memory_mib: f64,
     /// The most descriptors held at a measurement.
     pub peak_descriptors: usize,
-    /// Time from the start of the director until it answered a ping, in milliseconds.
+    /// Time for which the run waited until the director answered a ping, in milliseconds. The wait begins
+    /// when all directors have been started and the real directors with lower numbers have answered.
     pub ready_ms: f64,
     /// Requests to discovery, and bytes exchanged with discovery.
     pub discovery: TrafficCount,
--- a/crates/wingfold-scale/src/run.rs
+++ b/crates/wingfold-scale/src/run.rs
@@ -70,7 +70,7 @@
         "{behind} directors (the first is director {first}) do not hold version {version} \
          of the endpoint list; discovery rejected the last request of {rejected} of them"
     )]
-    Behind {
+    DirectorsBehind {
         /// The number of these directors.
         behind: usize,
         /// The lowest director number among them.
@@ -176,5 +176,5 @@
     let Some(first) = behind.first() else { return Ok(()) };
     let rejected = behind.iter().filter(|director| fleet.discovery.was_rejected(**director)).count();
     let version = fleet.discovery.version();
-    Err(RunError::Behind { behind: behind.len(), first: *first, version, rejected })
+    Err(RunError::DirectorsBehind { behind: behind.len(), first: *first, version, rejected })
 }
--- a/crates/wingfold-scale/src/script.rs
+++ b/crates/wingfold-scale/src/script.rs
@@ -1,5 +1,5 @@
 //! The script of a run: changes of the endpoint list, one fault, and the move of discovery to new addresses,
-//! each at its time.
+//! each at a set time.
 
 use crate::endpoint_list::{HostChange, HostState};
 use crate::faults::{self, Fault};
@@ -94,7 +94,8 @@
         self.changes
     }
 
-    /// Advances the script until this time since its start, and fails if any part of the fleet has ended.
+    /// Advances the script until `end`, counted from the start of the script; fails if a real director or the
+    /// task of a simulated component has ended.
     async fn run_until(&mut self, end: Duration, fleet: &mut Fleet) -> Result<(), FleetError> {
         let begun = *self.begun_at.get_or_insert_with(Instant::now);
         let mut ticks = interval(TICK_INTERVAL);
--- a/crates/wingfold-scale/src/simulated/collector.rs
+++ b/crates/wingfold-scale/src/simulated/collector.rs
@@ -27,7 +27,7 @@
     pub zone: usize,
     /// The address of the collector's director.
     pub director: SocketAddr,
-    /// Counts the load reports and bytes sent; all collectors of one director share these counters.
+    /// Counts the load reports and bytes sent; the collectors of a real director share these counters.
     pub traffic: Arc<Traffic>,
     /// The number of hosts in the list.
     pub hosts: usize,
--- a/crates/wingfold-scale/src/simulated/director.rs
+++ b/crates/wingfold-scale/src/simulated/director.rs
@@ -30,7 +30,8 @@
 /// Timeout of a response, in addition to the wait that the request asks for; also the timeout of connecting.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Base of the backoff, which doubles with each consecutive failure, the first one included.
-const INITIAL_BACKOFF_S: f64 = 0.25;
+const BASE_BACKOFF_S: f64 = 0.25;
+/// Limit on the number of doublings.
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
 /// In fleets with more than this number of directors, the longest backoff grows in proportion to the number.
 const BACKOFF_SCALE_DIRECTORS: f64 = 10.0;
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Requests and watches the list at one address until a request fails.
+    /// Connects to one address of discovery, then requests and watches the list until a request fails.
     async fn watch_until_failure(
         &self,
         address: SocketAddr,
@@ -202,7 +203,7 @@
     fn backoff(&mut self, failures: u32) -> Duration {
         let scale = (self.shared.directors as f64 / BACKOFF_SCALE_DIRECTORS).clamp(1.0, MAX_BACKOFF_SCALE);
         let longest = (scale * POLL_DEADLINE.as_secs_f64() / 2.0).max(1.0);
-        let doubled = INITIAL_BACKOFF_S * 2f64.powi(failures.min(MAX_BACKOFF_DOUBLINGS) as i32);
+        let doubled = BASE_BACKOFF_S * 2f64.powi(failures.min(MAX_BACKOFF_DOUBLINGS) as i32);
         Duration::from_secs_f64(self.random.random_range(0.75..1.25) * doubled.min(longest))
     }
 }
--- a/crates/wingfold-scale/src/simulated/proxy.rs
+++ b/crates/wingfold-scale/src/simulated/proxy.rs
@@ -199,12 +199,12 @@
             let (mut reader, mut writer) = stream.into_split();
             let (acks, pending_acks) = mpsc::unbounded_channel();
             let mut silent = self.silent.clone();
-            let streamed = tokio::select! {
+            let ended = tokio::select! {
                 read = self.read(&mut reader, acks) => read?,
                 written = self.write(&mut writer, pending_acks, is_new) => written,
                 _ = silent.wait_for(|silent| *silent) => Ok(()),
             };
-            tracing::debug!(proxy = self.number, ended = ?streamed.err(), "stream of a proxy ended");
+            tracing::debug!(proxy = self.number, ended = ?ended.err(), "stream of a proxy ended");
             // While the zone is silent, the stream stays open and idle; then the proxy joins again.
             let _ = self.silent.wait_for(|silent| !*silent).await;
             drop((reader, writer));
@@ -225,8 +225,8 @@
     ) -> Result<io::Result<()>, SimulationError> {
         let (mut reader, mut body) = (BufReader::new(reader), Vec::new());
         loop {
-            if let Err(broken) = read_frame(&mut reader, &mut body).await {
-                return Ok(Err(broken));
+            if let Err(error) = read_frame(&mut reader, &mut body).await {
+                return Ok(Err(error));
             }
             self.traffic.messages.increment();
             self.traffic.bytes_in.add((frame::HEADER_BYTES + body.len()) as u64);
--- a/crates/wingfold/tests/scale.rs
+++ b/crates/wingfold/tests/scale.rs
@@ -131,7 +131,7 @@
     let mut run = smallest_run("down", 2, Fault::DiscoveryDown);
     run.timeouts.settle = Duration::from_secs(1);
     match run.execute(pending()).await {
-        Err(RunError::Behind { behind, rejected, .. }) => {
+        Err(RunError::DirectorsBehind { behind, rejected, .. }) => {
             assert!(
                 behind == 30 && rejected > 0,
                 "{behind} directors behind, discovery rejected the last request of {rejected}"
