--- a/crates/wingfold-scale/src/messages.rs
+++ b/crates/wingfold-scale/src/messages.rs
@@ -136,7 +136,7 @@
 }
 
 impl ProxyUpdatePart<'_> {
-    /// Returns how many lines the part takes of the send queue: each entry, ejection, restored host,
+    /// Returns how many lines of the send queue the part occupies: each entry, ejection, restored host,
     /// admission level, barrier and `complete` is one.
     pub fn line_count(&self) -> usize {
         let flags = [self.admission_level.is_some(), self.barrier.is_some(), self.complete];
--- a/crates/wingfold-scale/src/plan.rs
+++ b/crates/wingfold-scale/src/plan.rs
@@ -63,12 +63,12 @@
     Half,
     /// The full fleet
     #[value(name = "1")]
-    Whole,
+    Full,
 }
 
 impl Step {
     /// All steps, the smallest first.
-    pub const ALL: [Step; 5] = [Step::Sixteenth, Step::Eighth, Step::Quarter, Step::Half, Step::Whole];
+    pub const ALL: [Step; 5] = [Step::Sixteenth, Step::Eighth, Step::Quarter, Step::Half, Step::Full];
 
     /// Returns the number by which the size of the full fleet is divided.
     fn divisor(self) -> usize {
@@ -77,7 +77,7 @@
             Step::Eighth => 8,
             Step::Quarter => 4,
             Step::Half => 2,
-            Step::Whole => 1,
+            Step::Full => 1,
         }
     }
 
--- a/crates/wingfold-scale/tests/plan.rs
+++ b/crates/wingfold-scale/tests/plan.rs
@@ -24,7 +24,7 @@
     let fleet_size = |step| FleetSize::of_step(step, 2);
     let full =
         FleetSize { directors: 480, real_directors: 2, hosts: 2_700, zones: 30, proxies_per_director: 48 };
-    assert_eq!(fleet_size(Step::Whole), full);
+    assert_eq!(fleet_size(Step::Full), full);
     let smallest = FleetSize { directors: 30, hosts: 169, zones: 2, ..full };
     assert_eq!(fleet_size(Step::Sixteenth), smallest);
     assert!(Step::ALL
@@ -44,7 +44,7 @@
 
 #[test]
 fn plan_beyond_a_limit_is_rejected_with_that_limit() {
-    let full = plan(Step::Whole, 2).unwrap();
+    let full = plan(Step::Full, 2).unwrap();
     let estimate = full.estimate();
     let too_few_descriptors = MachineLimits { descriptors: estimate.descriptors - 1, ..AMPLE_LIMITS };
     assert!(matches!(full.check(&too_few_descriptors), Err(PlanError::Descriptors { .. })));
@@ -54,10 +54,10 @@
         MachineLimits { memory_bytes: 2 * estimate.memory_bytes, descriptors: estimate.descriptors };
     assert_eq!(full.check(&just_enough), Ok(estimate));
     assert_eq!(
-        plan(Step::Whole, 299).unwrap().check(&MachineLimits { memory_bytes: 1 << 40, ..AMPLE_LIMITS }).err(),
+        plan(Step::Full, 299).unwrap().check(&MachineLimits { memory_bytes: 1 << 40, ..AMPLE_LIMITS }).err(),
         None
     );
-    let too_many_processes = plan(Step::Whole, 300).unwrap().check(&AMPLE_LIMITS);
+    let too_many_processes = plan(Step::Full, 300).unwrap().check(&AMPLE_LIMITS);
     assert_eq!(too_many_processes, Err(PlanError::Processes { needed: 301, allowed: 300 }));
     assert_eq!(plan(Step::Sixteenth, 0).err(), Some(PlanError::RealDirectors { requested: 0, max: 29 }));
     assert_eq!(plan(Step::Sixteenth, 30).err(), Some(PlanError::RealDirectors { requested: 30, max: 29 }));
