--- a/crates/wingfold/tests/metrics.rs
+++ b/crates/wingfold/tests/metrics.rs
@@ -444,18 +444,19 @@
     wait_until("the report of the unlisted host is counted", || {
         director.metric("messages_invalid_name_total") == 1
     });
+    let captures = directory.0.join("captures").display().to_string();
+    let explain = || {
+        let explained = run_wingfold(&["explain", &captures, "--host", "s-1", "--zone", "a"]);
+        String::from_utf8_lossy(&explained.stdout).into_owned()
+    };
+    let applied_load = "utilization 75 %, reported at";
+    // The calls of the last flush interval are lost if the end of the capture cannot be written in time, so the
+    // applied load must be in the capture before the director stops.
+    wait_until("the applied load is in the capture", || explain().contains(applied_load));
     director.send_signal("TERM");
     director.wait_for_exit();
-    let explained = run_wingfold(&[
-        "explain",
-        &directory.0.join("captures").display().to_string(),
-        "--host",
-        "s-1",
-        "--zone",
-        "a",
-    ]);
-    let text = String::from_utf8_lossy(&explained.stdout).into_owned();
-    assert!(text.contains("utilization 75 %, reported at"), "{text}");
+    let text = explain();
+    assert!(text.contains(applied_load), "{text}");
 }
 
 #[test]
