--- a/crates/wingfold-node/src/log.rs
+++ b/crates/wingfold-node/src/log.rs
@@ -35,7 +35,7 @@
     };
     let stage_runs = stage_runs.map(|stage_runs| stage_runs.with_filter(filter_fn(stage_runs::is_stage)));
     tracing_subscriber::registry().with(lines).with(stage_runs).init();
-    std::panic::set_hook(Box::new(|panic| tracing::error!("panicked: {}", sanitize(&panic.to_string()))));
+    std::panic::set_hook(Box::new(|panic| tracing::error!("panic: {}", sanitize(&panic.to_string()))));
     guard
 }
 
--- a/crates/wingfold-node/src/startup.rs
+++ b/crates/wingfold-node/src/startup.rs
@@ -123,7 +123,10 @@
             return Err(RunError::Listen { key, address, problem });
         }
         if !has_logged {
-            tracing::warn!("key `{key}`: {address} is still in use, waiting for it");
+            tracing::warn!(
+                "key `{key}`: address {address} is in use; retrying for at most {} s",
+                ADDRESS_IN_USE_TIMEOUT.as_secs()
+            );
             has_logged = true;
         }
         tokio::time::sleep(ADDRESS_IN_USE_PAUSE).await;
--- a/crates/wingfold/tests/race_conditions.rs
+++ b/crates/wingfold/tests/race_conditions.rs
@@ -175,15 +175,11 @@
     let (_, _, _discovery, setup) = scripted_deployment();
     let previous_listener = TcpListener::bind(setup.listen).unwrap();
     let mut director = setup.spawn(&setup.config.to_string(), true);
-    wait_for_log(&director, "is still in use, waiting for it");
+    wait_for_log(&director, "is in use; retrying for at most 10 s");
     assert!(director.is_running());
     drop(previous_listener);
     setup.wait_until_ready();
-    assert_eq!(
-        director.log().matches("is still in use").count(),
-        1,
-        "the address in use must be logged once"
-    );
+    assert_eq!(director.log().matches("is in use").count(), 1, "the address in use must be logged once");
 }
 
 #[test]
@@ -191,7 +187,7 @@
     let (_, _, _discovery, setup) = scripted_deployment();
     let _previous_listener = TcpListener::bind(setup.listen).unwrap();
     let mut director = setup.spawn(&setup.config.to_string(), true);
-    wait_for_log(&director, "is still in use, waiting for it");
+    wait_for_log(&director, "is in use; retrying for at most 10 s");
     assert_sigterm_ends_in_time(&mut director);
 }
 
--- a/crates/wingfold/tests/streams.rs
+++ b/crates/wingfold/tests/streams.rs
@@ -468,5 +468,7 @@
     wait_until("every stream of the random input is closed", || director.metric("streams_joined") == 1);
     assert!(director.metric("messages_bad_total") > 50, "too few messages were malformed");
     assert!(director.is_running() && proxy.ping());
-    assert!(!director.log().contains("panicked") && director.metric("invariants_broken_total") == 0);
+    let log = director.log();
+    assert!(!log.contains("panic: ") && !log.contains("panicked"), "{log}");
+    assert_eq!(director.metric("invariants_broken_total"), 0);
 }
