--- a/crates/wingfold-node/src/error.rs
+++ b/crates/wingfold-node/src/error.rs
@@ -39,6 +39,6 @@
     #[error(transparent)]
     Failed(#[from] JoinError),
     /// The task returned.
-    #[error("it returned without an error")]
+    #[error("the task returned without an error")]
     Returned,
 }
--- a/crates/wingfold-node/src/http.rs
+++ b/crates/wingfold-node/src/http.rs
@@ -17,16 +17,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// Address and path do not form a valid URI.
-    #[error("not an address: {0}")]
+    #[error("invalid address or path: {0}")]
     InvalidAddress(#[from] InvalidUri),
     /// The connection could not be opened, or broke before the head of the response.
-    #[error("no answer: {}", root_cause(.0))]
+    #[error("connection failed: {}", root_cause(.0))]
     ConnectionFailed(#[from] hyper_util::client::legacy::Error),
     /// The body ended early or exceeded the size limit.
-    #[error("answer broken off: {0}")]
+    #[error("response body cannot be read: {0}")]
     BodyFailed(Box<dyn Error + Send + Sync>),
     /// The timeout expired.
-    #[error("no answer in time")]
+    #[error("no complete response in time")]
     Timeout,
 }
 
--- a/crates/wingfold-node/src/message.rs
+++ b/crates/wingfold-node/src/message.rs
@@ -40,10 +40,10 @@
     #[error("a number is out of range")]
     Range,
     /// The message names a class, host, proxy or zone that does not exist, or another client.
-    #[error("unknown name")]
+    #[error("unknown class, host, proxy or zone")]
     Name,
     /// Clients of this kind may not send the message, or not at this point.
-    #[error("not allowed for this client")]
+    #[error("message type is not allowed for this client or at this point")]
     Turn,
     /// The message acknowledges a barrier that was never set or has already been acknowledged.
     #[error("no such barrier is pending")]
