--- a/crates/wingfold-emulator/tests/silence.rs
+++ b/crates/wingfold-emulator/tests/silence.rs
@@ -225,7 +225,10 @@
         assert_eq!(observer.states(ZONE_INDEX, 40, 59), [ALL_REPORTING], "seed {seed}");
         let lag_s = observer.value(Metric::LoadReportLag, 45).unwrap();
         assert!((1.5..4.5).contains(&lag_s), "seed {seed}: {lag_s}");
-        assert!(observer.value(Metric::AttemptsReportedLate, 45).unwrap() > 50.0, "late attempts must be counted");
+        assert!(
+            observer.value(Metric::AttemptsReportedLate, 45).unwrap() > 50.0,
+            "late attempts must be counted"
+        );
         assert_eq!(observer.value(Metric::AttemptsReportedLate, 25), Some(0.0), "seed {seed}");
         // Intervals that end while reports are delayed are corrected with the reports that arrive afterwards.
         let delayed = 40..=60;
