--- a/crates/wingfold-director/src/checkpoint/validation.rs
+++ b/crates/wingfold-director/src/checkpoint/validation.rs
@@ -80,7 +80,7 @@
         table: TableId,
     },
     /// A table has a number that has not been allocated yet.
-    #[error("table {} of zone {:?} has a number that is not below the next one, {next}", .table.0, .zone.0)]
+    #[error("table number {} of zone {:?} is not below the next table number, {next}", .table.0, .zone.0)]
     TableNotAllocated {
         /// The zone.
         zone: ZoneId,
--- a/crates/wingfold/src/explain/text.rs
+++ b/crates/wingfold/src/explain/text.rs
@@ -247,6 +247,6 @@
     match change.status {
         None => String::new(),
         Some((None, after)) => format!("{}; ", status(after)),
-        Some((Some(before), after)) => format!("from {} to {}; ", status(before), status(after)),
+        Some((Some(before), after)) => format!("status: {} -> {}; ", status(before), status(after)),
     }
 }
--- a/deploy/wingfold.hcl
+++ b/deploy/wingfold.hcl
@@ -1,4 +1,4 @@
-# wingfold's own settings: what the platform's configuration (GW_CONFIG) does not speak of. This file shows every key
+# Local settings of wingfold, beside the platform's configuration (GW_CONFIG). This file shows every key
 # with its default; everything is off. Name it by `wingfold serve --own deploy/wingfold.hcl` or by WINGFOLD_OWN.
 # `wingfold settings check FILE` tells all that is wrong with a file at once.
 
